--- a/src/main/java/beampoint/Balancer.java
+++ b/src/main/java/beampoint/Balancer.java
@@ -196,11 +196,11 @@
    * Starts an attempt; a limit of 0 lasts until the client gives up. It must not begin after startBy: a
    * connection may come up late.
    */
-  record Send(long id, String endpoint, double limit, double startBy) implements Action {
+  record Send(long id, String endpoint, double timeout, double startBy) implements Action {
 
     /** One that may begin whenever its connection is there. */
-    public Send(long id, String endpoint, double limit) {
-      this(id, endpoint, limit, Double.POSITIVE_INFINITY);
+    public Send(long id, String endpoint, double timeout) {
+      this(id, endpoint, timeout, Double.POSITIVE_INFINITY);
     }
   }
 
--- a/src/main/java/beampoint/emulator/ModuleInstance.java
+++ b/src/main/java/beampoint/emulator/ModuleInstance.java
@@ -202,7 +202,7 @@
     world.report.attempt(attempt.number);
     checkGrace(a.endpoint());
     double notAfter = taken.clientTry.notAfter;
-    double last = a.limit() > 0 ? Math.min(notAfter, now + a.limit()) : notAfter;
+    double last = a.timeout() > 0 ? Math.min(notAfter, now + a.timeout()) : notAfter;
     if (taken.clientTry.over || now >= last || attempt.number >= world.scenario.limits().maxAttempts()) {
       inLife(0, () -> end(a.id(), attempt, Result.NOT_SENT));
       return;
--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -304,8 +304,8 @@
     if (exchange.isOver() || now >= last || attempt >= exchange.maxAttempts()) {
       loop.execute(() -> ended(exchange, attempt, a.endpoint(), 0, Result.NOT_SENT, null, null));
     } else {
-      upstreams.send(exchange, attempt, a.endpoint(), a.limit() > 0 ? Math.min(last, now + a.limit()) : last,
-          a.startBy());
+      upstreams.send(exchange, attempt, a.endpoint(),
+          a.timeout() > 0 ? Math.min(last, now + a.timeout()) : last, a.startBy());
     }
   }
 
--- a/src/main/java/beampoint/sim/Codec.java
+++ b/src/main/java/beampoint/sim/Codec.java
@@ -78,8 +78,8 @@
   static void write(Action action, StringBuilder out) {
     if (action instanceof Balancer.Send a) {
       out.append("call_out\trid=").append(a.id()).append("\tnode=").append(a.endpoint());
-      if (a.limit() > 0) {
-        out.append("\tlimit-ms=").append(a.limit());
+      if (a.timeout() > 0) {
+        out.append("\tlimit-ms=").append(a.timeout());
       }
     } else if (action instanceof Balancer.Refuse a) {
       out.append("refuse\trid=").append(a.id());
--- a/src/test/java/beampoint/policy/LateAnswerTest.java
+++ b/src/test/java/beampoint/policy/LateAnswerTest.java
@@ -25,7 +25,7 @@
 
   /** For how long the attempt that was just started is awaited; 0 stands for the client's time. */
   private static double limit(List<Action> actions) {
-    return actions.stream().filter(Send.class::isInstance).map(a -> ((Send) a).limit()).findFirst()
+    return actions.stream().filter(Send.class::isInstance).map(a -> ((Send) a).timeout()).findFirst()
         .orElseThrow();
   }
 
--- a/src/test/java/beampoint/policy/OriginJamTest.java
+++ b/src/test/java/beampoint/policy/OriginJamTest.java
@@ -57,7 +57,7 @@
       } else if (action instanceof Send a) {
         int number = attempts.merge(instance + "/" + a.id(), 1, Integer::sum) - 1;
         double sentAt = now;
-        double limit = a.limit() > 0 ? a.limit() : 800;
+        double limit = a.timeout() > 0 ? a.timeout() : 800;
         if (!a.endpoint().equals("origin")) {
           at(now + MISS, () -> end(instance, a, number, sentAt, Result.MISS));
         } else if (busyUntil > now + MAX_QUEUE) {
--- a/src/test/java/beampoint/policy/ServesNobodyTest.java
+++ b/src/test/java/beampoint/policy/ServesNobodyTest.java
@@ -46,7 +46,7 @@
       for (Action action : actions) {
         if (action instanceof Send send) {
           attempts.merge(send.id(), 1, Integer::sum);
-          double ends = balancer.now + (takes > 0 ? takes : send.limit() > 0 ? send.limit() : 1_000);
+          double ends = balancer.now + (takes > 0 ? takes : send.timeout() > 0 ? send.timeout() : 1_000);
           open.add(new Out(ends, send.id(), attempts.get(send.id()) - 1, send.endpoint(), balancer.now));
           lastAttempt = balancer.now;
           refusedSince = 0;
