--- a/src/main/java/beampoint/cli/Main.java
+++ b/src/main/java/beampoint/cli/Main.java
@@ -5,7 +5,7 @@
 import beampoint.serve.Config;
 import beampoint.serve.Proxy;
 import beampoint.settings.InputException;
-import beampoint.sim.Drill;
+import beampoint.sim.SimulatorHost;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -53,7 +53,7 @@
     @Override
     public Integer call() {
       try {
-        new Drill(System.in, System.out, BalancerPolicy::new).run();
+        new SimulatorHost(System.in, System.out, BalancerPolicy::new).run();
         return 0;
       } catch (InputException e) {
         LOG.error("bad input: " + e.getMessage());
--- a/src/main/java/beampoint/sim/Drill.java
+++ b/src/main/java/beampoint/sim/SimulatorHost.java
@@ -24,7 +24,7 @@
 import java.util.function.Function;
 
 /** Hosts any number of decision modules on the bench's wire; each knows only its own events. */
-public final class Drill {
+public final class SimulatorHost {
 
   private static final Log LOG = Log.of("drill");
 
@@ -40,7 +40,7 @@
   /** A balancer and how load is reported to it. */
   private record Instance(Balancer balancer, LoadColumns columns) {}
 
-  public Drill(InputStream in, PrintStream out, Function<Settings, Balancer> factory) {
+  public SimulatorHost(InputStream in, PrintStream out, Function<Settings, Balancer> factory) {
     this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
     this.out = out;
     this.factory = factory;
--- a/src/test/java/beampoint/sim/DrillTest.java
+++ b/src/test/java/beampoint/sim/SimulatorHostTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The wire's reading and writing, and the plain messages on malformed input. */
-class DrillTest {
+class SimulatorHostTest {
 
   private static final String START = "turn\tmoment-ms=1\ncontext\tproxy-id=proxy/0\n"
       + "new_instance\tnonce64=1\tlanes.count=1\tlanes.0.idempotency=safe\tlanes.0.target-ms=100\t"
@@ -26,7 +26,7 @@
   private static String run(String input) throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     byte[] bytes = input.getBytes(StandardCharsets.UTF_8);
-    new Drill(new ByteArrayInputStream(bytes), new PrintStream(out), BalancerPolicy::new).run();
+    new SimulatorHost(new ByteArrayInputStream(bytes), new PrintStream(out), BalancerPolicy::new).run();
     return out.toString(StandardCharsets.UTF_8);
   }
 
@@ -63,7 +63,7 @@
     List<Boolean> marks = new ArrayList<>();
     String input = START + "new_request\trid=5\tnot-after-ms=200\tservice=0\taffinity=9\n"
         + "new_request\trid=6\tnot-after-ms=200\tservice=0\taffinity=9\tresent=1\ncommit\n";
-    new Drill(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
+    new SimulatorHost(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
         new PrintStream(new ByteArrayOutputStream()), settings -> (now, event) -> {
           if (event instanceof RequestReceived e) {
             marks.add(e.again());
