--- a/src/test/java/beampoint/LateDoor.java
+++ b/src/test/java/beampoint/DelayedListener.java
@@ -13,14 +13,14 @@
  * A listener on loopback that lets nobody in until it is opened: its backlog is full, and the system drops
  * who comes, who asks again after a second. So a connection comes up late, and when the test says so.
  */
-public final class LateDoor implements AutoCloseable {
+public final class DelayedListener implements AutoCloseable {
 
   private static final int MAX_FILLERS = 64;
 
   private final ServerSocket server;
   private final List<Socket> fillers = new ArrayList<>();
 
-  public LateDoor() throws IOException {
+  public DelayedListener() throws IOException {
     server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
     while (comesIn()) {
       if (fillers.size() > MAX_FILLERS) {
@@ -57,7 +57,7 @@
   }
 
   /** What comes on a connection while the test waits for it: -1 for its end, -2 for nothing. */
-  public static int next(Socket socket) throws IOException {
+  public static int readByte(Socket socket) throws IOException {
     try {
       return socket.getInputStream().read();
     } catch (SocketTimeoutException e) {
--- a/src/test/java/beampoint/serve/LateConnectionTest.java
+++ b/src/test/java/beampoint/serve/LateConnectionTest.java
@@ -9,7 +9,7 @@
 import beampoint.Balancer.RequestReceived;
 import beampoint.Balancer.Result;
 import beampoint.Balancer.Send;
-import beampoint.LateDoor;
+import beampoint.DelayedListener;
 import beampoint.Stub;
 import beampoint.count.Counter;
 import beampoint.serve.ProxyFixture.Client;
@@ -30,7 +30,7 @@
       ProxyFixture.SETTINGS.replace("\"connect-timeout-ms\":1000", "\"connect-timeout-ms\":8000");
   private static final int NOTHING = -2;
 
-  private static ProxyFixture proxy(LateDoor cache, String discovery) throws Exception {
+  private static ProxyFixture proxy(DelayedListener cache, String discovery) throws Exception {
     assertTrue(PATIENT.contains("8000"));
     return new ProxyFixture(cache.address(), Stub.nobody(), 1024, PATIENT, discovery);
   }
@@ -38,7 +38,7 @@
   /** Guards against work for nobody: its client has gone while the connection was made. */
   @Test
   void aRequestWhoseClientHasGoneIsNotWrittenOnceTheConnectionStands() throws Exception {
-    try (LateDoor cache = new LateDoor(); ProxyFixture proxy = proxy(cache, null)) {
+    try (DelayedListener cache = new DelayedListener(); ProxyFixture proxy = proxy(cache, null)) {
       proxy.sendTo("cache");
       try (Client client = new Client(proxy)) {
         client.say(READ);
@@ -49,10 +49,10 @@
       assertEquals(Result.NOT_SENT, ended.result());
       assertTrue(ended.done());
       try (Socket late = cache.open()) {
-        assertEquals(NOTHING, LateDoor.next(late));
+        assertEquals(NOTHING, DelayedListener.readByte(late));
         try (Client next = new Client(proxy)) {
           next.say(READ);
-          assertEquals('m', LateDoor.next(late), "the connection serves the next request");
+          assertEquals('m', DelayedListener.readByte(late), "the connection serves the next request");
         }
       }
     }
@@ -62,7 +62,7 @@
   @Test
   void aRequestThatWaitsForAConnectionToANodeThatDrainsGoesElsewhereAtOnce() throws Exception {
     String drains = ProxyFixture.host("cache", "127.0.0.1:9", "m2").replace("Ready", "Terminating");
-    try (LateDoor cache = new LateDoor(); Stub discovery = new Stub(peer -> {
+    try (DelayedListener cache = new DelayedListener(); Stub discovery = new Stub(peer -> {
       peer.head();
       peer.say("HTTP/1.1 200 OK\r\n\r\n\n");
       peer.stub().ends.take();
@@ -77,7 +77,7 @@
       assertEquals("SERVER_ERROR busy", client.line());
       assertEquals(Result.CONNECT_FAILED, proxy.ended().result());
       try (Socket late = cache.open()) {
-        assertEquals(NOTHING, LateDoor.next(late));
+        assertEquals(NOTHING, DelayedListener.readByte(late));
       }
     }
   }
@@ -89,7 +89,7 @@
     Module module = new Module();
     module.script = event -> event instanceof RequestReceived e ? List.of(new Send(e.id(), "cache", 0))
         : event instanceof AttemptEnded e ? List.of(new Refuse(e.id(), 0)) : List.of();
-    try (LateDoor cache = new LateDoor()) {
+    try (DelayedListener cache = new DelayedListener()) {
       Proxy proxy = new Proxy(ProxyFixture.config(List.of(ProxyFixture.host("cache", cache.address(), "m2")),
           1024, Stub.nobody(), PATIENT, "127.0.0.1:0"), settings -> module, directory);
       proxy.start();
@@ -99,7 +99,7 @@
         operator.say("POST /_cache-nodes/detach/cache HTTP/1.1\r\nHost: ops\r\n\r\n");
         assertEquals("SERVER_ERROR busy", client.line());
         try (Socket late = cache.open()) {
-          assertEquals(NOTHING, LateDoor.next(late));
+          assertEquals(NOTHING, DelayedListener.readByte(late));
         }
       } finally {
         proxy.stop();
@@ -110,7 +110,7 @@
   /** Guards against a repeat that comes when it is not dropped any more: its time ended on the way. */
   @Test
   void whatMustNotBeginAnyMoreIsNotWrittenOnceTheConnectionStands() throws Exception {
-    try (LateDoor cache = new LateDoor(); ProxyFixture proxy = proxy(cache, null);
+    try (DelayedListener cache = new DelayedListener(); ProxyFixture proxy = proxy(cache, null);
         Client client = new Client(proxy)) {
       proxy.module.script = event -> event instanceof RequestReceived e
           ? List.of(new Send(e.id(), "cache", 0, System.currentTimeMillis() + 100)) : List.of();
@@ -119,7 +119,7 @@
       Thread.sleep(150); // a span of time, and no order, is what it is about
       try (Socket late = cache.open()) {
         assertEquals(Result.NOT_SENT, proxy.ended().result());
-        assertEquals(NOTHING, LateDoor.next(late));
+        assertEquals(NOTHING, DelayedListener.readByte(late));
       }
       assertEquals(1, proxy.proxy.counters().get(Counter.ATTEMPTS_NOT_SENT));
     }
--- a/src/test/java/beampoint/serve/TimeLeftTest.java
+++ b/src/test/java/beampoint/serve/TimeLeftTest.java
@@ -12,7 +12,7 @@
 import beampoint.Balancer.Send;
 import beampoint.Balancer.SetTimer;
 import beampoint.Balancer.TimerFired;
-import beampoint.LateDoor;
+import beampoint.DelayedListener;
 import beampoint.Stub;
 import beampoint.serve.ProxyFixture.Client;
 import java.io.BufferedInputStream;
@@ -154,7 +154,7 @@
 
   @Test
   void aRequestThatWaitedForItsConnectionTellsWhatIsLeft() throws Exception {
-    try (LateDoor cache = new LateDoor();
+    try (DelayedListener cache = new DelayedListener();
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody(), 1024, PATIENT, null);
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
