--- a/src/main/java/beampoint/policy/BalancerPolicy.java
+++ b/src/main/java/beampoint/policy/BalancerPolicy.java
@@ -1,14 +1,14 @@
 package beampoint.policy;
 
 import beampoint.Balancer;
-import beampoint.policy.cold.SlowStart;
-import beampoint.policy.effects.Effects;
-import beampoint.policy.evidence.Evidence;
-import beampoint.policy.hosts.Hosts;
+import beampoint.policy.slowstart.SlowStart;
+import beampoint.policy.idempotency.RetrySafety;
+import beampoint.policy.health.EndpointHealth;
+import beampoint.policy.hostlist.HostListSubscription;
 import beampoint.policy.ring.Ring;
-import beampoint.policy.shares.Shares;
+import beampoint.policy.priority.RequestPriority;
 import beampoint.policy.state.Attempt;
-import beampoint.policy.state.Facts;
+import beampoint.policy.state.PolicyState;
 import beampoint.policy.state.Node;
 import beampoint.policy.state.Request;
 import java.util.ArrayList;
@@ -32,13 +32,13 @@
   private static final double USE_FADE = 30_000; // in ms: that a connection was used counts half
   private static final double PRIOR = 2; // uses of a connection, before any are known
 
-  final Facts facts = new Facts();
+  final PolicyState facts = new PolicyState();
   private final List<Action> out = facts.out;
-  private final Evidence evidence = new Evidence(facts);
+  private final EndpointHealth evidence = new EndpointHealth(facts);
   private final SlowStart cold = new SlowStart(facts);
   private final Ring ring = new Ring(facts, cold);
-  private final Hosts hosts = new Hosts(facts);
-  private final Shares shares = new Shares(facts, evidence);
+  private final HostListSubscription hosts = new HostListSubscription(facts);
+  private final RequestPriority shares = new RequestPriority(facts, evidence);
   private final Map<Long, Request> requests = new HashMap<>();
   private final List<Node> idle = new ArrayList<>(); // endpoints with perhaps an idle connection
   private double retryBudget = 1;
@@ -145,7 +145,7 @@
     if (!room) {
       ring.strain();
     }
-    return room && facts.now < Effects.startBy(r, facts.origin) ? facts.origin : null;
+    return room && facts.now < RetrySafety.startBy(r, facts.origin) ? facts.origin : null;
   }
 
   private void onRequest(RequestReceived e) {
@@ -155,7 +155,7 @@
     r.yields = shares.yields(e, r);
     requests.put(r.id, r);
     ring.take(r);
-    facts.taken.add(facts.now, Evidence.MAX_FADE, 1);
+    facts.taken.add(facts.now, EndpointHealth.MAX_FADE, 1);
     retryBudget = Math.min(RETRY_SAVED, retryBudget + RETRY_SHARE);
     dispatch(r);
   }
@@ -180,7 +180,7 @@
     cold.sent(node);
     // A late read earns nothing: its end frees a place in a queue, and tells of a jam. A write's is awaited.
     double limit = r.type.idempotency() == Idempotency.SAFE ? Math.max(1, r.usefulUntil - facts.now) : 0;
-    out.add(new Send(r.id, node.entry.id(), limit, Effects.startBy(r, node)));
+    out.add(new Send(r.id, node.entry.id(), limit, RetrySafety.startBy(r, node)));
   }
 
   private void onAttemptEnded(AttemptEnded e) {
@@ -213,7 +213,7 @@
 
   /** Held while used often enough for its price. */
   private boolean worthHolding(Node node) {
-    double rate = facts.taken.rate(facts.now, Evidence.MAX_FADE);
+    double rate = facts.taken.rate(facts.now, EndpointHealth.MAX_FADE);
     double hold = 100_000 * facts.caches.size() * facts.settings.prices().handshake();
     // As many uses as an even share brings stand in for what was not seen yet.
     double seen = (1 - Math.pow(0.5, (facts.now - facts.startedAt) / USE_FADE)) * USE_FADE / Math.log(2);
@@ -254,7 +254,7 @@
   /** The one way to a final answer of this balancer's own: at once, a refusal where that is truthful. */
   private void giveUp(Request r) {
     double wait = facts.settings.limits().retryAdvice() ? facts.settings.limits().maxRetryAfter() : 0;
-    out.add(Effects.mayRefuse(r) ? new Refuse(r.id, wait) : new Fail(r.id));
+    out.add(RetrySafety.mayRefuse(r) ? new Refuse(r.id, wait) : new Fail(r.id));
     finish(r);
   }
 
--- a/src/main/java/beampoint/policy/evidence/Evidence.java
+++ b/src/main/java/beampoint/policy/health/EndpointHealth.java
@@ -1,16 +1,16 @@
-package beampoint.policy.evidence;
+package beampoint.policy.health;
 
 import beampoint.Balancer.AttemptEnded;
 import beampoint.Balancer.Load;
 import beampoint.Balancer.Log;
 import beampoint.Balancer.Result;
 import beampoint.policy.state.Attempt;
-import beampoint.policy.state.Facts;
+import beampoint.policy.state.PolicyState;
 import beampoint.policy.state.Node;
 import beampoint.policy.state.Request;
 
 /** What outcomes and reports tell of caches and origin: how long one takes, whether one has room. */
-public record Evidence(Facts facts) {
+public record EndpointHealth(PolicyState facts) {
 
   private static final double CACHE_PART = 0.5; // of the time to the aim at a cache: a miss comes on top
   private static final double LATE_COST = 3; // parts of the room that each part of late attempts takes away
--- a/src/main/java/beampoint/policy/hosts/Hosts.java
+++ b/src/main/java/beampoint/policy/hostlist/HostListSubscription.java
@@ -1,13 +1,13 @@
-package beampoint.policy.hosts;
+package beampoint.policy.hostlist;
 
 import beampoint.Balancer.FollowList;
 import beampoint.Balancer.ListKind;
 import beampoint.Balancer.ListReceived;
 import beampoint.Balancer.SetTimer;
-import beampoint.policy.state.Facts;
+import beampoint.policy.state.PolicyState;
 
 /** Follows the list of endpoints where it must be asked for. */
-public record Hosts(Facts facts) {
+public record HostListSubscription(PolicyState facts) {
 
   private static final long TIMER = 1L << 60; // tokens of calls for the list; other timers carry ids
   private static final double MAX_WAIT = 2500; // in ms: what could be asked for counts as told after 6 s
--- a/src/main/java/beampoint/policy/effects/Effects.java
+++ b/src/main/java/beampoint/policy/idempotency/RetrySafety.java
@@ -1,4 +1,4 @@
-package beampoint.policy.effects;
+package beampoint.policy.idempotency;
 
 import beampoint.Balancer.DedupGroup;
 import beampoint.Balancer.Idempotency;
@@ -6,9 +6,9 @@
 import beampoint.policy.state.Request;
 
 /** The rule on effects: none is had twice. */
-public final class Effects {
+public final class RetrySafety {
 
-  private Effects() {}
+  private RetrySafety() {}
 
   /** Until when a request may begin at a node: one that may have run, where and while repeats are dropped. */
   public static double startBy(Request r, Node node) {
--- a/src/main/java/beampoint/policy/shares/Shares.java
+++ b/src/main/java/beampoint/policy/priority/RequestPriority.java
@@ -1,15 +1,15 @@
-package beampoint.policy.shares;
+package beampoint.policy.priority;
 
 import beampoint.Balancer.RequestReceived;
-import beampoint.policy.evidence.Evidence;
-import beampoint.policy.state.Facts;
-import beampoint.policy.state.Mean;
+import beampoint.policy.health.EndpointHealth;
+import beampoint.policy.state.PolicyState;
+import beampoint.policy.state.DecayingMean;
 import beampoint.policy.state.Request;
-import beampoint.policy.state.Usage;
+import beampoint.policy.state.TenantUsage;
 import java.util.Arrays;
 
 /** Which requests yield where caches are not free: beyond a share, or asked again after their aim. */
-public record Shares(Facts facts, Evidence evidence) {
+public record RequestPriority(PolicyState facts, EndpointHealth evidence) {
 
   private static final double USAGE_MEMORY = 3; // a tenant's use counts for so many memories of a cache
   private static final double SHORT_WAIT = 0.8; // of the usual: shorter is what is left of a client's time
@@ -23,7 +23,7 @@
   /** Guards against room for what can earn nothing: who waits less than others has asked before. */
   private boolean comesLate(RequestReceived e, Request r) {
     double left = (r.deadline - facts.now) / r.type.deadline();
-    Mean usual = facts.patience.computeIfAbsent(r.type, type -> new Mean());
+    DecayingMean usual = facts.patience.computeIfAbsent(r.type, type -> new DecayingMean());
     boolean shorter = left < SHORT_WAIT * usual.value(facts.now, PATIENCE_FADE, left, PRIOR);
     usual.add(facts.now, PATIENCE_FADE, left);
     facts.marks |= e.again();
@@ -33,7 +33,7 @@
 
   /** True beyond a tenant's share: what it surely uses is over the tenants' median use of their quotas. */
   private boolean countUsage(int tenant) {
-    Usage usage = facts.usages.get(tenant);
+    TenantUsage usage = facts.usages.get(tenant);
     double memory = USAGE_MEMORY * evidence.memory();
     usage.requests.add(facts.now, memory, 1);
     double[] uses = new double[facts.usages.size()];
--- a/src/main/java/beampoint/policy/ring/Ring.java
+++ b/src/main/java/beampoint/policy/ring/Ring.java
@@ -1,10 +1,10 @@
 package beampoint.policy.ring;
 
 import beampoint.Balancer.WeightSource;
-import beampoint.policy.cold.SlowStart;
-import beampoint.policy.effects.Effects;
+import beampoint.policy.slowstart.SlowStart;
+import beampoint.policy.idempotency.RetrySafety;
 import beampoint.policy.state.BucketFrequency;
-import beampoint.policy.state.Facts;
+import beampoint.policy.state.PolicyState;
 import beampoint.policy.state.Hash;
 import beampoint.policy.state.Node;
 import beampoint.policy.state.Request;
@@ -16,7 +16,7 @@
  * on a weighted consistent hash ring that all balancers build alike; a bucket goes to its first distinct
  * cache clockwise, and what that can't take to the next. What departs from it says why.
  */
-public record Ring(Facts facts, SlowStart cold) {
+public record Ring(PolicyState facts, SlowStart cold) {
 
   private static final int BUCKETS = 4096; // many to a cache: one is a small part of its load
   private static final int POINTS = 100; // on the ring for each unit of list weight
@@ -95,7 +95,7 @@
   }
 
   private boolean isReady(Node node, Request r) {
-    return facts.now >= node.ejectedUntil && facts.now < Effects.startBy(r, node);
+    return facts.now >= node.ejectedUntil && facts.now < RetrySafety.startBy(r, node);
   }
 
   /** The first warm cache of the own zone clockwise; none for what is a cold cache's, or it would starve. */
--- a/src/main/java/beampoint/policy/cold/SlowStart.java
+++ b/src/main/java/beampoint/policy/slowstart/SlowStart.java
@@ -1,10 +1,10 @@
-package beampoint.policy.cold;
+package beampoint.policy.slowstart;
 
-import beampoint.policy.state.Facts;
+import beampoint.policy.state.PolicyState;
 import beampoint.policy.state.Node;
 
 /** How warm a cache is, and what a cold one is sent. */
-public record SlowStart(Facts facts) {
+public record SlowStart(PolicyState facts) {
 
   private static final double SERVED_FADE = 8000; // in ms: service counts half after this, as taking does
   private static final double BEST_KEPT = 0.9999; // of the best service, with each outcome
--- a/src/main/java/beampoint/policy/state/Mean.java
+++ b/src/main/java/beampoint/policy/state/DecayingMean.java
@@ -1,7 +1,7 @@
 package beampoint.policy.state;
 
 /** A mean of observations that count half after a time; it holds figures and decides nothing. */
-public final class Mean {
+public final class DecayingMean {
 
   private double sum;
   private double count;
--- a/src/main/java/beampoint/policy/state/Node.java
+++ b/src/main/java/beampoint/policy/state/Node.java
@@ -20,14 +20,14 @@
   public final List<Request> askers = new ArrayList<>();
   public int inFlight;
   /** Sends to it, which tell how often a connection is used. */
-  public final Mean uses = new Mean();
+  public final DecayingMean uses = new DecayingMean();
   /** When it last gave an answer that shows it at work. */
   public double answeredAt;
   /** When a cold cache may be sent more. */
   public double pacedUntil = -1;
-  public Mean time = new Mean();
-  public final Mean depth = new Mean();
-  public Mean errors = new Mean();
+  public DecayingMean time = new DecayingMean();
+  public final DecayingMean depth = new DecayingMean();
+  public DecayingMean errors = new DecayingMean();
   public double ejectedUntil;
   public Ban ban = Ban.NONE;
 
@@ -40,8 +40,8 @@
     double started = told ? endpoint.startedAt() : Math.max(endpoint.startedAt(), called.until());
     if (entry != null && started > startedAt) {
       ejectedUntil = 0;
-      errors = new Mean();
-      time = new Mean();
+      errors = new DecayingMean();
+      time = new DecayingMean();
       answeredAt = 0;
       pacedUntil = -1;
     }
--- a/src/main/java/beampoint/policy/state/Facts.java
+++ b/src/main/java/beampoint/policy/state/PolicyState.java
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 
 /** What the parts of the decision module share: time, settings, who is there, what was seen. */
-public final class Facts {
+public final class PolicyState {
 
   /** In force; an open request may have been taken under others. */
   public Settings settings;
@@ -42,17 +42,17 @@
   /** Attempts at caches without an outcome. */
   public int outAtCaches;
   /** Requests that were taken. */
-  public final Mean taken = new Mean();
+  public final DecayingMean taken = new DecayingMean();
   /** Of caches: logarithms of times, attempts that ran out of time, and what came to nothing, of all. */
-  public final Mean times = new Mean();
-  public final Mean late = new Mean();
-  public final Mean bad = new Mean();
+  public final DecayingMean times = new DecayingMean();
+  public final DecayingMean late = new DecayingMean();
+  public final DecayingMean bad = new DecayingMean();
   /** Attempts at the origin that ran out of time, of all. */
-  public final Mean lateOrigin = new Mean();
+  public final DecayingMean lateOrigin = new DecayingMean();
   /** How busy caches said they are, 0 to 1. */
-  public final Mean busy = new Mean();
+  public final DecayingMean busy = new DecayingMean();
   /** Attempts that brought an answer, of all, and the most of them, in requests a millisecond. */
-  public final Mean served = new Mean();
+  public final DecayingMean served = new DecayingMean();
   public double servedAtBest;
   /** Of what one balancer may send cold caches: two may stand for one. */
   public double share = 1;
@@ -64,8 +64,8 @@
   /** Since when the origin has had room. */
   public double roomSince = Double.NEGATIVE_INFINITY;
   /** Of each tenant, and how long clients of each class wait, as a part of the class's time. */
-  public List<Usage> usages = List.of();
-  public final Map<RequestClass, Mean> patience = new HashMap<>();
+  public List<TenantUsage> usages = List.of();
+  public final Map<RequestClass, DecayingMean> patience = new HashMap<>();
   /** Clients mark what they ask again. */
   public boolean marks;
   /** Calls for the list, and whether it has come since the last. */
@@ -80,7 +80,7 @@
     random = settings == null ? new Random(e.settings().seed()) : random;
     settings = e.settings();
     quotas = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
-    usages = e.formerTenants().stream().map(n -> n < 0 ? new Usage() : usages.get(n)).toList();
+    usages = e.formerTenants().stream().map(n -> n < 0 ? new TenantUsage() : usages.get(n)).toList();
     patience.keySet().retainAll(settings.classes());
   }
 
--- a/src/main/java/beampoint/policy/state/Usage.java
+++ b/src/main/java/beampoint/policy/state/TenantUsage.java
@@ -1,8 +1,8 @@
 package beampoint.policy.state;
 
 /** A tenant's recent requests, and what is left of its share. */
-public final class Usage {
+public final class TenantUsage {
 
-  public final Mean requests = new Mean();
+  public final DecayingMean requests = new DecayingMean();
   public double tokens = 1;
 }
