--- a/src/main/java/beampoint/policy/BalancerPolicy.java
+++ b/src/main/java/beampoint/policy/BalancerPolicy.java
@@ -1,15 +1,15 @@
 package beampoint.policy;
 
 import beampoint.Balancer;
-import beampoint.policy.slowstart.SlowStart;
-import beampoint.policy.idempotency.RetrySafety;
 import beampoint.policy.health.EndpointHealth;
 import beampoint.policy.hostlist.HostListSubscription;
-import beampoint.policy.ring.Ring;
+import beampoint.policy.idempotency.RetrySafety;
 import beampoint.policy.priority.RequestPriority;
+import beampoint.policy.ring.Ring;
+import beampoint.policy.slowstart.SlowStart;
 import beampoint.policy.state.Attempt;
-import beampoint.policy.state.PolicyState;
 import beampoint.policy.state.Node;
+import beampoint.policy.state.PolicyState;
 import beampoint.policy.state.Request;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -18,43 +18,45 @@
 import java.util.Map;
 
 /**
- * The front of the decision module, one instance a balancer: takes events, and decides with the parts of this
- * package where a request goes, whether it is retried, and when it is given up.
+ * Entry point of the decision module, one instance for each balancer. Handles events and decides, with the
+ * classes of the packages below, where a request goes, whether it is retried and when it is given up. Times
+ * are in ms.
  */
 public final class BalancerPolicy implements Balancer {
 
-  private static final double SPILL_FACTOR = 2; // a primary spills above this multiple of the mean in flight
-  private static final int SPILL_EXTRA = 2; // and at least so many over it
-  private static final double PROBE_PART = 0.1; // of the time left that a probe may take
-  private static final double PROBE_GAIN = 0.5; // of a request's worth that a probe saves, where one is bad
-  private static final double RETRY_SHARE = 0.2; // further attempts after a failure, of requests
-  private static final double RETRY_SAVED = 3; // the most saved up
-  private static final double USE_FADE = 30_000; // in ms: that a connection was used counts half
-  private static final double PRIOR = 2; // uses of a connection, before any are known
+  private static final double SPILL_FACTOR = 2; // of the mean in flight, above which a primary spills
+  private static final int SPILL_EXCESS = 2; // attempts over the mean that a primary has at least to spill
+  private static final double PROBE_TIME_PART = 0.1; // of the time left, for which a probe is awaited
+  private static final double PROBE_GAIN = 0.5; // of a request's worth that a probe of a failing cache saves
+  private static final double RETRY_TOKENS_PER_REQUEST = 0.2; // retries after a failure, of requests
+  private static final double MAX_RETRY_TOKENS = 3;
+  private static final double SENDS_HALF_LIFE_MS = 30_000; // of the use count of connections
+  private static final double PRIOR_SENDS = 2; // assumed uses of a connection, before any are observed
 
-  final PolicyState facts = new PolicyState();
-  private final List<Action> out = facts.out;
-  private final EndpointHealth evidence = new EndpointHealth(facts);
-  private final SlowStart cold = new SlowStart(facts);
-  private final Ring ring = new Ring(facts, cold);
-  private final HostListSubscription hosts = new HostListSubscription(facts);
-  private final RequestPriority shares = new RequestPriority(facts, evidence);
+  final PolicyState state = new PolicyState();
+  private final List<Action> actions = state.actions;
+  private final EndpointHealth health = new EndpointHealth(state);
+  private final SlowStart slowStart = new SlowStart(state);
+  private final Ring ring = new Ring(state, slowStart);
+  private final HostListSubscription hostList = new HostListSubscription(state);
+  private final RequestPriority priority = new RequestPriority(state, health);
   private final Map<Long, Request> requests = new HashMap<>();
-  private final List<Node> idle = new ArrayList<>(); // endpoints with perhaps an idle connection
-  private double retryBudget = 1;
+  private final List<Node> idle = new ArrayList<>(); // nodes that may have an idle connection
+  private double retryTokens = 1;
 
   public BalancerPolicy(Settings settings) {
-    facts.take(new SettingsChanged(settings, List.of(), Collections.nCopies(settings.tenants().size(), -1)));
+    state.apply(
+        new SettingsChanged(settings, List.of(), Collections.nCopies(settings.tenants().size(), -1)));
   }
 
   @Override
   public List<Action> handle(double time, Event event) {
-    facts.now = time;
-    facts.startedAt = Math.min(facts.startedAt, time);
-    out.clear();
-    if (event instanceof ListReceived e && hosts.onList(e)) {
+    state.now = time;
+    state.startedAt = Math.min(state.startedAt, time);
+    actions.clear();
+    if (event instanceof ListReceived e && hostList.onList(e)) {
       ring.update();
-      facts.forgetGone();
+      state.removeGoneNodes();
     } else if (event instanceof RequestReceived e) {
       onRequest(e);
     } else if (event instanceof AttemptEnded e) {
@@ -66,217 +68,231 @@
     } else if (event instanceof TimerFired e) {
       onTimer(e.token());
     } else if (event instanceof BanChanged e) {
-      facts.take(e);
+      state.apply(e);
       ring.update();
-      out.add(new CloseIdle(e.endpoint()));
+      actions.add(new CloseIdle(e.endpoint()));
     } else if (event instanceof ShareChanged e) {
-      facts.share = e.part();
+      state.coldShare = e.part();
     } else if (event instanceof SettingsChanged e) {
-      facts.take(e);
+      state.apply(e);
       ring.update();
     }
     closeIdle();
-    return List.copyOf(out);
+    return List.copyOf(actions);
   }
 
-  /** The primary, or the next distinct cache when that one is busy; null if neither can take it. */
-  private Node pick(Request r) {
-    ring.step();
-    Node primary = ring.place(r, 0);
+  /** The primary, or the next distinct cache when that one is busy; null if neither can take the request. */
+  private Node pickCache(Request request) {
+    ring.updateIfDue();
+    Node primary = ring.cacheFor(request, 0);
     if (primary == null) {
       return null;
     }
-    double mean = (double) facts.outAtCaches / facts.caches.size();
-    boolean spills = primary.inFlight > SPILL_FACTOR * mean && primary.inFlight >= mean + SPILL_EXTRA;
-    boolean primaryHasRoom = evidence.hasRoom(primary, r);
+    double mean = (double) state.inFlightAtCaches / state.caches.size();
+    boolean spills = primary.inFlight > SPILL_FACTOR * mean && primary.inFlight >= mean + SPILL_EXCESS;
+    boolean primaryHasRoom = health.hasRoom(primary, request);
     if (primaryHasRoom && !spills) {
       return primary;
     }
-    Node second = ring.place(r, 1);
-    if (second != null && evidence.hasRoom(second, r)) {
+    Node second = ring.cacheFor(request, 1);
+    if (second != null && health.hasRoom(second, request)) {
       return second;
     }
     if (primaryHasRoom) {
       return primary;
     }
-    // Guards against refusals in a fleet with room, where a key's two caches are behind for a moment.
-    boolean nearer = second == null || evidence.expectedTime(primary) <= evidence.expectedTime(second);
-    Node sooner = nearer ? primary : second;
-    double left = (r.aimAt - facts.now) * evidence.punctuality(sooner);
-    return !r.yields && evidence.expectedTime(sooner) <= left ? sooner : null;
+    // While a key's two caches are slow for a moment, the fleet may have room: the request is not refused if
+    // the faster of the two can still be expected to answer by the target time.
+    boolean primaryIsFaster =
+        second == null || health.expectedTime(primary) <= health.expectedTime(second);
+    Node faster = primaryIsFaster ? primary : second;
+    double left = (request.aimAt - state.now) * health.usablePart(faster);
+    return !request.lowPriority && health.expectedTime(faster) <= left ? faster : null;
   }
 
   /**
-   * Guards against a busy primary of which this balancer has too little evidence: a probe asks first, where
-   * that is worth its price. While caches do well, it would cost each request time and spare few a bad one.
+   * Probes a cache of which this balancer has too few observations, and which may be busy, before the first
+   * attempt of a request there; false where none is needed or worth its price. While caches do well, a probe
+   * costs each request time and saves few of them a failed attempt.
    */
-  private boolean ask(Request r, Node node) {
-    double gain = PROBE_GAIN * r.type.worth() * evidence.badShare();
-    if (!facts.settings.limits().probes() || r.attempts > 0 || gain <= facts.settings.prices().probe()
-        || evidence.isKnown(node)) {
+  private boolean probeFirst(Request request, Node node) {
+    double gain = PROBE_GAIN * request.requestClass.worth() * health.failureShare();
+    if (!state.settings.limits().probes() || request.attemptCount > 0
+        || gain <= state.settings.prices().probe() || health.isKnown(node)) {
       return false;
     }
-    r.asked = node;
-    if (node.askers.isEmpty()) {
-      out.add(new Probe(node.entry.id()));
+    request.probedNode = node;
+    if (node.awaitingProbe.isEmpty()) {
+      actions.add(new Probe(node.endpoint.id()));
     }
-    node.askers.add(r);
-    out.add(new SetTimer(Math.max(0, PROBE_PART * (Math.min(r.aimAt, r.deadline) - facts.now)), r.id));
+    node.awaitingProbe.add(request);
+    actions.add(new SetTimer(
+        Math.max(0, PROBE_TIME_PART * (Math.min(request.aimAt, request.deadline) - state.now)), request.id));
     return true;
   }
 
   private void onProbeEnded(ProbeEnded e) {
-    Node node = facts.nodes.get(e.endpoint());
+    Node node = state.nodes.get(e.endpoint());
     if (node == null) {
       return;
     }
-    evidence.onProbe(node, e.result());
-    List<Request> askers = List.copyOf(node.askers);
-    node.askers.clear();
-    for (Request r : askers) {
-      if (r.asked == node) {
-        sendOrGiveUp(r, e.result() == Result.OK && node.isCache() ? node : pick(r));
+    health.onProbe(node, e.result());
+    List<Request> waiting = List.copyOf(node.awaitingProbe);
+    node.awaitingProbe.clear();
+    for (Request request : waiting) {
+      if (request.probedNode == node) {
+        sendOrGiveUp(request, e.result() == Result.OK && node.isCache() ? node : pickCache(request));
       }
     }
   }
 
-  private Node openOrigin(Request r) {
-    boolean room = facts.origin != null && evidence.hasRoom(facts.origin, r);
+  /** The origin, or null where it has no room or the request may not run there (again). */
+  private Node pickOrigin(Request request) {
+    boolean room = state.origin != null && health.hasRoom(state.origin, request);
     if (!room) {
-      ring.strain();
+      ring.onOriginOverload();
     }
-    return room && facts.now < RetrySafety.startBy(r, facts.origin) ? facts.origin : null;
+    return room && state.now < RetrySafety.startBy(request, state.origin) ? state.origin : null;
   }
 
   private void onRequest(RequestReceived e) {
-    RequestClass type = facts.settings.classes().get(e.requestClass());
-    Request r = new Request(e, type, facts.settings.limits().maxAttempts(), facts.now,
-        facts.random.nextDouble());
-    r.yields = shares.yields(e, r);
-    requests.put(r.id, r);
-    ring.take(r);
-    facts.taken.add(facts.now, EndpointHealth.MAX_FADE, 1);
-    retryBudget = Math.min(RETRY_SAVED, retryBudget + RETRY_SHARE);
-    dispatch(r);
+    RequestClass requestClass = state.settings.classes().get(e.requestClass());
+    Request request = new Request(e, requestClass, state.settings.limits().maxAttempts(), state.now,
+        state.random.nextDouble());
+    request.lowPriority = priority.isLow(e, request);
+    requests.put(request.id, request);
+    ring.assignBucket(request);
+    state.requests.add(state.now, EndpointHealth.MAX_HALF_LIFE_MS, 1);
+    retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_TOKENS_PER_REQUEST);
+    dispatch(request);
   }
 
-  /** A read goes to its cache, a write to the origin; so does a read while any cache may drain. */
-  private void dispatch(Request r) {
-    boolean skipsCaches = r.write && facts.settings.originKind() >= 0 || facts.listUnconfirmed;
-    Node node = r.overflow ? null : skipsCaches ? openOrigin(r) : pick(r);
-    if (node == null || node.origin || !ask(r, node)) {
-      sendOrGiveUp(r, node);
+  /**
+   * Sends a read to its cache and a write to the origin. While the list is unconfirmed any cache may be
+   * draining, and reads go to the origin too.
+   */
+  private void dispatch(Request request) {
+    boolean skipsCaches =
+        request.write && state.settings.originKind() >= 0 || state.listUnconfirmed;
+    Node node = request.overflow ? null : skipsCaches ? pickOrigin(request) : pickCache(request);
+    if (node == null || node.origin || !probeFirst(request, node)) {
+      sendOrGiveUp(request, node);
     }
   }
 
-  private void sendOrGiveUp(Request r, Node node) {
+  private void sendOrGiveUp(Request request, Node node) {
     if (node == null) {
-      giveUp(r);
+      giveUp(request);
       return;
     }
-    r.asked = null;
-    facts.sent(r, node);
-    node.uses.add(facts.now, USE_FADE, 1);
-    cold.sent(node);
-    // A late read earns nothing: its end frees a place in a queue, and tells of a jam. A write's is awaited.
-    double limit = r.type.idempotency() == Idempotency.SAFE ? Math.max(1, r.usefulUntil - facts.now) : 0;
-    out.add(new Send(r.id, node.entry.id(), limit, RetrySafety.startBy(r, node)));
+    request.probedNode = null;
+    state.onAttemptSent(request, node);
+    node.sends.add(state.now, SENDS_HALF_LIFE_MS, 1);
+    slowStart.onAttemptSent(node);
+    // A late read earns nothing: ending it frees a place in the node's queue and shows that the node is
+    // overloaded. The outcome of any other request, as a write, is awaited until its client gives up.
+    double timeout = request.requestClass.idempotency() == Idempotency.SAFE
+        ? Math.max(1, request.usefulUntil - state.now) : 0;
+    actions.add(new Send(request.id, node.endpoint.id(), timeout, RetrySafety.startBy(request, node)));
   }
 
   private void onAttemptEnded(AttemptEnded e) {
-    Request r = requests.get(e.id());
-    Attempt attempt = r == null ? null : r.attempt(e.attempt());
+    Request request = requests.get(e.id());
+    Attempt attempt = request == null ? null : request.attempt(e.attempt());
     if (attempt == null) {
       return;
     }
     boolean answered = e.result() == Result.OK || e.result() == Result.MISS;
-    facts.completed(r, attempt, answered);
+    state.onAttemptEnded(request, attempt, answered);
     idle.remove(attempt.node);
     idle.add(attempt.node);
-    cold.ended(e.result() == Result.OK);
-    evidence.onOutcome(attempt, e);
+    slowStart.onAttemptEnded(e.result() == Result.OK);
+    health.onOutcome(attempt, e);
     if (attempt.node.origin && e.result() != Result.OK) {
-      ring.strain();
+      ring.onOriginOverload();
     }
-    if (!e.result().neverRan && r.mayHaveRunAt == null) {
-      r.mayHaveRunAt = attempt.node;
-      r.mayHaveRunSince = attempt.sentAt;
+    if (!e.result().neverRan && request.mayHaveRunAt == null) {
+      request.mayHaveRunAt = attempt.node;
+      request.mayHaveRunSince = attempt.sentAt;
     }
-    if (r.over || e.done()) {
-      finish(r);
-    } else if (r.out.isEmpty() && e.result() == Result.MISS) {
-      sendOrGiveUp(r, r.attempts < r.maxAttempts ? openOrigin(r) : null);
-    } else if (r.out.isEmpty()) {
-      onFailure(r, attempt.node, e.result());
+    if (request.finished || e.done()) {
+      finish(request);
+    } else if (request.inFlight.isEmpty() && e.result() == Result.MISS) {
+      sendOrGiveUp(request, request.attemptCount < request.maxAttempts ? pickOrigin(request) : null);
+    } else if (request.inFlight.isEmpty()) {
+      onFailure(request, attempt.node, e.result());
     }
   }
 
-  /** Held while used often enough for its price. */
-  private boolean worthHolding(Node node) {
-    double rate = facts.taken.rate(facts.now, EndpointHealth.MAX_FADE);
-    double hold = 100_000 * facts.caches.size() * facts.settings.prices().handshake();
-    // As many uses as an even share brings stand in for what was not seen yet.
-    double seen = (1 - Math.pow(0.5, (facts.now - facts.startedAt) / USE_FADE)) * USE_FADE / Math.log(2);
-    double known = PRIOR + node.uses.count(facts.now, USE_FADE);
-    double uses = known / (PRIOR * facts.caches.size() / rate + seen);
-    double most = facts.quotas > 0 ? facts.quotas : Double.MAX_VALUE;
-    double all = Math.min(1000 * rate * facts.settings.siblings(), most);
-    return uses * hold >= facts.settings.prices().connection() * all;
+  /** True where idle connections to a node are used often enough for the price of holding them. */
+  private boolean isWorthHolding(Node node) {
+    double requestRate = state.requests.rate(state.now, EndpointHealth.MAX_HALF_LIFE_MS);
+    double handshakePrice =
+        100_000 * state.caches.size() * state.settings.prices().handshake();
+    // As many uses as an even share of the traffic brings stand in for those not observed yet.
+    double observedTime = (1 - Math.pow(0.5, (state.now - state.startedAt) / SENDS_HALF_LIFE_MS))
+        * SENDS_HALF_LIFE_MS / Math.log(2);
+    double sends = PRIOR_SENDS + node.sends.count(state.now, SENDS_HALF_LIFE_MS);
+    double sendRate = sends / (PRIOR_SENDS * state.caches.size() / requestRate + observedTime);
+    double maxFleetRate = state.totalQuota > 0 ? state.totalQuota : Double.MAX_VALUE;
+    double fleetRate = Math.min(1000 * requestRate * state.settings.siblings(), maxFleetRate);
+    return sendRate * handshakePrice >= state.settings.prices().connection() * fleetRate;
   }
 
   private void closeIdle() {
-    // Hosts that are gone leave the list too: those that come in their place have new names.
+    // Nodes that are gone are removed too, or the list would grow: their successors have new names.
     idle.removeIf(node -> node.inFlight == 0
-        && (!worthHolding(node) || node.ban.isOut() || node.entry.state() == EndpointState.GONE)
-        && out.add(new CloseIdle(node.entry.id())));
+        && (!isWorthHolding(node) || node.ban.isActive() || node.endpoint.state() == EndpointState.GONE)
+        && actions.add(new CloseIdle(node.endpoint.id())));
   }
 
-  private void onFailure(Request r, Node node, Result result) {
-    // An origin without a free connection is asked after a pause: at once, all attempts would be gone.
+  private void onFailure(Request request, Node node, Result result) {
+    // An origin without a free connection is retried after a pause: at once, all attempts would be used up
+    // within a moment.
     boolean full = node.origin && result == Result.CONNECT_FAILED;
-    double next = facts.now + (full ? facts.random.nextDouble() * evidence.expectedTime(node) : 0);
-    double price = result.neverRan ? 0 : 1; // what was turned away at once cost nobody work
-    if (result == Result.NOT_SENT || next >= r.usefulUntil
-        || retryBudget < price || r.attempts >= r.maxAttempts) {
-      giveUp(r);
+    double next = state.now + (full ? state.random.nextDouble() * health.expectedTime(node) : 0);
+    double tokens = result.neverRan ? 0 : 1; // an attempt that never ran cost no work
+    if (result == Result.NOT_SENT || next >= request.usefulUntil
+        || retryTokens < tokens || request.attemptCount >= request.maxAttempts) {
+      giveUp(request);
       return;
     }
-    retryBudget -= price;
+    retryTokens -= tokens;
     if (full) {
-      r.retryAt = next;
-      out.add(new SetTimer(next - facts.now, r.id));
+      request.originRetryAt = next;
+      actions.add(new SetTimer(next - state.now, request.id));
       return;
     }
-    r.tried.add(node);
-    sendOrGiveUp(r, node.origin ? openOrigin(r) : pick(r));
+    request.tried.add(node);
+    sendOrGiveUp(request, node.origin ? pickOrigin(request) : pickCache(request));
   }
 
-  /** The one way to a final answer of this balancer's own: at once, a refusal where that is truthful. */
-  private void giveUp(Request r) {
-    double wait = facts.settings.limits().retryAdvice() ? facts.settings.limits().maxRetryAfter() : 0;
-    out.add(RetrySafety.mayRefuse(r) ? new Refuse(r.id, wait) : new Fail(r.id));
-    finish(r);
+  /** Ends a request with the balancer's own final answer: a refusal if that is correct, else a failure. */
+  private void giveUp(Request request) {
+    double wait = state.settings.limits().retryAdvice() ? state.settings.limits().maxRetryAfter() : 0;
+    actions.add(RetrySafety.mayRefuse(request) ? new Refuse(request.id, wait) : new Fail(request.id));
+    finish(request);
   }
 
-  /** A request is kept until its last attempt has ended. */
-  private void finish(Request r) {
-    r.over = true;
-    r.asked = null;
-    if (r.out.isEmpty()) {
-      requests.remove(r.id);
+  /** Marks a request as finished; it is kept until its last attempt has ended. */
+  private void finish(Request request) {
+    request.finished = true;
+    request.probedNode = null;
+    if (request.inFlight.isEmpty()) {
+      requests.remove(request.id);
     }
   }
 
   private void onTimer(long token) {
-    Request r = requests.get(token);
-    if (!hosts.onTimer(token) && r != null && r.asked != null) {
-      // A probe that is late means a busy cache: the request spills to the next distinct one.
-      Node first = ring.place(r, 0);
-      Node other = ring.place(r, first == r.asked ? 1 : 0);
-      sendOrGiveUp(r, other == null ? first : other);
-    } else if (r != null && !r.over && facts.now + 1 >= r.retryAt) {
-      r.retryAt = Double.POSITIVE_INFINITY;
-      sendOrGiveUp(r, openOrigin(r));
+    Request request = requests.get(token);
+    if (!hostList.onTimer(token) && request != null && request.probedNode != null) {
+      // A late answer to a probe shows that the cache is busy: the request spills to the next distinct one.
+      Node first = ring.cacheFor(request, 0);
+      Node other = ring.cacheFor(request, first == request.probedNode ? 1 : 0);
+      sendOrGiveUp(request, other == null ? first : other);
+    } else if (request != null && !request.finished && state.now + 1 >= request.originRetryAt) {
+      request.originRetryAt = Double.POSITIVE_INFINITY;
+      sendOrGiveUp(request, pickOrigin(request));
     }
   }
 }
--- a/src/main/java/beampoint/policy/hostlist/HostListSubscription.java
+++ b/src/main/java/beampoint/policy/hostlist/HostListSubscription.java
@@ -6,45 +6,48 @@
 import beampoint.Balancer.SetTimer;
 import beampoint.policy.state.PolicyState;
 
-/** Follows the list of endpoints where it must be asked for. */
-public record HostListSubscription(PolicyState facts) {
+/** Subscribes to changes of the endpoint list where it is not pushed, and retries failed subscriptions. */
+public record HostListSubscription(PolicyState state) {
 
-  private static final long TIMER = 1L << 60; // tokens of calls for the list; other timers carry ids
-  private static final double MAX_WAIT = 2500; // in ms: what could be asked for counts as told after 6 s
+  /** Timer tokens from here on are retries of the subscription; those of other timers are request ids. */
+  private static final long FIRST_TOKEN = 1L << 60;
+  /** A balancer counts as informed after 6 s of any change that it could have asked for. */
+  private static final double MAX_RETRY_MS = 2500;
 
-  /** True where the list told something. */
+  /** Handles a list event; true where it brought a list. */
   public boolean onList(ListReceived e) {
     if (e.kind() == ListKind.UNAVAILABLE) {
-      // A broken subscription is told like a failed call: hundreds of balancers ask again at scattered times.
-      askLater(facts.settings.rules().askEvery() / 2 * facts.random.nextDouble());
+      // A broken subscription is reported in the same way as a failed call, to hundreds of balancers at once:
+      // the random delay scatters their retries.
+      scheduleRetry(state.settings.rules().askEvery() / 2 * state.random.nextDouble());
       return false;
     }
-    facts.take(e);
-    facts.listed = e.kind() != ListKind.REMEMBERED;
-    if (!facts.listed) {
-      follow();
+    state.apply(e);
+    state.listReceived = e.kind() != ListKind.REMEMBERED;
+    if (!state.listReceived) {
+      subscribe();
     }
     return true;
   }
 
-  /** True where the timer was one of this part's own. */
+  /** Handles a timer; true where its token belongs to this class. */
   public boolean onTimer(long token) {
-    if (token == TIMER + facts.listCalls && !facts.listed) {
-      follow();
+    if (token == FIRST_TOKEN + state.listCalls && !state.listReceived) {
+      subscribe();
     }
-    return token >= TIMER;
+    return token >= FIRST_TOKEN;
   }
 
-  /** Where the list must be asked for, subscribes, and asks again after a refusal or a silence. */
-  private void follow() {
-    if (!facts.settings.listPushed()) {
-      facts.out.add(new FollowList());
-      askLater(facts.settings.rules().askEvery() / 2);
+  /** Subscribes where the list is not pushed, and schedules a retry in case no answer comes. */
+  private void subscribe() {
+    if (!state.settings.listPushed()) {
+      state.actions.add(new FollowList());
+      scheduleRetry(state.settings.rules().askEvery() / 2);
     }
   }
 
-  private void askLater(double wait) {
-    facts.listed = false;
-    facts.out.add(new SetTimer(Math.min(wait, MAX_WAIT), TIMER + ++facts.listCalls));
+  private void scheduleRetry(double delay) {
+    state.listReceived = false;
+    state.actions.add(new SetTimer(Math.min(delay, MAX_RETRY_MS), FIRST_TOKEN + ++state.listCalls));
   }
 }
--- a/src/main/java/beampoint/policy/idempotency/RetrySafety.java
+++ b/src/main/java/beampoint/policy/idempotency/RetrySafety.java
@@ -5,22 +5,28 @@
 import beampoint.policy.state.Node;
 import beampoint.policy.state.Request;
 
-/** The rule on effects: none is had twice. */
+/** Rules that keep the effect of a request from happening twice. */
 public final class RetrySafety {
 
   private RetrySafety() {}
 
-  /** Until when a request may begin at a node: one that may have run, where and while repeats are dropped. */
-  public static double startBy(Request r, Node node) {
-    boolean free = r.mayHaveRunAt == null || r.type.idempotency() == Idempotency.SAFE;
-    boolean dropped = !free && r.type.idempotency() == Idempotency.KEYED
-        && r.type.group().covers(r.mayHaveRunAt.entry, node.entry);
-    return free ? Double.MAX_VALUE : dropped ? r.mayHaveRunSince + r.type.dedupWindow() : 0;
+  /**
+   * Time in ms until which an attempt may begin at a node. A request that may have run already is repeated
+   * only where, and as long as, the node drops repeats; 0 means never.
+   */
+  public static double startBy(Request request, Node node) {
+    boolean unrestricted =
+        request.mayHaveRunAt == null || request.requestClass.idempotency() == Idempotency.SAFE;
+    boolean dropped = !unrestricted && request.requestClass.idempotency() == Idempotency.KEYED
+        && request.requestClass.group().covers(request.mayHaveRunAt.endpoint, node.endpoint);
+    return unrestricted ? Double.MAX_VALUE
+        : dropped ? request.mayHaveRunSince + request.requestClass.dedupWindow() : 0;
   }
 
-  /** Where a refusal is truthful: nothing was done, or doing it again is harmless wherever it is asked. */
-  public static boolean mayRefuse(Request r) {
-    return r.mayHaveRunAt == null || r.type.idempotency() == Idempotency.SAFE
-        || r.type.idempotency() == Idempotency.KEYED && r.type.group() == DedupGroup.ALL;
+  /** True where a refusal is correct: the request did not run, or a retry is harmless at any endpoint. */
+  public static boolean mayRefuse(Request request) {
+    return request.mayHaveRunAt == null || request.requestClass.idempotency() == Idempotency.SAFE
+        || request.requestClass.idempotency() == Idempotency.KEYED
+            && request.requestClass.group() == DedupGroup.ALL;
   }
 }
--- a/src/main/java/beampoint/policy/priority/RequestPriority.java
+++ b/src/main/java/beampoint/policy/priority/RequestPriority.java
@@ -2,50 +2,63 @@
 
 import beampoint.Balancer.RequestReceived;
 import beampoint.policy.health.EndpointHealth;
-import beampoint.policy.state.PolicyState;
 import beampoint.policy.state.DecayingMean;
+import beampoint.policy.state.PolicyState;
 import beampoint.policy.state.Request;
 import beampoint.policy.state.TenantUsage;
 import java.util.Arrays;
 
-/** Which requests yield where caches are not free: beyond a share, or asked again after their aim. */
-public record RequestPriority(PolicyState facts, EndpointHealth evidence) {
+/**
+ * Which requests have low priority where caches are busy: those beyond their tenant's share, and clients'
+ * retries after the target time.
+ */
+public record RequestPriority(PolicyState state, EndpointHealth health) {
 
-  private static final double USAGE_MEMORY = 3; // a tenant's use counts for so many memories of a cache
-  private static final double SHORT_WAIT = 0.8; // of the usual: shorter is what is left of a client's time
-  private static final double PATIENCE_FADE = 30_000; // in ms: how long clients wait counts half
-  private static final double PRIOR = 2; // what a first client's wait counts
+  private static final double USAGE_HALF_LIVES = 3; // half-life of a tenant's usage, in those of a cache's
+  private static final double SHORT_WAIT = 0.8; // of the mean wait: less is what a first try has left
+  private static final double WAIT_HALF_LIFE_MS = 30_000; // of the mean wait of a class's clients
+  private static final double PRIOR_WAITS = 2; // weight of a client's own wait in the mean that it is held to
 
-  public boolean yields(RequestReceived e, Request r) {
-    return comesLate(e, r) | (e.tenant() < facts.usages.size() && countUsage(e.tenant()));
+  /** Counts a new request for its class and its tenant; true where it has low priority. */
+  public boolean isLow(RequestReceived e, Request request) {
+    return isLateRetry(e, request) | (e.tenant() < state.usages.size() && isOverShare(e.tenant()));
   }
 
-  /** Guards against room for what can earn nothing: who waits less than others has asked before. */
-  private boolean comesLate(RequestReceived e, Request r) {
-    double left = (r.deadline - facts.now) / r.type.deadline();
-    DecayingMean usual = facts.patience.computeIfAbsent(r.type, type -> new DecayingMean());
-    boolean shorter = left < SHORT_WAIT * usual.value(facts.now, PATIENCE_FADE, left, PRIOR);
-    usual.add(facts.now, PATIENCE_FADE, left);
-    facts.marks |= e.again();
-    double aim = r.type.lateWorth() > 0 ? 1 : r.type.aim() / r.type.deadline();
-    return shorter && facts.marks == e.again() && 1 - left > aim;
+  /**
+   * True for a client's retry after the target time: it can't earn anything and should take no room from
+   * others. A client that waits less than others of its class is taken to have asked before; once clients
+   * mark their retries, only a marked request is one.
+   */
+  private boolean isLateRetry(RequestReceived e, Request request) {
+    double left = (request.deadline - state.now) / request.requestClass.deadline();
+    DecayingMean waits =
+        state.clientWaits.computeIfAbsent(request.requestClass, type -> new DecayingMean());
+    boolean shorter = left < SHORT_WAIT * waits.value(state.now, WAIT_HALF_LIFE_MS, left, PRIOR_WAITS);
+    waits.add(state.now, WAIT_HALF_LIFE_MS, left);
+    state.clientsMarkRetries |= e.again();
+    double aim = request.requestClass.lateWorth() > 0 ? 1
+        : request.requestClass.aim() / request.requestClass.deadline();
+    return shorter && state.clientsMarkRetries == e.again() && 1 - left > aim;
   }
 
-  /** True beyond a tenant's share: what it surely uses is over the tenants' median use of their quotas. */
-  private boolean countUsage(int tenant) {
-    TenantUsage usage = facts.usages.get(tenant);
-    double memory = USAGE_MEMORY * evidence.memory();
-    usage.requests.add(facts.now, memory, 1);
-    double[] uses = new double[facts.usages.size()];
+  /**
+   * Counts a request of a tenant; true beyond the tenant's share. A tenant is over its share while its usage,
+   * as a part of its quota and less the uncertainty of a small count, is above the median of all tenants.
+   */
+  private boolean isOverShare(int tenant) {
+    TenantUsage usage = state.usages.get(tenant);
+    double halfLife = USAGE_HALF_LIVES * health.halfLife();
+    usage.requests.add(state.now, halfLife, 1);
+    double[] uses = new double[state.usages.size()];
     for (int i = 0; i < uses.length; i++) {
-      double rate = 1000 * facts.usages.get(i).requests.rate(facts.now, memory);
-      uses[i] = rate / Math.max(1e-9, facts.settings.tenants().get(i).quotaPerSecond());
+      double rate = 1000 * state.usages.get(i).requests.rate(state.now, halfLife);
+      uses[i] = rate / Math.max(1e-9, state.settings.tenants().get(i).quotaPerSecond());
     }
-    double own = uses[tenant] * (1 - 1 / Math.sqrt(1 + usage.requests.count(facts.now, memory)));
+    double own = uses[tenant] * (1 - 1 / Math.sqrt(1 + usage.requests.count(state.now, halfLife)));
     Arrays.sort(uses);
-    // Rates are too low until the memory has filled; the even part of a quota is to be as much lower.
-    double filled = 1 - Math.pow(0.5, (facts.now - facts.startedAt) / memory);
-    double part = Math.max(uses[uses.length / 2], filled / facts.settings.siblings());
+    // Just after the start rates are too low by this factor; the even part of a quota is lowered by as much.
+    double observed = 1 - Math.pow(0.5, (state.now - state.startedAt) / halfLife);
+    double part = Math.max(uses[uses.length / 2], observed / state.settings.siblings());
     usage.tokens = Math.min(1, usage.tokens + Math.min(1, part / own));
     boolean over = usage.tokens < 1;
     usage.tokens -= over ? 0 : 1;
--- a/src/main/java/beampoint/policy/state/Ban.java
+++ b/src/main/java/beampoint/policy/state/Ban.java
@@ -1,11 +1,12 @@
 package beampoint.policy.state;
 
-/** An endpoint was taken out at one time, and is until another. */
+/** The time in ms at which operators took an endpoint out of use and, if so, put it back in use. */
 public record Ban(double since, double until) {
 
   public static final Ban NONE = new Ban(0, 0);
 
-  public boolean isOut() {
+  /** True until operators put the endpoint back in use. */
+  public boolean isActive() {
     return until == Double.POSITIVE_INFINITY;
   }
 }
--- a/src/main/java/beampoint/policy/state/BucketFrequency.java
+++ b/src/main/java/beampoint/policy/state/BucketFrequency.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** How often each bucket was asked for of late; it holds counts and decides nothing. */
+/** Recent number of requests for each bucket; all counts are halved once every half-life. */
 public final class BucketFrequency {
 
   private final double[] counts;
@@ -10,6 +10,7 @@
   private double total;
   private double halvedAt;
 
+  /** Counts for this number of buckets; the half-life is in ms. */
   public BucketFrequency(int buckets, double halfLife) {
     this.counts = new double[buckets];
     this.halfLife = halfLife;
@@ -29,6 +30,7 @@
     return counts[bucket];
   }
 
+  /** Sum of the counts of all buckets. */
   public double total() {
     return total;
   }
--- a/src/main/java/beampoint/policy/state/DecayingMean.java
+++ b/src/main/java/beampoint/policy/state/DecayingMean.java
@@ -1,56 +1,56 @@
 package beampoint.policy.state;
 
-/** A mean of observations that count half after a time; it holds figures and decides nothing. */
+/** Mean and count of observations with exponential decay. Times and half-lives are in ms. */
 public final class DecayingMean {
 
   private double sum;
   private double count;
-  private double at;
+  private double decayedAt;
   private double addedAt;
 
   public void add(double now, double halfLife, double value) {
-    fade(now, halfLife);
+    decay(now, halfLife);
     addedAt = now;
     sum += value;
     count++;
   }
 
-  /** The mean, with a prior value that counts like so many observations. */
-  public double value(double now, double halfLife, double prior, double weight) {
-    fade(now, halfLife);
-    return (sum + prior * weight) / (count + weight);
+  /** The mean, with a prior value that counts as {@code priorWeight} observations. */
+  public double value(double now, double halfLife, double prior, double priorWeight) {
+    decay(now, halfLife);
+    return (sum + prior * priorWeight) / (count + priorWeight);
   }
 
-  /** What is left of the observations' number. */
+  /** The decayed number of observations. */
   public double count(double now, double halfLife) {
-    fade(now, halfLife);
+    decay(now, halfLife);
     return count;
   }
 
-  /** How long ago the last observation was. */
+  /** Time since the last observation. */
   public double age(double now) {
     return now - addedAt;
   }
 
-  /** Observations a millisecond. */
+  /** Observations per ms. */
   public double rate(double now, double halfLife) {
     return count(now, halfLife) * Math.log(2) / halfLife;
   }
 
-  /** The same where observing began at a time: what was before it is not missing. */
+  /** Observations per ms where observation began at a time: does not count the time before as empty. */
   public double rate(double now, double halfLife, double since) {
     return rate(now, halfLife) / Math.max(1e-9, 1 - Math.pow(0.5, (now - since) / halfLife));
   }
 
-  /** What is left of the observations' sum, as of the last one. */
+  /** The decayed sum of the observations, as of the last call that took a time. */
   public double sum() {
     return sum;
   }
 
-  private void fade(double now, double halfLife) {
-    double keep = now > at ? Math.pow(0.5, (now - at) / halfLife) : 1;
+  private void decay(double now, double halfLife) {
+    double keep = now > decayedAt ? Math.pow(0.5, (now - decayedAt) / halfLife) : 1;
     sum *= keep;
     count *= keep;
-    at = now;
+    decayedAt = now;
   }
 }
--- a/src/main/java/beampoint/policy/state/Hash.java
+++ b/src/main/java/beampoint/policy/state/Hash.java
@@ -1,6 +1,6 @@
 package beampoint.policy.state;
 
-/** Well mixed hashes that are the same on every machine and in every run. */
+/** Hash functions with the same results on every machine and in every run. */
 public final class Hash {
 
   private Hash() {}
--- a/src/main/java/beampoint/policy/state/Node.java
+++ b/src/main/java/beampoint/policy/state/Node.java
@@ -6,61 +6,70 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An endpoint and what this balancer's own traffic has shown of it. */
+/** An endpoint of the list, and what this balancer has observed of it. Times are in ms. */
 public final class Node {
 
-  public Endpoint entry;
+  public Endpoint endpoint;
   public boolean origin;
-  /** How many points it has on the ring, and its number there. */
-  public int points;
-  public int slot = -1;
+  /** Number of its points on the ring, and its slot there, or -1. */
+  public int pointCount;
+  public int ringSlot = -1;
+  /** Start of its process; 0 where that is long ago. */
   public double startedAt;
-  public final ArrayDeque<Attempt> flights = new ArrayDeque<>();
-  /** Requests that wait for the probe that is out. */
-  public final List<Request> askers = new ArrayList<>();
+  /** Its attempts in the order of their sending; ended ones are removed lazily. */
+  public final ArrayDeque<Attempt> attempts = new ArrayDeque<>();
+  /** Requests that wait for the probe in flight. */
+  public final List<Request> awaitingProbe = new ArrayList<>();
   public int inFlight;
-  /** Sends to it, which tell how often a connection is used. */
-  public final DecayingMean uses = new DecayingMean();
-  /** When it last gave an answer that shows it at work. */
-  public double answeredAt;
-  /** When a cold cache may be sent more. */
+  /** Attempts sent to it, which show how often a connection is used. */
+  public final DecayingMean sends = new DecayingMean();
+  /** Time of the last answer that shows it at work. */
+  public double lastAnswerAt;
+  /** Time up to which the sends to a cold cache have used up its allowed rate. */
   public double pacedUntil = -1;
-  public DecayingMean time = new DecayingMean();
-  public final DecayingMean depth = new DecayingMean();
+  /** Logarithms of the times of its attempts. */
+  public DecayingMean logTime = new DecayingMean();
+  /** Attempts in flight at the times when the observed ones were sent. */
+  public final DecayingMean inFlightAtSend = new DecayingMean();
+  /** Share of attempts that ended in an error or on a broken connection. */
   public DecayingMean errors = new DecayingMean();
   public double ejectedUntil;
   public Ban ban = Ban.NONE;
 
   /**
-   * Takes what the list says; a fresh start makes a new process of it, with no past. One that was taken out
-   * was restarted meanwhile: unless the list tells when, it counts as started when it came back.
+   * Takes over an entry of the list. A later start time means a new process: observations of the former one
+   * are dropped. A banned node is assumed to have been restarted during its ban: unless the list names a
+   * start after the ban began, it counts as started when the ban ended.
    */
-  public void take(Endpoint endpoint, boolean isOrigin, Ban called) {
-    boolean told = endpoint.startedAt() > called.since() || called.isOut();
-    double started = told ? endpoint.startedAt() : Math.max(endpoint.startedAt(), called.until());
-    if (entry != null && started > startedAt) {
+  public void update(Endpoint newEndpoint, boolean isOrigin, Ban newBan) {
+    boolean listed = newEndpoint.startedAt() > newBan.since() || newBan.isActive();
+    double started = listed ? newEndpoint.startedAt() : Math.max(newEndpoint.startedAt(), newBan.until());
+    if (endpoint != null && started > startedAt) {
       ejectedUntil = 0;
       errors = new DecayingMean();
-      time = new DecayingMean();
-      answeredAt = 0;
+      logTime = new DecayingMean();
+      lastAnswerAt = 0;
       pacedUntil = -1;
     }
-    entry = endpoint;
+    endpoint = newEndpoint;
     origin = isOrigin;
-    ban = called;
+    ban = newBan;
     startedAt = started;
   }
 
-  /** A running cache; one that drains, is gone or was taken out takes nothing new. */
+  /** True for a running cache; one that drains, is gone or is banned takes no new requests. */
   public boolean isCache() {
-    return !origin && entry.state() == Balancer.EndpointState.RUNNING && !ban.isOut();
+    return !origin && endpoint.state() == Balancer.EndpointState.RUNNING && !ban.isActive();
   }
 
-  /** How long it has owed an answer and given none: an attempt that later ones overtook is stuck alone. */
-  public double silence(double now) {
-    while (!flights.isEmpty() && flights.peekFirst().over) {
-      flights.pollFirst();
+  /**
+   * Time for which it has had an attempt in flight and answered none; 0 without attempts in flight. Counted
+   * from the last answer: an old attempt that later ones overtook is stuck alone and does not count.
+   */
+  public double unansweredTime(double now) {
+    while (!attempts.isEmpty() && attempts.peekFirst().ended) {
+      attempts.pollFirst();
     }
-    return flights.isEmpty() ? 0 : now - Math.max(answeredAt, flights.peekFirst().sentAt);
+    return attempts.isEmpty() ? 0 : now - Math.max(lastAnswerAt, attempts.peekFirst().sentAt);
   }
 }
--- a/src/main/java/beampoint/policy/state/PolicyState.java
+++ b/src/main/java/beampoint/policy/state/PolicyState.java
@@ -17,134 +17,136 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** What the parts of the decision module share: time, settings, who is there, what was seen. */
+/** State that the parts of the decision module share: settings, nodes, observations. Times are in ms. */
 public final class PolicyState {
 
-  /** In force; an open request may have been taken under others. */
+  /** The settings in force; an open request may have begun under earlier ones. */
   public Settings settings;
-  /** Of all tenants together, requests a second. */
-  public double quotas;
+  /** Sum of all tenants' quotas, in requests per second. */
+  public double totalQuota;
   /** Seeded by the first settings. */
   public Random random;
-  /** What is to be done after the event at hand, in order. */
-  public final List<Action> out = new ArrayList<>();
-  /** The time of the event at hand, and of the first, in ms. */
+  /** Actions that follow from the current event, in order. */
+  public final List<Action> actions = new ArrayList<>();
+  /** Time of the current event, and of the first. */
   public double now;
   public double startedAt = Double.POSITIVE_INFINITY;
-  /** All endpoints by name, and the caches that run, with the number of their zones. */
+  /** All nodes by name, the running caches among them, and the number of the caches' zones. */
   public final Map<String, Node> nodes = new TreeMap<>();
   public final List<Node> caches = new ArrayList<>();
   public int zones;
   /** The greatest weight listed for each kind of machine. */
-  public final Map<Integer, Double> sizes = new HashMap<>();
-  /** Null where none runs. */
+  public final Map<Integer, Double> maxWeights = new HashMap<>();
+  /** The running origin, or null. */
   public Node origin;
-  /** Attempts at caches without an outcome. */
-  public int outAtCaches;
-  /** Requests that were taken. */
-  public final DecayingMean taken = new DecayingMean();
-  /** Of caches: logarithms of times, attempts that ran out of time, and what came to nothing, of all. */
-  public final DecayingMean times = new DecayingMean();
-  public final DecayingMean late = new DecayingMean();
-  public final DecayingMean bad = new DecayingMean();
-  /** Attempts at the origin that ran out of time, of all. */
-  public final DecayingMean lateOrigin = new DecayingMean();
-  /** How busy caches said they are, 0 to 1. */
-  public final DecayingMean busy = new DecayingMean();
-  /** Attempts that brought an answer, of all, and the most of them, in requests a millisecond. */
+  /** Attempts in flight at caches. */
+  public int inFlightAtCaches;
+  /** Counts the requests received. */
+  public final DecayingMean requests = new DecayingMean();
+  /** Attempts at caches: logarithms of their times, share of timeouts, share of failures (with probes). */
+  public final DecayingMean logTimes = new DecayingMean();
+  public final DecayingMean timeouts = new DecayingMean();
+  public final DecayingMean failures = new DecayingMean();
+  /** Share of timeouts among the attempts at the origin. */
+  public final DecayingMean originTimeouts = new DecayingMean();
+  /** Load that caches reported, 0 to 1. */
+  public final DecayingMean reportedLoad = new DecayingMean();
+  /** Attempts that ended with an answer, 1 for each, 0 for others; and their peak rate, per ms. */
   public final DecayingMean served = new DecayingMean();
-  public double servedAtBest;
-  /** Of what one balancer may send cold caches: two may stand for one. */
-  public double share = 1;
-  public final RingPoints points = new RingPoints();
-  /** When the points change by the clock. */
-  public double pointsDueAt = Double.POSITIVE_INFINITY;
-  /** Recent requests of each bucket. */
-  public BucketFrequency frequency;
-  /** Since when the origin has had room. */
-  public double roomSince = Double.NEGATIVE_INFINITY;
-  /** Of each tenant, and how long clients of each class wait, as a part of the class's time. */
+  public double peakServedRate;
+  /** This process's part of the rate allowed to cold caches: two processes may stand for one balancer. */
+  public double coldShare = 1;
+  public final RingPoints ringPoints = new RingPoints();
+  /** Time at which points of warming caches are to be added. */
+  public double ringUpdateAt = Double.POSITIVE_INFINITY;
+  /** Recent requests for each bucket. */
+  public BucketFrequency bucketFrequency;
+  /** Time since which the origin has had room. */
+  public double originHasRoomSince = Double.NEGATIVE_INFINITY;
+  /** Usage of each tenant; for each class, its clients' waits as part of the class's deadline. */
   public List<TenantUsage> usages = List.of();
-  public final Map<RequestClass, DecayingMean> patience = new HashMap<>();
-  /** Clients mark what they ask again. */
-  public boolean marks;
-  /** Calls for the list, and whether it has come since the last. */
+  public final Map<RequestClass, DecayingMean> clientWaits = new HashMap<>();
+  /** True once a client has marked a request as a retry. */
+  public boolean clientsMarkRetries;
+  /** Calls for the list, and whether the list has come since the last call. */
   public long listCalls;
-  public boolean listed;
-  /** The list may lack drains of which discovery has told. */
+  public boolean listReceived;
+  /** True while the list may lack drains that discovery has announced. */
   public boolean listUnconfirmed;
-  private final Map<String, Ban> bans = new TreeMap<>(); // by endpoint, until one that came back is warm
+  private final Map<String, Ban> bans = new TreeMap<>(); // by endpoint; removed once a readmitted one is warm
 
-  /** Takes new settings; what was learnt goes with its tenant. */
-  public void take(SettingsChanged e) {
+  /** Applies new settings; the observed usage of a tenant moves with it. */
+  public void apply(SettingsChanged e) {
     random = settings == null ? new Random(e.settings().seed()) : random;
     settings = e.settings();
-    quotas = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
+    totalQuota = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
     usages = e.formerTenants().stream().map(n -> n < 0 ? new TenantUsage() : usages.get(n)).toList();
-    patience.keySet().retainAll(settings.classes());
+    clientWaits.keySet().retainAll(settings.classes());
   }
 
-  /** Takes what the list says; one that is gone is known until nothing is out there. */
-  public void take(ListReceived e) {
+  /** Applies a list event; a node that is gone is kept until it has no attempt in flight. */
+  public void apply(ListReceived e) {
     listUnconfirmed = e.kind() == ListKind.UNCONFIRMED;
     if (e.kind() == ListKind.FULL) {
-      nodes.values().forEach(n -> n.entry = n.entry.gone());
+      nodes.values().forEach(n -> n.endpoint = n.endpoint.gone());
     }
-    for (Endpoint entry : e.endpoints()) {
-      Node node = nodes.computeIfAbsent(entry.id(), id -> new Node());
-      node.take(entry, entry.kind() == settings.originKind(), bans.getOrDefault(entry.id(), Ban.NONE));
-      sizes.merge(entry.kind(), Math.max(0, entry.weight()), Math::max);
+    for (Endpoint endpoint : e.endpoints()) {
+      Node node = nodes.computeIfAbsent(endpoint.id(), id -> new Node());
+      node.update(endpoint, endpoint.kind() == settings.originKind(),
+          bans.getOrDefault(endpoint.id(), Ban.NONE));
+      maxWeights.merge(endpoint.kind(), Math.max(0, endpoint.weight()), Math::max);
     }
-    count();
+    collectCaches();
   }
 
-  /** Whatever the list says meanwhile, what operators took out stays out until they call it back. */
-  public void take(BanChanged e) {
+  /** Begins or ends a ban. No list ends one: a banned endpoint stays out until operators readmit it. */
+  public void apply(BanChanged e) {
     Ban ban = bans.getOrDefault(e.endpoint(), Ban.NONE);
     bans.values().removeIf(b -> now - b.until() > settings.rules().warmUp());
-    if (ban.isOut() != e.out()) {
+    if (ban.isActive() != e.out()) {
       ban = e.out() ? new Ban(e.at(), Double.POSITIVE_INFINITY) : new Ban(ban.since(), e.at());
       bans.put(e.endpoint(), ban);
     }
     Node node = nodes.get(e.endpoint());
     if (node != null) {
-      node.take(node.entry, node.origin, ban);
+      node.update(node.endpoint, node.origin, ban);
     }
-    count();
+    collectCaches();
   }
 
-  private void count() {
+  private void collectCaches() {
     caches.clear();
     origin = null;
     for (Node node : nodes.values()) {
       if (node.isCache()) {
         caches.add(node);
-      } else if (origin == null && node.origin && node.entry.state() == EndpointState.RUNNING) {
+      } else if (origin == null && node.origin && node.endpoint.state() == EndpointState.RUNNING) {
         origin = node;
       }
     }
-    zones = (int) caches.stream().mapToInt(n -> n.entry.zone()).distinct().count();
+    zones = (int) caches.stream().mapToInt(n -> n.endpoint.zone()).distinct().count();
   }
 
-  /** Forgets who is gone and has nothing out. */
-  public void forgetGone() {
-    nodes.values().removeIf(n -> n.entry.state() == EndpointState.GONE && n.inFlight == 0);
+  /** Removes nodes that are gone and have no attempts in flight. */
+  public void removeGoneNodes() {
+    nodes.values().removeIf(n -> n.endpoint.state() == EndpointState.GONE && n.inFlight == 0);
   }
 
-  /** An attempt of a request begins. */
-  public void sent(Request r, Node node) {
-    Attempt attempt = new Attempt(node, now, ++node.inFlight, r.type, r.attempts++);
-    r.out.add(attempt);
-    outAtCaches += node.origin ? 0 : 1;
-    node.flights.add(attempt);
+  /** Records that an attempt of a request begins at a node. */
+  public void onAttemptSent(Request request, Node node) {
+    Attempt attempt =
+        new Attempt(node, now, ++node.inFlight, request.requestClass, request.attemptCount++);
+    request.inFlight.add(attempt);
+    inFlightAtCaches += node.origin ? 0 : 1;
+    node.attempts.add(attempt);
   }
 
-  /** An attempt of a request has ended; an answer shows its endpoint at work. */
-  public void completed(Request r, Attempt attempt, boolean answered) {
-    r.out.remove(attempt);
-    attempt.over = true;
+  /** Records that an attempt of a request has ended; an answer shows its node at work. */
+  public void onAttemptEnded(Request request, Attempt attempt, boolean answered) {
+    request.inFlight.remove(attempt);
+    attempt.ended = true;
     attempt.node.inFlight--;
-    outAtCaches -= attempt.node.origin ? 0 : 1;
-    attempt.node.answeredAt = answered ? now : attempt.node.answeredAt;
+    inFlightAtCaches -= attempt.node.origin ? 0 : 1;
+    attempt.node.lastAnswerAt = answered ? now : attempt.node.lastAnswerAt;
   }
 }
--- a/src/main/java/beampoint/policy/state/Request.java
+++ b/src/main/java/beampoint/policy/state/Request.java
@@ -5,54 +5,57 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that owes its final answer, or has attempts out still. */
+/** A request that has not had its final answer, or still has attempts in flight. Times are in ms. */
 public final class Request {
 
   public final long id;
-  public final RequestClass type;
+  public final RequestClass requestClass;
   public final int maxAttempts;
+  /** Target time of its answer. */
   public final double aimAt;
   public final double deadline;
-  /** When an answer begins to earn nothing. */
+  /** Time from which an answer earns nothing. */
   public final double usefulUntil;
   public final long key;
   public final boolean write;
-  /** Between 0 and 1: drawn once, so that asking twice gives one answer. */
-  public final double luck;
-  /** There is no memory to let it wait. */
+  /** Random number from 0 to 1, drawn once, so that repeated placements of the request agree. */
+  public final double placementDraw;
+  /** True where the proxy has no memory to let it wait. */
   public final boolean overflow;
-  /** It is worth little: beyond its tenant's share, or asked again after its aim. */
-  public boolean yields;
+  /** True if it is beyond its tenant's share, or a client's retry after the target time. */
+  public boolean lowPriority;
   public int bucket;
-  public int attempts;
-  /** The cache that was probed for it. */
-  public Node asked;
-  /** Attempts without an outcome. */
-  public final List<Attempt> out = new ArrayList<>();
-  /** It has had its final answer, or its client has left. */
-  public boolean over;
-  /** When the origin is to be asked again. */
-  public double retryAt = Double.POSITIVE_INFINITY;
+  public int attemptCount;
+  /** The node whose probe it waits for, or null. */
+  public Node probedNode;
+  /** Attempts in flight. */
+  public final List<Attempt> inFlight = new ArrayList<>();
+  /** True once it has had its final answer, or its client has left. */
+  public boolean finished;
+  /** Time of its next attempt at the origin. */
+  public double originRetryAt = Double.POSITIVE_INFINITY;
+  /** Node and start of its first attempt that may have been executed; the node is null without one. */
   public Node mayHaveRunAt;
   public double mayHaveRunSince;
-  /** Who missed or failed it. */
+  /** Nodes at which an attempt failed. */
   public final List<Node> tried = new ArrayList<>();
 
-  /** The attempt of that number, or null where none is out. */
+  /** The attempt in flight with that number, or null. */
   public Attempt attempt(int number) {
-    return out.stream().filter(a -> a.number == number).findFirst().orElse(null);
+    return inFlight.stream().filter(a -> a.number == number).findFirst().orElse(null);
   }
 
-  public Request(RequestReceived event, RequestClass type, int maxAttempts, double now, double luck) {
+  public Request(RequestReceived event, RequestClass requestClass, int maxAttempts, double now,
+      double placementDraw) {
     this.id = event.id();
-    this.type = type;
+    this.requestClass = requestClass;
     this.maxAttempts = maxAttempts;
-    this.aimAt = now + type.aim();
+    this.aimAt = now + requestClass.aim();
     this.deadline = event.notAfter();
-    this.usefulUntil = type.lateWorth() > 0 ? deadline : Math.min(aimAt, deadline);
+    this.usefulUntil = requestClass.lateWorth() > 0 ? deadline : Math.min(aimAt, deadline);
     this.key = event.key();
     this.write = event.write();
     this.overflow = event.overflow();
-    this.luck = luck;
+    this.placementDraw = placementDraw;
   }
 }
--- a/src/main/java/beampoint/policy/state/RingPoints.java
+++ b/src/main/java/beampoint/policy/state/RingPoints.java
@@ -4,13 +4,13 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The points of a ring in order, each with its owner: a container; who has how many is decided elsewhere. */
+/** The sorted points of a hash ring, each with the node that owns it. */
 public final class RingPoints {
 
-  /** Owners that can be told apart at one time. */
+  /** Largest number of owners at one time; a power of two. */
   private static final long MAX_SLOTS = 1 << 16;
 
-  /** The upper bits say where a point lies, the lowest name its owner's slot. */
+  /** The upper bits hold a point's position, the lowest bits its owner's slot. */
   private long[] points = new long[0];
   private final List<Node> slots = new ArrayList<>();
   private int changes;
@@ -19,23 +19,23 @@
     return points.length;
   }
 
-  /** How often points were changed. */
+  /** Number of calls of {@link #replace} that had owners to replace. */
   public int changes() {
     return changes;
   }
 
-  /** The place of the first point clockwise from a hash. */
+  /** The index of the first point clockwise from a hash; {@link #size} stands for the first of all. */
   public int after(long hash) {
     int found = Arrays.binarySearch(points, hash & -MAX_SLOTS);
     return found >= 0 ? found : -found - 1;
   }
 
-  /** The owner of the point so many places on. */
-  public Node owner(int place) {
-    return slots.get((int) (points[place % points.length] & MAX_SLOTS - 1));
+  /** The owner of the point at an index, counted round the ring. */
+  public Node owner(int index) {
+    return slots.get((int) (points[index % points.length] & MAX_SLOTS - 1));
   }
 
-  /** Replaces all points of these owners by as many as each now has; those of the others stay. */
+  /** Replaces the points of these owners by as many as each has now; those of all others stay. */
   public void replace(List<Node> owners) {
     if (owners.isEmpty()) {
       return;
@@ -44,9 +44,9 @@
     boolean[] moved = new boolean[slots.size()];
     int added = 0;
     for (Node node : owners) {
-      added += node.points;
-      if (node.slot >= 0) {
-        moved[node.slot] = true;
+      added += node.pointCount;
+      if (node.ringSlot >= 0) {
+        moved[node.ringSlot] = true;
       }
     }
     long[] next = new long[points.length + added];
@@ -57,10 +57,10 @@
     }
     int end = kept;
     for (Node node : owners) {
-      settle(node);
-      long sequence = Hash.of(node.entry.id());
-      for (int i = 0; i < node.points; i++) {
-        next[end++] = Hash.of(sequence + i) & -MAX_SLOTS | node.slot;
+      assignSlot(node);
+      long sequence = Hash.of(node.endpoint.id());
+      for (int i = 0; i < node.pointCount; i++) {
+        next[end++] = Hash.of(sequence + i) & -MAX_SLOTS | node.ringSlot;
       }
     }
     // Two sorted runs, which the library's sort merges instead of sorting anew.
@@ -69,18 +69,18 @@
     points = Arrays.copyOf(next, end);
   }
 
-  /** An owner has a slot as long as it has points. */
-  private void settle(Node node) {
-    if (node.slot >= 0) {
-      slots.set(node.slot, null);
-      node.slot = -1;
+  /** Gives a node a free slot if it has points, and frees its slot if not. */
+  private void assignSlot(Node node) {
+    if (node.ringSlot >= 0) {
+      slots.set(node.ringSlot, null);
+      node.ringSlot = -1;
     }
-    if (node.points > 0) {
+    if (node.pointCount > 0) {
       if (!slots.contains(null)) {
         slots.add(null);
       }
-      node.slot = slots.indexOf(null);
-      slots.set(node.slot, node);
+      node.ringSlot = slots.indexOf(null);
+      slots.set(node.ringSlot, node);
     }
   }
 }
