--- a/src/main/java/beampoint/Balancer.java
+++ b/src/main/java/beampoint/Balancer.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * The interface of the decision module: what it is told at its start, the events it is given and the
- * actions it answers with. All times are milliseconds on one clock that only moves forward.
+ * The interface of the decision module: its settings, the events it handles and the actions it returns. All
+ * times are in ms on one monotonic clock.
  */
 public interface Balancer {
 
-  /** Takes one event at the given time and returns the actions to carry out, in order. */
+  /** Handles one event at the given time and returns the actions to carry out, in order. */
   List<Action> handle(double now, Event event);
 
-  /** How far a request may be repeated once it may have run. */
+  /** Whether a request that may have run may be sent again: always, where repeats are dropped, or never. */
   enum Idempotency { SAFE, KEYED, UNSAFE }
 
-  /** Which endpoints drop the repeats of a keyed request. */
+  /** The set of endpoints that drop repeats of a keyed request which one of them may have run. */
   enum DedupGroup {
     ALL, ZONE, CELL;
 
-    /** True where an endpoint drops the repeats of what another may have carried out. */
+    /** True where {@code next} drops repeats of a request that {@code first} may have run. */
     public boolean covers(Endpoint first, Endpoint next) {
       return switch (this) {
         case ALL -> true;
@@ -28,15 +28,16 @@
     }
   }
 
-  /** What an endpoint's list weight stands for. */
+  /** What an endpoint's list weight stands for; live weights follow its load. */
   enum WeightSource { NONE, NOMINAL, ROUGH, LIVE }
 
-  /** How an endpoint stands in the list. */
+  /** The state of an endpoint in the list. */
   enum EndpointState { RUNNING, DRAINING, GONE }
 
   /**
-   * What a list event holds. One that is unconfirmed is remembered by a proxy whose discovery has told
-   * changes that this process has not received yet: any of its caches may drain or be gone.
+   * The content of a list event: changes, the full list, a list remembered from before the start, a
+   * remembered list that is unconfirmed, or none as the list can't be had. Unconfirmed means that discovery
+   * has announced changes which this process has not received yet: any of the caches may drain or be gone.
    */
   enum ListKind { CHANGES, FULL, REMEMBERED, UNCONFIRMED, UNAVAILABLE }
 
@@ -45,7 +46,7 @@
     OK(false), ERROR(false), TIMEOUT(false), RESET(false), CANCELLED(false),
     FULL(true), CONNECT_FAILED(true), NOT_SENT(true), MISS(true);
 
-    /** True where this result proves that nothing was carried out. */
+    /** True where this result proves that the request was not executed. */
     public final boolean neverRan;
 
     Result(boolean neverRan) {
@@ -53,11 +54,15 @@
     }
   }
 
-  /** A class of requests; a worth is earned in full until the aim, in part until the deadline. */
+  /**
+   * A class of requests. An answer earns {@code worth} within the target time {@code aim}, and the part
+   * {@code lateWorth} of it within {@code deadline}; both times count from the request's arrival. The
+   * endpoints of its group drop repeats of a keyed request for {@code dedupWindow}.
+   */
   record RequestClass(Idempotency idempotency, DedupGroup group, double dedupWindow, double aim,
       double deadline, double worth, double lateWorth) {
 
-    // Written out, as the platform builds a record's own at the first use, which is a part of every start.
+    // Written out: the platform generates a record's own methods at their first use, in every start.
     @Override
     public boolean equals(Object other) {
       return other instanceof RequestClass that && idempotency == that.idempotency && group == that.group
@@ -72,159 +77,171 @@
     }
   }
 
-  /** A tenant's quota: requests a second over all balancers together. */
+  /** A tenant's quota in requests per second, over all balancers together. */
   record Tenant(double quotaPerSecond) {}
 
-  /** What a site allows a balancer to do. */
+  /**
+   * What a site allows a balancer to do: attempts for each request, hedged requests ({@code secondCopies}),
+   * probes, and advice on when to retry, up to {@code maxRetryAfter}.
+   */
   record Limits(int maxAttempts, boolean secondCopies, boolean probes, boolean retryAdvice,
       double maxRetryAfter, double connectTimeout) {}
 
   /**
-   * What is charged, of a request's worth: a hundred connections held a cache, a new connection, a probe, an
-   * attempt that crosses zones.
+   * Costs, as parts of a request's worth: of a hundred connections held to one cache, a new connection, a
+   * probe, and an attempt that crosses zones.
    */
   record Prices(double connection, double handshake, double probe, double crossZone) {}
 
-  /** The figures of the rules on drains, cold endpoints and asking for the list. */
+  /**
+   * Limits for drains, cold endpoints and list subscriptions. A cold endpoint fails under more than
+   * {@code fallMultiple} times its present capacity within {@code fallWindow}; that capacity grows from the
+   * part {@code coldFrom} to 1 during {@code warmUp}.
+   */
   record Rules(double drainGrace, double fallMultiple, double fallWindow, double coldFrom, double warmUp,
       double askEvery) {
 
-    /** The part of its capacity that an endpoint of this age has at the least. */
+    /** The least part of its full capacity that an endpoint of this age has. */
     public double warmth(double age) {
       return age >= warmUp ? 1 : coldFrom + (1 - coldFrom) * Math.max(0, age) / warmUp;
     }
   }
 
-  /** What an instance is told at its start. An origin kind below 0 means that there is no origin. */
+  /**
+   * The settings of a balancer. {@code siblings} is the number of balancers, this one included;
+   * {@code overShareWorth} is the part of its worth that a request beyond its tenant's share earns. An origin
+   * kind below 0 means that there is no origin.
+   */
   record Settings(long seed, int siblings, int zone, boolean listPushed, WeightSource weightSource,
       int originKind, double overShareWorth, Limits limits, Rules rules, Prices prices,
       List<RequestClass> classes, List<Tenant> tenants) {
 
-    /** The same for another number of balancers. */
+    /** A copy for another number of balancers. */
     public Settings withSiblings(int number) {
       return new Settings(seed, number, zone, listPushed, weightSource, originKind, overShareWorth, limits,
           rules, prices, classes, tenants);
     }
   }
 
-  /** An entry of the endpoint list; startedAt is 0 for an endpoint that started long ago. */
+  /** An entry of the endpoint list; {@code startedAt} is 0 for an endpoint that started long ago. */
   record Endpoint(String id, int zone, int kind, int cell, EndpointState state, double weight,
       double startedAt) {
 
-    /** The same endpoint once a full list lacks it. */
+    /** A copy for an endpoint that is missing from a full list. */
     public Endpoint gone() {
       return new Endpoint(id, zone, kind, cell, EndpointState.GONE, weight, startedAt);
     }
   }
 
   /**
-   * What an endpoint last said of its load, late and a little noisy: requests that wait, and the part of its
-   * cores that is busy (0 to 1). What it does not tell is NaN, never 0; without a report there is no Load.
+   * An endpoint's last load report, which is delayed and somewhat noisy: the number of queued requests, and
+   * the part of its cores that is busy (0 to 1). A value that is not reported is NaN, never 0; without a
+   * report there is no Load.
    */
   record Load(double queue, double utilisation) {}
 
-  /** What a balancer observes. */
+  /** What a balancer observes; the argument of {@link #handle}. */
   sealed interface Event permits ListReceived, RequestReceived, AttemptStarted, AttemptEnded, RequestGone,
       TimerFired, ProbeEnded, BanChanged, ShareChanged, SettingsChanged {}
 
-  /** The endpoint list, whole or in part. */
+  /** The full endpoint list or changes to it. */
   record ListReceived(ListKind kind, List<Endpoint> endpoints) implements Event {}
 
   /**
-   * A client's request; one final answer is owed before notAfter. A key below 0 means that it has none. Again
-   * tells that its client marked it as asked before; many clients mark none. Overflow tells that the proxy
-   * has no memory to let it wait: it can only be refused.
+   * A client's request, which needs exactly one final answer before {@code notAfter}. A key below 0 means
+   * that it has none. {@code again} is set where the client marked it as a retry; many clients mark none.
+   * {@code overflow} means that the proxy has no memory to let it wait: it can only be refused.
    */
   record RequestReceived(long id, double notAfter, int tenant, int requestClass, long key, boolean write,
       boolean again, boolean overflow) implements Event {
 
-    /** One that can wait. */
+    /** A request that can wait. */
     public RequestReceived(long id, double notAfter, int tenant, int requestClass, long key, boolean write,
         boolean again) {
       this(id, notAfter, tenant, requestClass, key, write, again, false);
     }
 
-    /** From a client that marks nothing. */
+    /** A request not marked as a retry. */
     public RequestReceived(long id, double notAfter, int tenant, int requestClass, long key, boolean write) {
       this(id, notAfter, tenant, requestClass, key, write, false);
     }
   }
 
-  /** A streamed answer has begun; the attempt belongs to the client from here on. */
+  /** A streamed answer has begun; from here on the attempt is committed to the client. */
   record AttemptStarted(long id, int attempt) implements Event {}
 
   /**
-   * An attempt's one outcome; done tells that the request has had its final answer. The load is null where
-   * none was reported.
+   * The outcome of an attempt, exactly one for each. {@code done} means that the request has had its final
+   * answer. {@code load} is null where none was reported.
    */
   record AttemptEnded(long id, int attempt, String endpoint, double elapsed, Result result, boolean done,
       Load load) implements Event {
 
-    /** From a host that gets no reports. */
+    /** An outcome without a load report. */
     public AttemptEnded(long id, int attempt, String endpoint, double elapsed, Result result, boolean done) {
       this(id, attempt, endpoint, elapsed, result, done, null);
     }
   }
 
-  /** The client has left; nothing more is owed. */
+  /** The client has left; the request needs no answer any more. */
   record RequestGone(long id) implements Event {}
 
-  /** A timer set earlier is due. */
+  /** A timer is due. */
   record TimerFired(long token) implements Event {}
 
-  /** A probe's outcome. */
+  /** The outcome of a probe. */
   record ProbeEnded(String endpoint, Result result, double elapsed) implements Event {}
 
-  /** Operators took an endpoint out at the given time, whatever the list says, or use it again. */
+  /** Operators took an endpoint out of use at the given time, or put it back; this overrides the list. */
   record BanChanged(String endpoint, boolean out, double at) implements Event {}
 
-  /** Of what this balancer may send cold endpoints, the part that is its own: others stand in for it. */
+  /** The part of this balancer's rate limit for cold endpoints that this process may use, beside others. */
   record ShareChanged(double part) implements Event {}
 
   /**
-   * New settings, and for each class and tenant its place in those before, or -1. Requests that are open
-   * keep the rules with which they were taken.
+   * New settings, and for each of their classes and tenants its index in the former ones, or -1. Open
+   * requests keep the rules that were in force when they were received.
    */
   record SettingsChanged(Settings settings, List<Integer> formerClasses, List<Integer> formerTenants)
       implements Event {}
 
-  /** What a balancer may do. */
+  /** What a balancer can have done; the result of {@link #handle}. */
   sealed interface Action permits Send, Refuse, Fail, Cancel, SetTimer, Probe, CloseIdle, FollowList,
       Log {}
 
   /**
-   * Starts an attempt; a limit of 0 lasts until the client gives up. It must not begin after startBy: a
-   * connection may come up late.
+   * Starts an attempt; a timeout of 0 lasts until the client gives up. The attempt must not begin after
+   * {@code startBy}, since its connection may be established late.
    */
   record Send(long id, String endpoint, double timeout, double startBy) implements Action {
 
-    /** One that may begin whenever its connection is there. */
+    /** An attempt that may begin as late as its connection is established. */
     public Send(long id, String endpoint, double timeout) {
       this(id, endpoint, timeout, Double.POSITIVE_INFINITY);
     }
   }
 
-  /** Final answer: not done, a retry is harmless. A wait of 0 gives no advice. */
+  /** Final answer: not executed, or harmless to retry. A {@code retryAfter} of 0 gives no advice. */
   record Refuse(long id, double retryAfter) implements Action {}
 
-  /** Final answer: failed, promising nothing. */
+  /** Final answer: failed; the request may have been executed. */
   record Fail(long id) implements Action {}
 
-  /** Gives up one attempt. */
+  /** Cancels one attempt. */
   record Cancel(long id, int attempt) implements Action {}
 
-  /** Asks for a {@link TimerFired}. */
+  /** Requests a {@link TimerFired} after a delay. */
   record SetTimer(double delay, long token) implements Action {}
 
-  /** Asks an endpoint for a sign of life. */
+  /** Checks whether an endpoint answers. */
   record Probe(String endpoint) implements Action {}
 
   /** Closes the idle connections to an endpoint. */
   record CloseIdle(String endpoint) implements Action {}
 
-  /** Asks for the changes of the list from now on. */
+  /** Subscribes to changes of the list. */
   record FollowList() implements Action {}
 
-  /** A line for on-call staff. */
+  /** Writes a log line for operators. */
   record Log(String text) implements Action {}
 }
--- a/src/main/java/beampoint/sim/Codec.java
+++ b/src/main/java/beampoint/sim/Codec.java
@@ -16,12 +16,12 @@
 import beampoint.settings.InputException;
 import beampoint.settings.LoadColumns;
 
-/** Translates between the wire's words and the decision module's types. Decides nothing. */
+/** Translates between the simulator's wire format and the decision module's types. */
 final class Codec {
 
   private Codec() {}
 
-  /** The kind of list that a message announces; its entries follow as messages of their own. */
+  /** The kind of list that a message announces; its entries follow as separate messages. */
   static ListKind listKind(Message m) throws InputException {
     return switch (m.text("form")) {
       case "changes" -> ListKind.CHANGES;
@@ -32,6 +32,7 @@
     };
   }
 
+  /** The endpoint that a list entry describes. */
   static Endpoint endpoint(Message m) throws InputException {
     EndpointState state = switch (m.text("health")) {
       case "Running" -> EndpointState.RUNNING;
@@ -43,7 +44,7 @@
         m.number("share", 1), m.number("up-since-ms", 0));
   }
 
-  /** The event that a message stands for, or null where this version knows no such message. */
+  /** The event that a message describes, or null for a message unknown to this version. */
   static Event event(Message m, LoadColumns columns) throws InputException {
     return switch (m.name) {
       case "new_request" -> new RequestReceived(m.whole("rid"), m.number("not-after-ms"),
@@ -75,6 +76,7 @@
     };
   }
 
+  /** Appends the line for an action. */
   static void write(Action action, StringBuilder out) {
     if (action instanceof Balancer.Send a) {
       out.append("call_out\trid=").append(a.id()).append("\tnode=").append(a.endpoint());
--- a/src/main/java/beampoint/sim/Message.java
+++ b/src/main/java/beampoint/sim/Message.java
@@ -3,7 +3,7 @@
 import beampoint.settings.Fields;
 import beampoint.settings.InputException;
 
-/** One line of the wire: a name and its fields. */
+/** One line of the simulator's wire format: a name and tab-separated fields of the form name=value. */
 final class Message extends Fields {
 
   final String name;
@@ -16,7 +16,7 @@
     this.text = text;
   }
 
-  /** Checks that every part is name=value; most fields are never read, so none is cut out here. */
+  /** Checks that every field has the form name=value. Values are not extracted, as most are never read. */
   static Message parse(String text, int line) throws InputException {
     int tab = text.indexOf('\t');
     String name = tab < 0 ? text : text.substring(0, tab);
--- a/src/main/java/beampoint/sim/SimulatorHost.java
+++ b/src/main/java/beampoint/sim/SimulatorHost.java
@@ -23,7 +23,10 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** Hosts any number of decision modules on the bench's wire; each knows only its own events. */
+/**
+ * Runs any number of decision modules for a simulator, which sends batches of messages on one stream and
+ * reads the replies from another. Each module sees only its own events.
+ */
 public final class SimulatorHost {
 
   private static final Log LOG = Log.of("drill");
@@ -37,7 +40,7 @@
   private String context;
   private String replyContext;
 
-  /** A balancer and how load is reported to it. */
+  /** A balancer, and the columns of the load reports that it gets. */
   private record Instance(Balancer balancer, LoadColumns columns) {}
 
   public SimulatorHost(InputStream in, PrintStream out, Function<Settings, Balancer> factory) {
@@ -46,13 +49,17 @@
     this.factory = factory;
   }
 
-  /** Answers batches until the input ends. */
+  /**
+   * Answers batches until the input ends.
+   *
+   * @throws InputException where a line is malformed or out of place
+   */
   public void run() throws IOException, InputException {
     for (Message m = next(); m != null; m = next()) {
       if (!m.name.equals("turn")) {
         throw new InputException("line " + line + ": '" + m.name + "' outside a batch");
       }
-      batch(m.number("moment-ms"));
+      processBatch(m.number("moment-ms"));
       reply.append("done\n");
       out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
       out.flush();
@@ -70,7 +77,7 @@
     return text == null ? null : Message.parse(text, line);
   }
 
-  private void batch(double now) throws IOException, InputException {
+  private void processBatch(double now) throws IOException, InputException {
     context = null;
     replyContext = null;
     for (Message m = next(); m != null; m = next()) {
@@ -85,11 +92,11 @@
           instance(m);
           instances.remove(context);
         }
-        case "endpoints" -> give(now, m, list(m));
+        case "endpoints" -> handle(now, m, readList(m));
         default -> {
           Event event = Codec.event(m, instance(m).columns);
           if (event != null) {
-            give(now, m, event);
+            handle(now, m, event);
           }
         }
       }
@@ -97,13 +104,13 @@
     throw new InputException("line " + line + ": the input ends inside a batch");
   }
 
-  private ListReceived list(Message m) throws IOException, InputException {
+  private ListReceived readList(Message m) throws IOException, InputException {
     int count = m.index("members-list", 0);
     List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       Message entry = next();
       if (entry == null || !entry.name.equals("item")) {
-        throw new InputException("line " + line + ": the list announced " + count + " entries and has " + i);
+        throw new InputException("line " + line + ": the list announced " + count + " entries but has " + i);
       }
       endpoints.add(Codec.endpoint(entry));
     }
@@ -126,21 +133,22 @@
     return instance;
   }
 
-  private void give(double now, Message m, Event event) throws InputException {
+  private void handle(double now, Message m, Event event) throws InputException {
     Balancer balancer = instance(m).balancer;
     try {
       for (Action action : balancer.handle(now, event)) {
-        select();
+        writeContext();
         Codec.write(action, reply);
       }
     } catch (RuntimeException e) {
       LOG.error("the decision module failed at line " + line + " for " + context, e);
-      select();
+      writeContext();
       reply.append("fault\tbody-text=").append(String.valueOf(e).replaceAll("\\s", " ")).append('\n');
     }
   }
 
-  private void select() {
+  /** Writes whose replies follow, unless the last ones were of the same instance. */
+  private void writeContext() {
     if (!context.equals(replyContext)) {
       reply.append("from\tproxy-id=").append(context).append('\n');
       replyContext = context;
--- a/src/test/java/beampoint/DelayedListener.java
+++ b/src/test/java/beampoint/DelayedListener.java
@@ -10,8 +10,9 @@
 import java.util.List;
 
 /**
- * A listener on loopback that lets nobody in until it is opened: its backlog is full, and the system drops
- * who comes, who asks again after a second. So a connection comes up late, and when the test says so.
+ * A listener on loopback that accepts no connection until it is opened: its backlog is full, and the system
+ * drops further SYN packets, which clients repeat after a second. So a test decides when a connection that is
+ * established late is established.
  */
 public final class DelayedListener implements AutoCloseable {
 
@@ -22,14 +23,14 @@
 
   public DelayedListener() throws IOException {
     server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-    while (comesIn()) {
+    while (connectFiller()) {
       if (fillers.size() > MAX_FILLERS) {
-        throw new IOException("the backlog does not fill");
+        throw new IOException("the backlog is not full after " + MAX_FILLERS + " connections");
       }
     }
   }
 
-  private boolean comesIn() throws IOException {
+  private boolean connectFiller() throws IOException {
     Socket filler = new Socket();
     try {
       filler.connect(new InetSocketAddress("127.0.0.1", server.getLocalPort()), 200);
@@ -45,7 +46,7 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  /** Lets in who waits, and returns the first who comes after those that filled it. */
+  /** Accepts the connections that filled the backlog, and returns the first one after them. */
   public Socket open() throws IOException {
     server.setSoTimeout(10_000);
     for (int i = 0; i < fillers.size(); i++) {
@@ -56,7 +57,7 @@
     return socket;
   }
 
-  /** What comes on a connection while the test waits for it: -1 for its end, -2 for nothing. */
+  /** The next byte of a connection; -1 at its end, -2 where none came within its timeout. */
   public static int readByte(Socket socket) throws IOException {
     try {
       return socket.getInputStream().read();
--- a/src/test/java/beampoint/Stub.java
+++ b/src/test/java/beampoint/Stub.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A scripted peer on loopback: every connection is handed to the script, one thread each. */
+/** A scripted server on loopback: runs its script for each connection, on a thread of its own. */
 public final class Stub implements AutoCloseable {
 
-  /** What the peer does with one connection. */
+  /** What the server does with one connection. */
   public interface Script {
     void play(Peer peer) throws IOException, InterruptedException;
   }
@@ -36,7 +36,7 @@
       return stub;
     }
 
-    /** The next line, noted by the stub; null at the end. */
+    /** The next line, which is also added to the stub's lines; null at the end of the stream. */
     public String line() throws IOException {
       String line = readLine(in);
       if (line != null) {
@@ -45,7 +45,7 @@
       return line;
     }
 
-    /** The lines of a head up to the empty one; null at the end. */
+    /** The lines of a message head up to the empty line; null at the end of the stream. */
     public String head() throws IOException {
       StringBuilder head = new StringBuilder();
       for (String line = line(); line != null; line = line()) {
@@ -66,16 +66,16 @@
       socket.getOutputStream().flush();
     }
 
-    /** Ends with a reset, as a process that dies does. */
+    /** Closes the connection with a reset, as happens when a process dies. */
     public void reset() throws IOException {
       socket.setSoLinger(true, 0);
       socket.close();
     }
 
-    /** Says nothing until the other side ends the connection. */
+    /** Sends nothing until the other side closes the connection, and drops what it receives. */
     public void beSilent() throws IOException {
       while (in.read() >= 0) {
-        // all that comes is dropped
+        // dropped
       }
       stub.ends.add(true);
     }
@@ -84,8 +84,9 @@
   private final ServerSocket server;
   private final Script script;
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-  /** All lines read on any connection, and one entry for each silent connection that the other side ended. */
+  /** The lines read on all connections. */
   public final LinkedBlockingQueue<String> lines = new LinkedBlockingQueue<>();
+  /** One entry for each connection in {@link Peer#beSilent} that the other side closed. */
   public final LinkedBlockingQueue<Boolean> ends = new LinkedBlockingQueue<>();
 
   public Stub(Script script) throws IOException {
@@ -96,7 +97,7 @@
     thread.start();
   }
 
-  /** An address on which nobody listens. */
+  /** A loopback address on which nothing listens. */
   public static String nobody() throws IOException {
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       return "127.0.0.1:" + free.getLocalPort();
@@ -111,11 +112,11 @@
     return sockets.size();
   }
 
-  /** The next line that any connection has read; fails after five seconds without one. */
+  /** The next line read on any connection; fails after 5 s without one. */
   public String nextLine() throws InterruptedException {
     String line = lines.poll(5, TimeUnit.SECONDS);
     if (line == null) {
-      throw new AssertionError("no line came");
+      throw new AssertionError("no line received within 5 s");
     }
     return line;
   }
@@ -138,11 +139,11 @@
     try (socket) {
       script.play(new Peer(socket, this));
     } catch (IOException | InterruptedException e) {
-      // the other side has gone; what it should have done is checked by the test
+      // the other side closed the connection; tests check what it received before
     }
   }
 
-  /** A line without its end; null at the end of the stream. */
+  /** The next line, without its LF or CRLF; null at the end of the stream. */
   public static String readLine(InputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
     for (int b = in.read(); b >= 0; b = in.read()) {
--- a/src/test/java/beampoint/TestProcess.java
+++ b/src/test/java/beampoint/TestProcess.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Java processes that tests start from the build's classes, and the signals that they are sent. */
+/** Starts Java processes from the classes of the build, and sends them signals. */
 public final class TestProcess {
 
   private static final String CLASS_PATH =
@@ -13,10 +13,7 @@
 
   private TestProcess() {}
 
-  /**
-   * A class's main method with these arguments, and flags for the Java machine; errors come with the
-   * output.
-   */
+  /** A process that runs a class's main method, with flags for the JVM; stderr is merged into stdout. */
   public static ProcessBuilder java(Class<?> main, List<String> flags, String... arguments) {
     List<String> command = new ArrayList<>(flags);
     command.add(0, Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -25,7 +22,7 @@
     return new ProcessBuilder(command).redirectErrorStream(true);
   }
 
-  /** Sends a signal by its name without "SIG"; false where there is no such process any more. */
+  /** Sends a signal, named without "SIG"; false where the process has ended. */
   public static boolean signal(Process process, String name) throws IOException, InterruptedException {
     return new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor() == 0;
   }
