--- a/src/test/java/beampoint/policy/AdmissionTest.java
+++ b/src/test/java/beampoint/policy/AdmissionTest.java
@@ -82,7 +82,7 @@
 
   @Test
   void whatHasNoPlaceToWaitIsRefusedAtOnce() {
-    Fixture f = Fixture.busy(4);
+    Fixture f = Fixture.withTraffic(4);
     for (boolean write : new boolean[] {false, true}) {
       RequestReceived overflow =
           new RequestReceived(f.nextId() + 1_000, f.now + 1_000, 0, 0, 5, write, false, true);
--- a/src/test/java/beampoint/policy/BanTest.java
+++ b/src/test/java/beampoint/policy/BanTest.java
@@ -162,7 +162,7 @@
     int cold = 0;
     for (int i = 0; i < 4_000; i++) {
       f.now += 0.2;
-      cold += "cache-4".equals(f.served(i)) ? 1 : 0;
+      cold += "cache-4".equals(f.serve(i)) ? 1 : 0;
     }
     return cold;
   }
--- a/src/test/java/beampoint/policy/GoneRequestTest.java
+++ b/src/test/java/beampoint/policy/CancelledRequestTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Nothing more is sent for a request whose client has gone. */
-class GoneRequestTest {
+class CancelledRequestTest {
 
   @ParameterizedTest
   @EnumSource(Result.class)
--- a/src/test/java/beampoint/policy/ColdCacheTest.java
+++ b/src/test/java/beampoint/policy/ColdCacheTest.java
@@ -22,13 +22,13 @@
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
     f.list(ListKind.CHANGES, List.of(Fixture.cache(4, EndpointState.RUNNING, f.now)));
     long hot = 0;
-    while (!"cache-4".equals(f.served(hot))) {
+    while (!"cache-4".equals(f.serve(hot))) {
       hot++;
     }
     int cold = 0;
     for (int i = 0; i < 400; i++) {
-      f.served(i);
-      cold += "cache-4".equals(f.served(hot)) ? 1 : 0;
+      f.serve(i);
+      cold += "cache-4".equals(f.serve(hot)) ? 1 : 0;
     }
     assertTrue(cold < 800 / 4, "sent to the cold cache: " + cold);
   }
@@ -83,7 +83,7 @@
   void cachesThatAreAllEmptyAndColdAreNotStarvedOfTheMissesThatFillThem() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
     for (long key = 0; key < 2_000; key++) {
-      f.served(key);
+      f.serve(key);
       f.now += 10;
     }
     List<Endpoint> cold = IntStream.range(0, 4)
@@ -109,7 +109,7 @@
   private static double partOfACold(int instances) {
     long cold = 0;
     int all = 4_000;
-    List<Fixture> fleet = IntStream.range(0, instances).mapToObj(i -> Fixture.busy(10)).toList();
+    List<Fixture> fleet = IntStream.range(0, instances).mapToObj(i -> Fixture.withTraffic(10)).toList();
     for (Fixture f : fleet) {
       f.now += 10_000;
       f.list(ListKind.CHANGES, List.of(Fixture.cache(3, EndpointState.RUNNING, f.now)));
@@ -117,7 +117,7 @@
     for (int i = 0; i < all; i++) {
       Fixture f = fleet.get(i % instances);
       f.now += instances * 0.25;
-      cold += "cache-3".equals(f.served(5_000 + i)) ? 1 : 0;
+      cold += "cache-3".equals(f.serve(5_000 + i)) ? 1 : 0;
     }
     return (double) cold / all;
   }
@@ -141,7 +141,7 @@
     f.read(own);
     f.end(id, 0, "cache-1", 1, Result.RESET);
     f.balancer.handle(f.now, new RequestGone(id));
-    assertNotEquals("cache-1", f.served(own));
+    assertNotEquals("cache-1", f.serve(own));
     f.list(ListKind.CHANGES, List.of(Fixture.cache(1, EndpointState.RUNNING, f.now)));
     Map<Long, String> after = f.placement();
     long share = after.values().stream().filter("cache-1"::equals).count();
--- a/src/test/java/beampoint/policy/EndpointHealthTest.java
+++ b/src/test/java/beampoint/policy/EndpointHealthTest.java
@@ -24,9 +24,9 @@
     String crowded = Fixture.sentTo(f.read(5));
     f.now += 1_000;
     f.end(id, 0, crowded, 1_000, Result.TIMEOUT);
-    assertNotEquals(crowded, f.served(5));
+    assertNotEquals(crowded, f.serve(5));
     f.now += 5_000;
-    assertEquals(crowded, f.served(5));
+    assertEquals(crowded, f.serve(5));
   }
 
   /** Ten requests a second to ten caches, of which one never answers; how many that one is sent. */
@@ -50,7 +50,7 @@
   @Test
   void aCacheThatTimesOutIsRememberedForMoreThanOneSendToIt() {
     Fixture f = new Fixture(Fixture.READ).withFleet(10);
-    String slow = f.served(7);
+    String slow = f.serve(7);
     sentToTheSlow(f, slow, 200);
     int sent = sentToTheSlow(f, slow, 1_000);
     assertTrue(sent > 0, "it is tried again");
@@ -59,26 +59,26 @@
 
   @Test
   void aCacheThatRefusesConnectionsIsSkippedAndTriedAgainLater() {
-    Fixture f = Fixture.busy(6);
+    Fixture f = Fixture.withTraffic(6);
     f.now += 1_000; // no cache has answered since
     long id = f.nextId();
     String primary = Fixture.sentTo(f.read(5));
     String second = Fixture.sentTo(f.end(id, 0, primary, 50, Result.CONNECT_FAILED));
     assertNotNull(second);
     assertNotEquals(primary, second);
-    assertEquals(second, f.served(5));
+    assertEquals(second, f.serve(5));
     f.now += 10_000;
-    assertEquals(primary, f.served(5));
+    assertEquals(primary, f.serve(5));
   }
 
   /** Guards against a cache that refuses new connections as it is full, and passes for a dead one. */
   @Test
   void aFullCacheBesideADeadOneKeepsWhatItCanServe() {
-    Fixture f = Fixture.busy(6);
-    String full = f.served(1);
+    Fixture f = Fixture.withTraffic(6);
+    String full = f.serve(1);
     String dead = null;
     for (long key = 2; dead == null || dead.equals(full); key++) {
-      dead = f.served(key);
+      dead = f.serve(key);
     }
     Map<String, Integer> sent = new HashMap<>();
     int served = 0;
@@ -124,11 +124,11 @@
 
   @Test
   void aFullQueueIsNotTakenForAQuickCache() {
-    Fixture f = Fixture.busy(6);
-    String primary = f.served(5);
+    Fixture f = Fixture.withTraffic(6);
+    String primary = f.serve(5);
     f.now += 3_000;
     for (long key = 1_000; key < 1_040; key++) {
-      f.served(key);
+      f.serve(key);
     }
     for (int i = 0; i < 40; i++) {
       long id = f.nextId();
@@ -137,7 +137,7 @@
         f.balancer.handle(f.now, new RequestGone(id));
       }
     }
-    assertNotEquals(primary, f.served(5));
+    assertNotEquals(primary, f.serve(5));
   }
 
   /** Guards against refusals that uphold themselves: they end the evidence on which they rest. */
@@ -167,14 +167,14 @@
   /** Guards against a cache that is skipped, and its keys missed elsewhere, as one connection broke. */
   @Test
   void aCacheThatAnswersOthersIsNotSkippedForABrokenConnection() {
-    Fixture f = Fixture.busy(4);
-    String own = f.served(1);
+    Fixture f = Fixture.withTraffic(4);
+    String own = f.serve(1);
     f.now += 10;
     long id = f.nextId();
     f.read(1);
     f.end(id, 0, own, 1, Result.RESET);
     f.balancer.handle(f.now, new RequestGone(id));
-    assertEquals(own, f.served(1));
+    assertEquals(own, f.serve(1));
   }
 
   /** Guards against a cache that looks jammed as long as one attempt is stuck on a silent connection. */
@@ -184,7 +184,7 @@
     f.read(1); // never answered
     for (int i = 0; i < 80; i++) {
       f.now += 10;
-      assertEquals("cache-0", f.served(2));
+      assertEquals("cache-0", f.serve(2));
     }
   }
 }
--- a/src/test/java/beampoint/policy/Fixture.java
+++ b/src/test/java/beampoint/policy/Fixture.java
@@ -22,15 +22,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Drives one decision module with events and a clock set by hand. */
+/** One decision module, driven with events and a clock that tests set. Times are in ms. */
 final class Fixture {
 
-  /** How many keys a placement has, where a test names no other number. */
+  /** Number of keys in a placement, unless a test gives another. */
   static final int KEYS = 2_000;
 
   static final int CACHE = 0;
   static final int ORIGIN = 1;
-  static final RequestClass READ = type(Idempotency.SAFE, DedupGroup.ALL);
+  static final RequestClass READ = requestClass(Idempotency.SAFE, DedupGroup.ALL);
 
   final Balancer balancer;
   double now = 1_000;
@@ -63,7 +63,7 @@
         new Balancer.Rules(500, 3, 1_000, 0.25, 8_000, 10_000), prices, List.of(classes), tenants);
   }
 
-  static RequestClass type(Idempotency idempotency, DedupGroup group) {
+  static RequestClass requestClass(Idempotency idempotency, DedupGroup group) {
     return new RequestClass(idempotency, group, 2_000, 500, 1_500, 1, 0);
   }
 
@@ -93,20 +93,20 @@
     return this;
   }
 
-  /** Traffic among which a few requests for one key do not make that key a hot one. */
-  static Fixture busy(int caches) {
+  /** A module that has served enough requests that a few more for one key do not make it a hot key. */
+  static Fixture withTraffic(int caches) {
     Fixture f = new Fixture(READ).withFleet(caches);
     for (long key = 1_000; key < 1_400; key++) {
-      f.served(key);
+      f.serve(key);
     }
     return f;
   }
 
-  /** Where reads of the keys from 0 on are sent, each by an idle balancer. */
+  /** The cache of each key from 0 on, as found by reads that are served at once. */
   Map<Long, String> placement(int keys) {
     Map<Long, String> placed = new HashMap<>();
     for (long key = 0; key < keys; key++) {
-      placed.put(key, served(key));
+      placed.put(key, serve(key));
     }
     return placed;
   }
@@ -119,7 +119,7 @@
     return balancer.handle(now, new ListReceived(kind, endpoints));
   }
 
-  /** The id that the next request will have. */
+  /** The id of the next request. */
   long nextId() {
     return nextId;
   }
@@ -128,8 +128,8 @@
     return request(0, 0, key, false);
   }
 
-  List<Action> request(int type, int tenant, long key, boolean write) {
-    return balancer.handle(now, new RequestReceived(nextId++, now + 1_000, tenant, type, key, write));
+  List<Action> request(int requestClass, int tenant, long key, boolean write) {
+    return balancer.handle(now, new RequestReceived(nextId++, now + 1_000, tenant, requestClass, key, write));
   }
 
   List<Action> end(long id, int attempt, String endpoint, double elapsed, Result result) {
@@ -137,30 +137,32 @@
     return balancer.handle(now, new AttemptEnded(id, attempt, endpoint, elapsed, result, done));
   }
 
-  /** An attempt ends with a value and a report of load. */
-  List<Action> served(long id, String endpoint, double elapsed, Balancer.Load load) {
+  /** Ends an attempt with a value and a load report. */
+  List<Action> endWithLoad(long id, String endpoint, double elapsed, Balancer.Load load) {
     return balancer.handle(now, new AttemptEnded(id, 0, endpoint, elapsed, Result.OK, true, load));
   }
 
-  /** Where a read of the key is sent by an idle balancer; the read is served at once. */
-  String served(long key) {
+  /** Reads a key, serves the read at once, and returns the endpoint that it was sent to. */
+  String serve(long key) {
     long id = nextId;
     String endpoint = sentTo(read(key));
     end(id, 0, endpoint, 10, Result.OK);
     return endpoint;
   }
 
+  /** The endpoint of the first attempt among the actions, or null. */
   static String sentTo(List<Action> actions) {
     return actions.stream().filter(Send.class::isInstance).map(a -> ((Send) a).endpoint()).findFirst()
         .orElse(null);
   }
 
-  /** For how long the first timer is set. */
-  static double delay(List<Action> actions) {
+  /** The delay of the first timer among the actions. */
+  static double timerDelay(List<Action> actions) {
     return actions.stream().filter(SetTimer.class::isInstance).mapToDouble(a -> ((SetTimer) a).delay())
         .findFirst().orElseThrow();
   }
 
+  /** True where an action of the type is among the actions. */
   static <T extends Action> boolean has(List<Action> actions, Class<T> type) {
     return actions.stream().anyMatch(type::isInstance);
   }
--- a/src/test/java/beampoint/policy/FleetTest.java
+++ b/src/test/java/beampoint/policy/FleetTest.java
@@ -218,7 +218,7 @@
         }
       }
       for (long key = 0; key < 300; key++) {
-        assertTrue(isRunning(f.served(key)));
+        assertTrue(isRunning(f.serve(key)));
       }
     }
   }
@@ -234,11 +234,11 @@
     for (int i = 0; i < INSTANCES; i++) {
       Fixture f = fresh(i);
       f.list(ListKind.REMEMBERED, Fixture.fleet(CACHES));
-      f.served(1);
+      f.serve(1);
       f.list(ListKind.FULL, Fixture.fleet(15));
       for (long key = 0; key < 500; key++) {
         f.now += 5;
-        int number = Integer.parseInt(f.served(key).substring(6));
+        int number = Integer.parseInt(f.serve(key).substring(6));
         assertTrue(number < 15, "sent to cache-" + number + ", which is gone");
       }
     }
--- a/src/test/java/beampoint/policy/IdleConnectionTest.java
+++ b/src/test/java/beampoint/policy/IdleConnectionTest.java
@@ -60,11 +60,11 @@
   @Test
   void aConnectionIsClosedOnceOthersAreUsedInItsPlace() {
     Fixture lookUp = priced(60);
-    String endpoint = lookUp.served(5);
-    List<Long> keys = LongStream.range(10, 400).filter(k -> !lookUp.served(k).equals(endpoint)).boxed()
+    String endpoint = lookUp.serve(5);
+    List<Long> keys = LongStream.range(10, 400).filter(k -> !lookUp.serve(k).equals(endpoint)).boxed()
         .toList();
     Fixture f = priced(60);
-    assertEquals(endpoint, f.served(5));
+    assertEquals(endpoint, f.serve(5));
     assertEquals(1, closes(f, 100, LongStream.range(0, 2_000).map(i -> keys.get((int) i % keys.size())))
         .get(endpoint));
   }
@@ -73,7 +73,7 @@
   @Test
   void aHostThatIsGoneLeavesNothingBehind() {
     Fixture f = new Fixture(Fixture.READ).withFleet(3);
-    String endpoint = f.served(1);
+    String endpoint = f.serve(1);
     Endpoint host = Fixture.fleet(3).stream().filter(e -> e.id().equals(endpoint)).findFirst().orElseThrow();
     List<Action> actions = f.list(ListKind.CHANGES, List.of(host.gone()));
     assertTrue(actions.contains(new CloseIdle(endpoint)), actions.toString());
--- a/src/test/java/beampoint/policy/LateAnswerTest.java
+++ b/src/test/java/beampoint/policy/LateAnswerTest.java
@@ -52,7 +52,7 @@
   @Test
   void aWriteIsAwaitedUntilTheClientGivesUp() {
     for (Idempotency effect : List.of(Idempotency.KEYED, Idempotency.UNSAFE)) {
-      Fixture f = new Fixture(Fixture.type(effect, DedupGroup.ALL)).withFleet(6);
+      Fixture f = new Fixture(Fixture.requestClass(effect, DedupGroup.ALL)).withFleet(6);
       assertEquals(0, limit(f.request(0, 0, 5, true)), effect.toString());
     }
   }
--- a/src/test/java/beampoint/policy/ListFollowingTest.java
+++ b/src/test/java/beampoint/policy/ListSubscriptionTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** When the list of hosts is asked for, and asked for again. */
-class ListFollowingTest {
+class ListSubscriptionTest {
 
   @Test
   void aBrokenSubscriptionIsAskedForAgainAtAScatteredTime() {
--- a/src/test/java/beampoint/policy/LoadReportTest.java
+++ b/src/test/java/beampoint/policy/LoadReportTest.java
@@ -37,7 +37,7 @@
       String endpoint = Fixture.sentTo(actions);
       refused += Fixture.has(actions, Refuse.class) ? 1 : 0;
       if (endpoint != null) {
-        f.served(id, endpoint, 150, load);
+        f.endWithLoad(id, endpoint, 150, load);
       }
     }
     return refused < 75;
@@ -64,7 +64,7 @@
     for (int i = 0; i < 100; i++) {
       f.now += 10;
       long id = f.nextId();
-      f.served(id, Fixture.sentTo(f.request(0, i % 3, i, false)), 150, FREE);
+      f.endWithLoad(id, Fixture.sentTo(f.request(0, i % 3, i, false)), 150, FREE);
     }
     f.now += 60_000;
     int refused = 0;
@@ -87,7 +87,7 @@
     long id = f.nextId();
     String endpoint = Fixture.sentTo(f.read(1));
     f.list(Balancer.ListKind.FULL, List.of(Fixture.originEndpoint()));
-    f.served(id, endpoint, 20, QUEUE);
+    f.endWithLoad(id, endpoint, 20, QUEUE);
     assertTrue(Fixture.has(f.read(2), Refuse.class));
   }
 }
--- a/src/test/java/beampoint/policy/OriginJamTest.java
+++ b/src/test/java/beampoint/policy/OriginOverloadTest.java
@@ -27,7 +27,7 @@
  * Many instances before one origin that works in turn on all that it was sent, also on fetches for which
  * nobody waits any more, and can do less than the misses there are.
  */
-class OriginJamTest {
+class OriginOverloadTest {
 
   private static final int INSTANCES = 200;
   private static final double CAPACITY = 0.2; // fetches a millisecond
--- a/src/test/java/beampoint/policy/PlacementTest.java
+++ b/src/test/java/beampoint/policy/PlacementTest.java
@@ -110,8 +110,8 @@
 
   @Test
   void aBusyPrimarySpillsToOneSecondCache() {
-    Fixture f = Fixture.busy(6);
-    String primary = f.served(5);
+    Fixture f = Fixture.withTraffic(6);
+    String primary = f.serve(5);
     Map<String, Integer> sent = new HashMap<>();
     for (int i = 0; i < 9; i++) {
       sent.merge(Fixture.sentTo(f.read(5)), 1, Integer::sum);
@@ -122,11 +122,11 @@
 
   @Test
   void aKeyHotterThanACacheIsServedByAsManyAsItFills() {
-    Fixture f = Fixture.busy(10);
+    Fixture f = Fixture.withTraffic(10);
     Map<String, Integer> served = new HashMap<>();
     for (int i = 0; i < 600; i++) {
-      served.merge(f.served(5), 1, Integer::sum);
-      f.served(2_000 + i);
+      served.merge(f.serve(5), 1, Integer::sum);
+      f.serve(2_000 + i);
     }
     assertTrue(served.size() >= 5, served.toString());
   }
@@ -137,7 +137,7 @@
         new Balancer.RequestClass(Idempotency.SAFE, DedupGroup.ALL, 2_000, 100, 1_500, 9, 0);
     Fixture f = new Fixture(Fixture.READ, worthy).withFleet(40);
     for (long key = 1_000; key < 1_400; key++) {
-      f.served(key);
+      f.serve(key);
     }
     f.read(5);
     f.now += 60;
--- a/src/test/java/beampoint/policy/ServesNobodyTest.java
+++ b/src/test/java/beampoint/policy/RecoveryFromOverloadTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** A balancer that has seen a jam still tries: it does not turn away all that it gets for seconds on end. */
-class ServesNobodyTest {
+class RecoveryFromOverloadTest {
 
   private static final double MAX_MS = 4_000; // in which all may be turned away, with no attempt between
   private static final int FEW = 15; // fewer in that time tell nothing
--- a/src/test/java/beampoint/policy/RepeatWindowTest.java
+++ b/src/test/java/beampoint/policy/RepeatWindowTest.java
@@ -25,9 +25,9 @@
   /** Guards against a repeat whose connection comes up when it is not dropped any more. */
   @Test
   void aRepeatOfAKeyedRequestMustBeginWithinTheWindowOfItsFirstSend() {
-    Fixture f = new Fixture(Fixture.type(Idempotency.KEYED, DedupGroup.ALL)).withFleet(4);
+    Fixture f = new Fixture(Fixture.requestClass(Idempotency.KEYED, DedupGroup.ALL)).withFleet(4);
     for (int key = 0; key < 10; key++) {
-      f.served(key); // further attempts are a part of the requests
+      f.serve(key); // further attempts are a part of the requests
     }
     double first = f.now;
     long id = f.nextId();
@@ -44,7 +44,7 @@
   @Test
   void whatNeverRanOrIsSafeMayBeginWhenever() {
     for (Idempotency effect : Idempotency.values()) {
-      Fixture f = new Fixture(Fixture.type(effect, DedupGroup.ALL)).withFleet(4);
+      Fixture f = new Fixture(Fixture.requestClass(effect, DedupGroup.ALL)).withFleet(4);
       Send send = sent(f.read(7));
       Result result = effect == Idempotency.SAFE ? Result.RESET : Result.CONNECT_FAILED;
       assertTrue(sent(f.end(0, 0, send.endpoint(), 10, result)).startBy() > 1e15, effect.name());
@@ -56,11 +56,11 @@
   void aListThatMustBeAskedForIsAskedForAgainWithinSeconds() {
     Fixture f = new Fixture(Fixture.settings(List.of(), false, Fixture.READ));
     List<Endpoint> known = List.of(Fixture.cache(0, EndpointState.RUNNING, 0));
-    double unanswered = Fixture.delay(f.list(ListKind.REMEMBERED, known));
+    double unanswered = Fixture.timerDelay(f.list(ListKind.REMEMBERED, known));
     assertTrue(unanswered <= 2_500, "no answer: " + unanswered);
     for (int i = 0; i < 50; i++) {
       double failed =
-          Fixture.delay(f.balancer.handle(f.now, new ListReceived(ListKind.UNAVAILABLE, List.of())));
+          Fixture.timerDelay(f.balancer.handle(f.now, new ListReceived(ListKind.UNAVAILABLE, List.of())));
       assertTrue(failed <= 2_500, "failed: " + failed);
     }
   }
--- a/src/test/java/beampoint/policy/RetryTest.java
+++ b/src/test/java/beampoint/policy/RetryTest.java
@@ -25,8 +25,8 @@
 
   @Test
   void aMissGoesToTheOrigin() {
-    Fixture f = Fixture.busy(4);
-    String cache = f.served(5);
+    Fixture f = Fixture.withTraffic(4);
+    String cache = f.serve(5);
     long id = f.nextId();
     f.read(5);
     assertEquals("origin", Fixture.sentTo(f.end(id, 0, cache, 2, Result.MISS)));
@@ -55,7 +55,7 @@
   }
 
   private static void everyFirstAttemptEnds(Result result) {
-    Fixture f = Fixture.busy(6);
+    Fixture f = Fixture.withTraffic(6);
     for (long key = 0; key < 20; key++) {
       long id = f.nextId();
       String endpoint = Fixture.sentTo(f.read(key));
@@ -96,7 +96,7 @@
         if (result == Result.OK || result == Result.MISS || result == Result.NOT_SENT) {
           continue;
         }
-        Fixture f = new Fixture(Fixture.type(idempotency, DedupGroup.CELL)).withFleet(6);
+        Fixture f = new Fixture(Fixture.requestClass(idempotency, DedupGroup.CELL)).withFleet(6);
         long id = f.nextId();
         String endpoint = Fixture.sentTo(f.request(0, 0, 5, true));
         List<Action> answer = f.end(id, 0, endpoint, 5, result);
--- a/src/test/java/beampoint/policy/RetuneTest.java
+++ b/src/test/java/beampoint/policy/SettingsChangeTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Settings that change while requests are open, as the decision module has it. */
-class RetuneTest {
+class SettingsChangeTest {
 
-  private static final RequestClass UNSAFE = Fixture.type(Idempotency.UNSAFE, DedupGroup.ALL);
+  private static final RequestClass UNSAFE = Fixture.requestClass(Idempotency.UNSAFE, DedupGroup.ALL);
 
   private static Settings settings(int attempts, RequestClass... classes) {
     Settings s = Fixture.settings(List.of(), true, classes);
--- a/src/test/java/beampoint/policy/UnconfirmedListTest.java
+++ b/src/test/java/beampoint/policy/UnconfirmedListTest.java
@@ -38,7 +38,7 @@
   void anAnswerWithoutChangesConfirmsTheList() {
     Fixture f = started(false);
     f.list(ListKind.CHANGES, List.of());
-    assertTrue(f.served(5).startsWith("cache-"));
+    assertTrue(f.serve(5).startsWith("cache-"));
   }
 
   @Test
@@ -60,7 +60,7 @@
         assertFalse(Fixture.has(actions, Probe.class));
         actions = f.end(id, attempt, "origin", 1, failure);
         if (Fixture.has(actions, SetTimer.class)) {
-          f.now += Fixture.delay(actions);
+          f.now += Fixture.timerDelay(actions);
           actions = f.balancer.handle(f.now, new TimerFired(id));
         }
       }
--- a/src/test/java/beampoint/policy/NearPlaceTest.java
+++ b/src/test/java/beampoint/policy/ZoneLocalPlacementTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Places of buckets in the own zone, before the one that all zones share. */
-class NearPlaceTest {
+class ZoneLocalPlacementTest {
 
   private static final int CACHES = 12;
   private static final int KEYS = 300;
@@ -36,7 +36,7 @@
   private static List<String> places(Fixture f) {
     List<String> places = new ArrayList<>();
     for (long key = 0; key < KEYS; key++) {
-      places.add(f.served(key));
+      places.add(f.serve(key));
     }
     return places;
   }
@@ -146,6 +146,6 @@
     assertEquals(near.get(moved), first);
     String second = Fixture.sentTo(f.end(id, 0, first, 5, Result.CONNECT_FAILED));
     assertEquals(shared.get(moved), second);
-    assertNotEquals(first, f.served(moved));
+    assertNotEquals(first, f.serve(moved));
   }
 }
