--- a/src/test/java/beampoint/policy/AdmissionTest.java
+++ b/src/test/java/beampoint/policy/AdmissionTest.java
@@ -14,11 +14,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which requests are refused at once: too late, beyond a share, or with nowhere to go. */
+/** Requests that are refused at once: too late, beyond their tenant's share, or without an endpoint. */
 class AdmissionTest {
 
   @Test
-  void workThatWouldComeTooLateIsRefusedAtOnceWithAdvice() {
+  void aRequestThatWouldBeAnsweredTooLateIsRefusedAtOnceWithRetryAdvice() {
     Fixture f = new Fixture(Fixture.READ).withFleet(2);
     for (long key = 0; key < 10; key++) {
       f.read(key);
@@ -29,14 +29,14 @@
   }
 
   @Test
-  void aRequestWhoseTimeHadRunOutBeforeItWasSentIsAnsweredAtOnce() {
+  void aRequestThatExpiredBeforeItWasSentIsRefusedAtOnce() {
     Fixture f = new Fixture(Fixture.READ).withFleet(6);
     long id = f.nextId();
     String endpoint = Fixture.sentTo(f.read(5));
     assertTrue(Fixture.has(f.end(id, 0, endpoint, 0, Result.NOT_SENT), Refuse.class));
   }
 
-  /** How many of a tenant's requests in a row are refused, where there is room for shares only. */
+  /** Refused requests among so many in a row by one tenant, where caches have room for shares only. */
   private static long refusedInARow(int requests) {
     Balancer.Tenant tenant = new Balancer.Tenant(1);
     Fixture f = new Fixture(List.of(tenant, tenant, tenant), Fixture.READ).withFleet(6);
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void aChanceHandfulOfATenantIsNoSurgeButASurgeIs() {
+  void aFewRequestsInARowByOneTenantAreServedAndASurgeIsRefused() {
     assertEquals(0, refusedInARow(4));
     assertTrue(refusedInARow(60) > 10, "refused: " + refusedInARow(60));
   }
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void zeroWeightsDrainingCachesAndAMissingOriginGiveOrderlyAnswers() {
+  void zeroWeightsDrainingCachesAndAMissingOriginAreHandled() {
     Fixture f = new Fixture(Fixture.READ);
     f.list(ListKind.FULL, List.of(new Endpoint("idle", 0, Fixture.CACHE, 0, EndpointState.RUNNING, 0, 0)));
     long id = f.nextId();
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void whatHasNoPlaceToWaitIsRefusedAtOnce() {
+  void anOverflowRequestIsRefusedAtOnce() {
     Fixture f = Fixture.withTraffic(4);
     for (boolean write : new boolean[] {false, true}) {
       RequestReceived overflow =
--- a/src/test/java/beampoint/policy/BanTest.java
+++ b/src/test/java/beampoint/policy/BanTest.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Caches that operators take out and use again, as the decision module has it. */
+/** How the decision module treats caches that operators take out of use and put back. */
 class BanTest {
 
   private static final int KEYS = 400;
@@ -27,7 +27,7 @@
     return f.placement(KEYS);
   }
 
-  private static List<Action> call(Fixture f, String endpoint, boolean out) {
+  private static List<Action> changeBan(Fixture f, String endpoint, boolean out) {
     return f.balancer.handle(f.now, new BanChanged(endpoint, out, f.now));
   }
 
@@ -36,21 +36,21 @@
   }
 
   @Test
-  void onlyTheBucketsOfACacheThatIsTakenOutMoveAndItsIdleConnectionsAreClosed() {
+  void aBanMovesOnlyTheBucketsOfItsCacheAndClosesItsIdleConnections() {
     Fixture f = new Fixture(Fixture.READ).withFleet(6);
     Map<Long, String> before = placement(f);
-    assertTrue(call(f, "cache-3", true).contains(new CloseIdle("cache-3")));
+    assertTrue(changeBan(f, "cache-3", true).contains(new CloseIdle("cache-3")));
     placement(f).forEach((key, cache) -> {
       assertNotEquals("cache-3", cache);
       assertTrue(before.get(key).equals("cache-3") || before.get(key).equals(cache));
     });
   }
 
-  /** Guards against a ban that ends with what the list says: ready, again, started anew, gone, or whole. */
+  /** A list must not end a ban, whether it says that the cache runs, has restarted, or is gone. */
   @Test
   void noListEndsABan() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
-    call(f, "cache-1", true);
+    changeBan(f, "cache-1", true);
     for (int i = 0; i < 5; i++) {
       f.now += 1000;
       switch (i) {
@@ -62,68 +62,71 @@
       }
       assertFalse(placement(f).containsValue("cache-1"), "after list " + i);
     }
-    call(f, "cache-1", false);
+    changeBan(f, "cache-1", false);
     f.now += 20_000;
     f.list(ListKind.CHANGES, List.of());
     assertTrue(placement(f).containsValue("cache-1"));
   }
 
   @Test
-  void aBanThatIsToldBeforeTheFirstListHolds() {
+  void aBanBeforeTheFirstListHolds() {
     Fixture f = new Fixture(Fixture.READ);
-    call(f, "cache-1", true);
+    changeBan(f, "cache-1", true);
     f.withFleet(4);
     assertFalse(placement(f).containsValue("cache-1"));
   }
 
   @Test
-  void outTwiceAndBackOnceIsInUse() {
+  void aCacheTakenOutTwiceAndPutBackOnceIsInUse() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
-    call(f, "cache-1", true);
+    changeBan(f, "cache-1", true);
     f.now += 100;
-    call(f, "cache-1", true);
-    call(f, "cache-1", false);
+    changeBan(f, "cache-1", true);
+    changeBan(f, "cache-1", false);
     assertTrue(placement(f).containsValue("cache-1"));
     Map<Long, String> before = placement(f);
-    call(f, "cache-2", false);
-    assertEquals(before, placement(f), "a call back of what was never out changes nothing");
+    changeBan(f, "cache-2", false);
+    assertEquals(before, placement(f), "putting back a cache that was never out changes nothing");
   }
 
-  /** Guards against a cache that was restarted while out and is sent its full share, as the list is late. */
+  /**
+   * A cache is assumed to have been restarted during its ban. Lists are late, so without this assumption the
+   * cold cache would be sent its full share.
+   */
   @Test
-  void aCacheThatComesBackIsColdBeforeTheListSaysSo() {
+  void aCacheThatIsPutBackIsColdBeforeTheListSaysSo() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
     f.now = 100_000;
     long full = share(placement(f), "cache-1");
-    call(f, "cache-1", true);
+    changeBan(f, "cache-1", true);
     f.now += 4_000;
-    call(f, "cache-1", false);
+    changeBan(f, "cache-1", false);
     long cold = share(placement(f), "cache-1");
     assertTrue(cold > 0 && cold < full / 2, cold + " of " + full);
-    f.list(ListKind.FULL, Fixture.fleet(4)); // names the start of old
-    assertTrue(share(placement(f), "cache-1") < full / 2, "an old start in a list does not make it warm");
+    f.list(ListKind.FULL, Fixture.fleet(4)); // with the start time from before the ban
+    assertTrue(share(placement(f), "cache-1") < full / 2, "a start before the ban does not make it warm");
     f.now += 9_000;
     placement(f);
     assertEquals(full, share(placement(f), "cache-1"));
   }
 
-  /** The list's own word on its start counts, once that is later than the call out. */
+  /** A start time in the list counts if it is later than the beginning of the ban. */
   @Test
-  void aStartThatTheListNamesAfterTheCallOutHolds() {
+  void aListedStartAfterTheBanBeganIsUsed() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
     f.now = 100_000;
     long full = share(placement(f), "cache-1");
-    call(f, "cache-1", true);
+    changeBan(f, "cache-1", true);
     double started = f.now + 1_000;
     f.now += 10_000;
-    call(f, "cache-1", false);
+    changeBan(f, "cache-1", false);
     f.list(ListKind.CHANGES, List.of(Fixture.cache(1, EndpointState.RUNNING, started)));
-    assertEquals(full, share(placement(f), "cache-1"), "it has had its time to warm up");
+    assertEquals(full, share(placement(f), "cache-1"), "it has warmed up since that start");
   }
 
-  /** Guards against what was held against a cache before its restart: it would get nothing after it. */
+  /** Without this, a cache that failed before its restart would be skipped after it. */
   @Test
-  void evidenceDoesNotOutlastABan() {
+  void observationsFromBeforeABanAreDropped() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
     f.now = 100_000;
     long own = placement(f).entrySet().stream().filter(e -> e.getValue().equals("cache-1")).findFirst()
@@ -131,24 +134,24 @@
     f.now += 3_000;
     long id = f.nextId();
     assertEquals("cache-1", Fixture.sentTo(f.read(own)));
-    f.end(id, 0, "cache-1", 1, Result.RESET); // it is skipped for a while now
-    call(f, "cache-1", true);
-    call(f, "cache-1", false);
+    f.end(id, 0, "cache-1", 1, Result.RESET); // ejected for a while
+    changeBan(f, "cache-1", true);
+    changeBan(f, "cache-1", false);
     assertTrue(share(placement(f), "cache-1") > 0);
   }
 
   @Test
-  void whereAllCachesAreOutReadsAreRefusedAtOnceAndWritesGoOn() {
+  void whileAllCachesAreBannedReadsAreRefusedAndWritesAreSent() {
     Fixture f = new Fixture(Fixture.READ).withFleet(2);
-    call(f, "cache-0", true);
-    call(f, "cache-1", true);
+    changeBan(f, "cache-0", true);
+    changeBan(f, "cache-1", true);
     assertTrue(Fixture.has(f.read(1), Refuse.class));
     assertEquals("origin", Fixture.sentTo(f.request(0, 0, 1, true)));
   }
 
-  /** Guards against two processes of one proxy that each send a cold cache what one may. */
+  /** Without this, two processes of one proxy would each send a cold cache what one process may. */
   @Test
-  void whatAColdCacheIsSentIsSharedByTwoThatStandForOne() {
+  void twoProcessesOfOneBalancerShareTheRateForAColdCache() {
     int whole = sentToCold(1);
     int half = sentToCold(0.5);
     assertTrue(half < whole * 0.75, half + " and " + whole);
--- a/src/test/java/beampoint/policy/CancelledRequestTest.java
+++ b/src/test/java/beampoint/policy/CancelledRequestTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Nothing more is sent for a request whose client has gone. */
+/** Nothing more is sent for a request whose client has left. */
 class CancelledRequestTest {
 
   @ParameterizedTest
   @EnumSource(Result.class)
-  void neitherAFetchNorARepeatFollowsWhateverBecomesOfTheAttempt(Result result) {
+  void noAttemptFollowsWhateverTheOutcomeOfTheOneInFlight(Result result) {
     Fixture f = new Fixture(Fixture.READ).withFleet(6);
     long id = f.nextId();
     String endpoint = Fixture.sentTo(f.read(5));
@@ -30,12 +30,12 @@
   }
 
   @Test
-  void aProbeThatWasAwaitedIsFollowedByNothing() {
+  void noAttemptFollowsAPendingProbe() {
     Fixture f = new Fixture(true, Fixture.READ).withFleet(6);
     long id = f.nextId();
-    List<Action> asked = f.read(5);
-    assertTrue(asked.get(0) instanceof Balancer.Probe);
-    String primary = ((Balancer.Probe) asked.get(0)).endpoint();
+    List<Action> actions = f.read(5);
+    assertTrue(actions.get(0) instanceof Balancer.Probe);
+    String primary = ((Balancer.Probe) actions.get(0)).endpoint();
     f.balancer.handle(f.now, new RequestGone(id));
     f.now += 50;
     assertNull(Fixture.sentTo(f.balancer.handle(f.now, new TimerFired(id))));
--- a/src/test/java/beampoint/policy/ColdCacheTest.java
+++ b/src/test/java/beampoint/policy/ColdCacheTest.java
@@ -14,11 +14,11 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** What a cold cache is sent while it warms up. */
+/** How many requests a cold cache is sent while it warms up. */
 class ColdCacheTest {
 
   @Test
-  void aColdCacheIsSentNoMoreThanItsPresentPart() {
+  void aColdCacheIsSentNoMoreThanItsPartOfAHotKey() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
     f.list(ListKind.CHANGES, List.of(Fixture.cache(4, EndpointState.RUNNING, f.now)));
     long hot = 0;
@@ -45,7 +45,7 @@
     return cold;
   }
 
-  /** One cold cache beside three warm ones, at a balancer that may know its rate or nothing yet. */
+  /** One cold cache beside three warm ones, at a balancer that has served so many requests before. */
   private static Fixture besideAColdCache(int served, double elapsed) {
     Fixture f = new Fixture(List.of(new Balancer.Tenant(100)), Fixture.READ).withFleet(3);
     f.now = 10_000;
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void aBalancerThatHasJustStartedDoesNotStarveAColdCacheOnceEvidenceComes() {
+  void aBalancerThatHasJustStartedSendsAColdCacheItsPart() {
     Fixture f = besideAColdCache(0, 0);
     int cold = 0;
     for (long key = 0; key < 100; key++) {
@@ -63,24 +63,24 @@
       String endpoint = Fixture.sentTo(f.read(key));
       cold += "cache-3".equals(endpoint) ? 1 : 0;
       f.balancer.handle(f.now, new RequestGone(id));
-      f.end(id, 0, endpoint, 1, Result.CANCELLED); // no evidence yet
+      f.end(id, 0, endpoint, 1, Result.CANCELLED); // no observation yet
     }
-    assertTrue(cold > 0, "without evidence");
-    assertTrue(cold < 100 / 4, "without evidence: " + cold);
+    assertTrue(cold > 0, "without observations");
+    assertTrue(cold < 100 / 4, "without observations: " + cold);
     f.now += 1_000;
     cold = sentToCold(f, 200, 20, 20);
     assertTrue(cold >= 200 / 16, "sent to the cold cache once its rate was known: " + cold);
   }
 
   @Test
-  void aColdCacheIsSentItsPartThoughAFleetThatIsNotIdleAnswersSlowly() {
+  void aColdCacheIsSentItsPartWhileTheFleetAnswersSlowly() {
     Fixture f = besideAColdCache(100, 250);
     int cold = sentToCold(f, 100, 20, 250);
     assertTrue(cold >= 100 / 16, "sent to the cold cache: " + cold);
   }
 
   @Test
-  void cachesThatAreAllEmptyAndColdAreNotStarvedOfTheMissesThatFillThem() {
+  void cachesThatAreAllEmptyAndColdAreSentTheMissesThatFillThem() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
     for (long key = 0; key < 2_000; key++) {
       f.serve(key);
@@ -105,8 +105,8 @@
     assertTrue(sent < 500, "sent: " + sent);
   }
 
-  /** What many balancers together send a cache in its first window, as a part of all they send. */
-  private static double partOfACold(int instances) {
+  /** The part of the requests of many balancers together that a cold cache is sent in its first window. */
+  private static double partOfAColdCache(int instances) {
     long cold = 0;
     int all = 4_000;
     List<Fixture> fleet = IntStream.range(0, instances).mapToObj(i -> Fixture.withTraffic(10)).toList();
@@ -123,20 +123,20 @@
   }
 
   @Test
-  void aColdCacheIsSentItsPresentPartByAnyNumberOfBalancersTogether() {
+  void anyNumberOfBalancersTogetherSendAColdCacheItsPart() {
     for (int instances : new int[] {1, 3, 400}) {
-      double part = partOfACold(instances);
+      double part = partOfAColdCache(instances);
       assertTrue(part > 0 && part < 0.1 * 0.25 * 3, instances + " balancers: " + part);
     }
   }
 
   @Test
-  void aCacheThatIsSeenWithAFreshStartIsColdAndNoLongerSkipped() {
+  void aRestartedCacheIsColdAndNoLongerEjected() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
     Map<Long, String> before = f.placement();
     long own =
         before.keySet().stream().filter(k -> before.get(k).equals("cache-1")).findFirst().orElseThrow();
-    f.now += 3_000; // it has not been heard of since
+    f.now += 3_000; // without an answer from it
     long id = f.nextId();
     f.read(own);
     f.end(id, 0, "cache-1", 1, Result.RESET);
--- a/src/test/java/beampoint/policy/EndpointHealthTest.java
+++ b/src/test/java/beampoint/policy/EndpointHealthTest.java
@@ -14,23 +14,23 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** When a cache counts as slow, full or dead, is skipped, and is tried again. */
+/** When a cache counts as slow, full or dead, and when it is skipped and tried again. */
 class EndpointHealthTest {
 
   @Test
-  void aBalancerThatSeldomSendsLearnsFromOneTimeOutThatACacheIsCrowded() {
+  void aBalancerWithLittleTrafficAvoidsACacheAfterOneTimeout() {
     Fixture f = new Fixture(Fixture.READ).withFleet(2);
     long id = f.nextId();
-    String crowded = Fixture.sentTo(f.read(5));
+    String overloaded = Fixture.sentTo(f.read(5));
     f.now += 1_000;
-    f.end(id, 0, crowded, 1_000, Result.TIMEOUT);
-    assertNotEquals(crowded, f.serve(5));
+    f.end(id, 0, overloaded, 1_000, Result.TIMEOUT);
+    assertNotEquals(overloaded, f.serve(5));
     f.now += 5_000;
-    assertEquals(crowded, f.serve(5));
+    assertEquals(overloaded, f.serve(5));
   }
 
-  /** Ten requests a second to ten caches, of which one never answers; how many that one is sent. */
-  private static int sentToTheSlow(Fixture f, String slow, int requests) {
+  /** The number of requests that a cache gets which never answers, of ten per second to ten caches. */
+  private static int sentToSlow(Fixture f, String slow, int requests) {
     int sent = 0;
     for (int i = 0; i < requests; i++) {
       f.now += 100;
@@ -48,11 +48,11 @@
   }
 
   @Test
-  void aCacheThatTimesOutIsRememberedForMoreThanOneSendToIt() {
+  void aTimeoutIsRememberedForMoreThanOneSendToItsCache() {
     Fixture f = new Fixture(Fixture.READ).withFleet(10);
     String slow = f.serve(7);
-    sentToTheSlow(f, slow, 200);
-    int sent = sentToTheSlow(f, slow, 1_000);
+    sentToSlow(f, slow, 200);
+    int sent = sentToSlow(f, slow, 1_000);
     assertTrue(sent > 0, "it is tried again");
     assertTrue(sent < 60, "of about 100 that are its own, sent all the same: " + sent);
   }
@@ -60,7 +60,7 @@
   @Test
   void aCacheThatRefusesConnectionsIsSkippedAndTriedAgainLater() {
     Fixture f = Fixture.withTraffic(6);
-    f.now += 1_000; // no cache has answered since
+    f.now += 1_000; // without an answer from any cache
     long id = f.nextId();
     String primary = Fixture.sentTo(f.read(5));
     String second = Fixture.sentTo(f.end(id, 0, primary, 50, Result.CONNECT_FAILED));
@@ -71,9 +71,9 @@
     assertEquals(primary, f.serve(5));
   }
 
-  /** Guards against a cache that refuses new connections as it is full, and passes for a dead one. */
+  /** A cache that refuses new connections only because it is full must not count as dead. */
   @Test
-  void aFullCacheBesideADeadOneKeepsWhatItCanServe() {
+  void aFullCacheIsSentWhatItCanServeWhileADeadOneIsSkipped() {
     Fixture f = Fixture.withTraffic(6);
     String full = f.serve(1);
     String dead = null;
@@ -88,7 +88,7 @@
       String to = Fixture.sentTo(f.read(i % 40));
       for (int attempt = 0; to != null && attempt < 3; attempt++) {
         sent.merge(i >= 200 ? to : "early", 1, Integer::sum);
-        // The full one serves on the connections that it has, and refuses half of what would need another.
+        // The full one serves on its open connections; half of the requests need a new one, which it refuses.
         boolean refused = to.equals(dead) || to.equals(full) && i % 2 == 0;
         Result result = refused ? Result.CONNECT_FAILED : Result.OK;
         List<Action> next = f.end(id, attempt, to, refused ? 1 : 10, result);
@@ -97,12 +97,12 @@
       }
     }
     assertTrue(served >= 390, "served of 400: " + served);
-    assertTrue(sent.getOrDefault(full, 0) >= 10, "what the full one can serve: " + sent);
-    assertTrue(sent.getOrDefault(dead, 0) <= 6, "the dead one is tried now and then: " + sent);
+    assertTrue(sent.getOrDefault(full, 0) >= 10, "to the full cache: " + sent);
+    assertTrue(sent.getOrDefault(dead, 0) <= 6, "to the dead cache: " + sent);
   }
 
   @Test
-  void atMostHalfOfTheCachesAreSkipped() {
+  void atMostHalfOfTheCachesAreEjected() {
     Fixture f = new Fixture(Fixture.READ).withFleet(6);
     for (long key = 0; key < 60; key++) {
       long id = f.nextId();
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void aFullQueueIsNotTakenForAQuickCache() {
+  void aRejectionByAFullQueueDoesNotCountAsAFastAnswer() {
     Fixture f = Fixture.withTraffic(6);
     String primary = f.serve(5);
     f.now += 3_000;
@@ -140,9 +140,9 @@
     assertNotEquals(primary, f.serve(5));
   }
 
-  /** Guards against refusals that uphold themselves: they end the evidence on which they rest. */
+  /** Refusals stop further observations; the observations behind them must expire, or they would go on. */
   @Test
-  void whatLookedSlowIsTriedAgainSoonOnceNothingIsAsked() {
+  void slowCachesAreTriedAgainSoonAfterTheLastAttempt() {
     Fixture f = new Fixture(Fixture.READ).withFleet(6);
     Map<Long, String> out = new HashMap<>();
     for (int i = 0; i < 100; i++) {
@@ -152,10 +152,10 @@
         out.put(id, endpoint);
       }
     }
-    f.now += 900; // this balancer itself was late
+    f.now += 900; // of delay in this balancer itself
     out.forEach((id, endpoint) -> f.end(id, 0, endpoint, 900, Result.OK));
     assertTrue(out.size() > 50, "sent: " + out.size());
-    assertNull(Fixture.sentTo(f.read(100)), "caches look slow");
+    assertNull(Fixture.sentTo(f.read(100)), "the caches look slow");
     int refused = 0;
     while (Fixture.sentTo(f.read(101 + refused)) == null) {
       f.now += 50;
@@ -164,9 +164,9 @@
     assertTrue(refused * 50 <= 1500, "refused for " + refused * 50 + " ms");
   }
 
-  /** Guards against a cache that is skipped, and its keys missed elsewhere, as one connection broke. */
+  /** Ejecting a cache for one broken connection would make its keys miss at the other caches. */
   @Test
-  void aCacheThatAnswersOthersIsNotSkippedForABrokenConnection() {
+  void aCacheThatAnswersOtherRequestsIsNotEjectedForABrokenConnection() {
     Fixture f = Fixture.withTraffic(4);
     String own = f.serve(1);
     f.now += 10;
@@ -177,9 +177,9 @@
     assertEquals(own, f.serve(1));
   }
 
-  /** Guards against a cache that looks jammed as long as one attempt is stuck on a silent connection. */
+  /** A cache must not look overloaded for as long as one attempt is stuck on a dead connection. */
   @Test
-  void anAttemptThatIsStuckAloneSaysNothingOfItsCache() {
+  void oneStuckAttemptDoesNotCountAgainstItsCache() {
     Fixture f = new Fixture(Fixture.READ).withFleet(1);
     f.read(1); // never answered
     for (int i = 0; i < 80; i++) {
--- a/src/test/java/beampoint/policy/FleetTest.java
+++ b/src/test/java/beampoint/policy/FleetTest.java
@@ -22,7 +22,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Many instances of the decision module that share nothing: what they do together. */
+/** The combined effect of many instances of the decision module that share no state. */
 class FleetTest {
 
   private static final int INSTANCES = 14;
@@ -30,7 +30,7 @@
   private static final double RATE = 0.7; // requests a millisecond, over all instances
   private static final double WINDOW = 2_000; // of the rule on cold caches
   private static final double COLD_FROM = 0.25;
-  /** Sends that a cold cache can do in a window: the load above is six tenths of what all can do. */
+  /** Requests that a cold cache can serve in a window; RATE is six tenths of what all caches can serve. */
   private static final double COLD_CAPACITY = RATE / 0.6 / CACHES * WINDOW * COLD_FROM;
 
   private final Random random = new Random(5);
@@ -38,14 +38,14 @@
   private final Map<String, Deque<Double>> sent = new HashMap<>(); // to cold caches, in the last window
   private final Map<String, Integer> total = new HashMap<>();
   private double now = 100_000;
-  private int most; // to one cold cache in any window
-  private double busyPart; // of the requests, that the first instance gets beside its even part
+  private int maxInWindow; // to one cold cache in any window
+  private double extraPart; // of the requests, for the first instance in addition to its even part
 
-  private static Fixture fresh(long seed) {
-    return fresh(seed, 0, 0);
+  private static Fixture newInstance(long seed) {
+    return newInstance(seed, 0, 0);
   }
 
-  private static Fixture fresh(long seed, int zone, double crossZone) {
+  private static Fixture newInstance(long seed, int zone, double crossZone) {
     return new Fixture(new Settings(seed, INSTANCES, zone, true, WeightSource.NOMINAL, Fixture.ORIGIN, 0.05,
         new Limits(3, false, false, true, 400, 50), new Rules(500, 3, WINDOW, COLD_FROM, 20_000, 10_000),
         new Prices(0, 0, 0, crossZone), List.of(Fixture.READ), List.of(new Tenant(RATE * 1_000))));
@@ -61,7 +61,7 @@
 
   private void begin(int cold) {
     for (int i = 0; i < INSTANCES; i++) {
-      fleet.add(fresh(i));
+      fleet.add(newInstance(i));
     }
     list(cold);
   }
@@ -74,12 +74,12 @@
     }
   }
 
-  /** Reads of ever other keys at the stated rate, each answered at once. */
+  /** Reads of random keys at RATE, each answered at once. */
   private void run(int cold, double time) {
     for (double end = now + time; now < end;) {
       now += -Math.log(1 - random.nextDouble()) / RATE;
-      boolean toTheBusy = random.nextDouble() < busyPart;
-      Fixture f = fleet.get(toTheBusy ? 0 : random.nextInt(INSTANCES));
+      boolean toFirst = random.nextDouble() < extraPart;
+      Fixture f = fleet.get(toFirst ? 0 : random.nextInt(INSTANCES));
       f.now = now;
       long id = f.nextId();
       String endpoint = Fixture.sentTo(f.read(random.nextInt(1 << 20)));
@@ -92,36 +92,37 @@
         while (window.peekFirst() < now - WINDOW) {
           window.pollFirst();
         }
-        most = Math.max(most, window.size());
+        maxInWindow = Math.max(maxInWindow, window.size());
         total.merge(endpoint, 1, Integer::sum);
       }
-      f.end(id, 0, endpoint, 150, Result.OK); // not idle
+      f.end(id, 0, endpoint, 150, Result.OK); // slow enough that the fleet does not look idle
     }
   }
 
   private void assertFair(int cold, double time) {
-    assertTrue(most <= 3 * COLD_CAPACITY, "to one cold cache of " + cold + " in a window: " + most);
+    assertTrue(maxInWindow <= 3 * COLD_CAPACITY,
+        "to one cold cache of " + cold + " in a window: " + maxInWindow);
     double all = total.values().stream().mapToInt(i -> i).sum();
     double due = cold * COLD_CAPACITY * 0.6 * time / WINDOW;
     assertTrue(all >= due / 2, "to " + cold + " cold caches: " + all + " of " + due + " or more");
   }
 
   @Test
-  void oneColdCacheIsNeitherPushedOverNorStarvedByFourteenFreshInstances() {
+  void newInstancesNeitherOverloadNorStarveOneColdCache() {
     begin(1);
     run(1, 4_000);
     assertFair(1, 4_000);
   }
 
   @Test
-  void thirtySixColdCachesAreNeitherPushedOverNorStarvedByFourteenFreshInstances() {
+  void newInstancesNeitherOverloadNorStarveThirtySixColdCaches() {
     begin(36);
     run(36, 4_000);
     assertFair(36, 4_000);
   }
 
   @Test
-  void oneAndThenThirtySixColdCachesAreNeitherPushedOverNorStarvedByInstancesThatKnowTheirRate() {
+  void instancesThatKnowTheirRateNeitherOverloadNorStarveColdCaches() {
     begin(0);
     run(0, 4_000);
     list(1);
@@ -134,8 +135,8 @@
     assertFair(36, 4_000);
   }
 
-  /** Half of the caches give no answer, while the list goes on naming them. */
-  private void silence(int silent, double time) {
+  /** The first caches refuse connections, while the list still has them. */
+  private void runWithDeadCaches(int dead, double time) {
     for (double end = now + time; now < end;) {
       now += -Math.log(1 - random.nextDouble()) / RATE;
       Fixture f = fleet.get(random.nextInt(INSTANCES));
@@ -143,31 +144,31 @@
       long id = f.nextId();
       String to = Fixture.sentTo(f.read(random.nextInt(1 << 20)));
       for (int attempt = 0; to != null && attempt < 3; attempt++) {
-        boolean none = Integer.parseInt(to.substring(6)) < silent;
-        Result result = none ? Result.CONNECT_FAILED : Result.OK;
-        to = Fixture.sentTo(f.end(id, attempt, to, none ? 50 : 150, result));
+        boolean refuses = Integer.parseInt(to.substring(6)) < dead;
+        Result result = refuses ? Result.CONNECT_FAILED : Result.OK;
+        to = Fixture.sentTo(f.end(id, attempt, to, refuses ? 50 : 150, result));
       }
     }
   }
 
   /**
-   * Guards against what was held against caches before they were lost: back at the same addresses they are
-   * cold, and neither skipped nor sent all that waited.
+   * Observations from before an outage must not count against caches that restart at the same addresses: they
+   * are cold, and neither skipped nor sent their full share.
    */
   @Test
-  void aZoneThatWasSilentAndIsBackColdAtTheSameAddressesIsNeitherPushedOverNorStarved() {
+  void cachesThatRestartAfterAnOutageAreNeitherOverloadedNorStarved() {
     begin(0);
     run(0, 4_000);
-    silence(30, 6_000);
+    runWithDeadCaches(30, 6_000);
     list(30);
     run(30, 4_000);
     assertFair(30, 4_000);
   }
 
-  /** Guards against budgets that take an even part for granted: clients may have a proxy each. */
+  /** The rate limit must not assume an even part of the traffic: each client may use a proxy of its own. */
   @Test
-  void aColdCacheIsNeitherPushedOverNorStarvedWhereOneInstanceHasHalfOfTheTraffic() {
-    busyPart = 0.5;
+  void aColdCacheIsNeitherOverloadedNorStarvedWhereOneInstanceHasHalfOfTheTraffic() {
+    extraPart = 0.5;
     begin(0);
     run(0, 4_000);
     list(1);
@@ -175,11 +176,11 @@
     assertFair(1, 4_000);
   }
 
-  /** Guards against near places that send a cold cache a whole zone's part. */
+  /** Zone-local placement must not send a cold cache a whole zone's part. */
   @Test
-  void aColdCacheIsNeitherPushedOverNorStarvedBesideNearPlaces() {
+  void aColdCacheIsNeitherOverloadedNorStarvedBesideZoneLocalPlacement() {
     for (int i = 0; i < INSTANCES; i++) {
-      fleet.add(fresh(i, i % 2, 0.03));
+      fleet.add(newInstance(i, i % 2, 0.03));
     }
     list(0);
     run(0, 12_000);
@@ -188,18 +189,18 @@
     assertFair(1, 4_000);
   }
 
-  /** A fleet shrinks to a third under requests that are out, probe or are fetched. */
+  /** A fleet shrinks to a third while requests are in flight at caches and at the origin. */
   @Test
-  void nothingNewGoesToCachesThatDrainWhileRequestsWait() {
+  void nothingNewGoesToCachesThatDrainWhileRequestsAreInFlight() {
     begin(0);
-    List<Endpoint> shrunk = new ArrayList<>();
+    List<Endpoint> shrunkList = new ArrayList<>();
     for (int i = 0; i < CACHES; i++) {
-      shrunk.add(Fixture.cache(i, i < CACHES / 3 ? EndpointState.RUNNING : EndpointState.DRAINING, 0));
+      shrunkList.add(Fixture.cache(i, i < CACHES / 3 ? EndpointState.RUNNING : EndpointState.DRAINING, 0));
     }
-    shrunk.add(Fixture.originEndpoint());
+    shrunkList.add(Fixture.originEndpoint());
     for (Fixture f : fleet) {
       Map<Long, String> out = new HashMap<>();
-      for (int i = 0; i < 30; i++) { // ten keys, thrice each
+      for (int i = 0; i < 30; i++) { // ten keys, three times each
         long id = f.nextId();
         out.put(id, Fixture.sentTo(f.read(i % 10)));
       }
@@ -210,7 +211,7 @@
         }
       });
       assertTrue(!fetching.isEmpty());
-      f.list(ListKind.CHANGES, shrunk);
+      f.list(ListKind.CHANGES, shrunkList);
       for (long id : fetching) {
         for (Balancer.Action action : f.end(id, 1, "origin", 100, Result.OK)) {
           String sentTo = action instanceof Balancer.Send send ? send.endpoint() : null;
@@ -228,11 +229,11 @@
         || Integer.parseInt(endpoint.substring(6)) < CACHES / 3;
   }
 
-  /** Guards against a proxy that restarts in a roll and goes on sending to what was there. */
+  /** A proxy that restarts must not send to caches of its remembered list once it has the current one. */
   @Test
-  void nothingIsSentToWhatAnOldRememberedListNamesOnceTheInstanceWasTold() {
+  void nothingIsSentToCachesOfARememberedListOnceTheCurrentOneHasCome() {
     for (int i = 0; i < INSTANCES; i++) {
-      Fixture f = fresh(i);
+      Fixture f = newInstance(i);
       f.list(ListKind.REMEMBERED, Fixture.fleet(CACHES));
       f.serve(1);
       f.list(ListKind.FULL, Fixture.fleet(15));
--- a/src/test/java/beampoint/policy/IdleConnectionTest.java
+++ b/src/test/java/beampoint/policy/IdleConnectionTest.java
@@ -17,10 +17,10 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Which idle connections are closed, where holding one has its price. */
+/** Which idle connections are closed where holding a connection has a price. */
 class IdleConnectionTest {
 
-  /** One of so many balancers before four caches; a hundred connections a cache cost what a new one does. */
+  /** One of so many balancers with four caches; 100 connections to a cache cost as much as a new one. */
   private static Fixture priced(int balancers) {
     Balancer.Prices prices = new Balancer.Prices(0.05, 0.05, 0, 0);
     Settings s = Fixture.settings(List.of(), true, false, prices, Fixture.READ);
@@ -29,7 +29,7 @@
         .withFleet(4);
   }
 
-  /** Serves a read of each key, one in so many ms; how often connections to each cache were closed. */
+  /** Serves a read of each key every {@code gap} ms; counts the closing of connections for each cache. */
   private static Map<String, Integer> closes(Fixture f, double gap, LongStream keys) {
     Map<String, Integer> closes = new HashMap<>();
     keys.forEach(key -> {
@@ -43,14 +43,14 @@
     return closes;
   }
 
-  /** The same for ever other keys, over all caches. */
+  /** The same for 200 distinct keys, summed over all caches. */
   private static int closes(int balancers, double gap) {
     return closes(priced(balancers), gap, LongStream.range(0, 200)).values().stream().mapToInt(n -> n).sum();
   }
 
-  /** However often one balancer sends: the more of them there are, the more connections a cache holds. */
+  /** Whatever one balancer's rate: the more balancers there are, the more connections a cache holds. */
   @Test
-  void connectionsAreHeldWhereTheyAreUsedOftenForTheLoadOfTheFleet() {
+  void connectionsAreKeptIfUsedOftenComparedWithTheLoadOfTheFleet() {
     assertTrue(closes(20, 100) < 5);
     assertTrue(closes(20, 1_000) < 5);
     assertTrue(closes(400, 100) > 150);
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aConnectionIsClosedOnceOthersAreUsedInItsPlace() {
+  void aConnectionIsClosedOnceItIsNoLongerUsed() {
     Fixture lookUp = priced(60);
     String endpoint = lookUp.serve(5);
     List<Long> keys = LongStream.range(10, 400).filter(k -> !lookUp.serve(k).equals(endpoint)).boxed()
@@ -69,9 +69,9 @@
         .get(endpoint));
   }
 
-  /** Guards against hosts that are gone and stay in memory, as new ones come under new names all day. */
+  /** Hosts that are gone must not stay in memory, since new ones come under new names all the time. */
   @Test
-  void aHostThatIsGoneLeavesNothingBehind() {
+  void theConnectionsOfAHostThatIsGoneAreClosed() {
     Fixture f = new Fixture(Fixture.READ).withFleet(3);
     String endpoint = f.serve(1);
     Endpoint host = Fixture.fleet(3).stream().filter(e -> e.id().equals(endpoint)).findFirst().orElseThrow();
--- a/src/test/java/beampoint/policy/LateAnswerTest.java
+++ b/src/test/java/beampoint/policy/LateAnswerTest.java
@@ -17,49 +17,49 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What is done about answers that come too late to earn anything. */
+/** How the module avoids and handles answers that come too late to earn anything. */
 class LateAnswerTest {
 
-  private static final RequestClass PART_WORTH =
+  private static final RequestClass LATE_WORTH =
       new RequestClass(Idempotency.SAFE, DedupGroup.ALL, 2_000, 500, 1_500, 1, 0.3);
 
-  /** For how long the attempt that was just started is awaited; 0 stands for the client's time. */
-  private static double limit(List<Action> actions) {
+  /** The timeout of the attempt that was just started; 0 means until the client gives up. */
+  private static double timeout(List<Action> actions) {
     return actions.stream().filter(Send.class::isInstance).map(a -> ((Send) a).timeout()).findFirst()
         .orElseThrow();
   }
 
-  /** Guards against caches that go on to carry out reads that nobody can use any more. */
+  /** Caches must not go on executing reads whose answers nobody can use any more. */
   @Test
-  void aReadIsAwaitedForAsLongAsItsAnswerEarnsAnything() {
-    Fixture f = new Fixture(Fixture.READ, PART_WORTH).withFleet(6);
-    assertEquals(500, limit(f.read(5)));
-    assertEquals(1_000, limit(f.request(1, 0, 5, false)), "worth a part until the client gives up");
-    assertEquals(200, limit(f.balancer.handle(f.now, new RequestReceived(99, f.now + 200, 0, 0, 5, false))),
+  void aReadTimesOutOnceItsAnswerEarnsNothing() {
+    Fixture f = new Fixture(Fixture.READ, LATE_WORTH).withFleet(6);
+    assertEquals(500, timeout(f.read(5)));
+    assertEquals(1_000, timeout(f.request(1, 0, 5, false)), "a late answer earns a part");
+    assertEquals(200, timeout(f.balancer.handle(f.now, new RequestReceived(99, f.now + 200, 0, 0, 5, false))),
         "the client gives up before the aim");
   }
 
   @Test
-  void aFurtherAttemptHasWhatIsLeftOfTheTime() {
+  void aFurtherAttemptHasTheTimeThatIsLeft() {
     Fixture f = new Fixture(Fixture.READ).withFleet(6);
     long id = f.nextId();
     String first = Fixture.sentTo(f.read(5));
     f.now += 120;
-    assertEquals(380, limit(f.end(id, 0, first, 120, Result.MISS)));
+    assertEquals(380, timeout(f.end(id, 0, first, 120, Result.MISS)));
   }
 
-  /** Guards against a client that is not told how its write ended, though that was known a moment later. */
+  /** A client must learn the outcome of its write, even if it is known late. */
   @Test
   void aWriteIsAwaitedUntilTheClientGivesUp() {
     for (Idempotency effect : List.of(Idempotency.KEYED, Idempotency.UNSAFE)) {
       Fixture f = new Fixture(Fixture.requestClass(effect, DedupGroup.ALL)).withFleet(6);
-      assertEquals(0, limit(f.request(0, 0, 5, true)), effect.toString());
+      assertEquals(0, timeout(f.request(0, 0, 5, true)), effect.toString());
     }
   }
 
-  /** Giving up is answered at once, with when to come back. */
+  /** The refusal carries retry advice. */
   @Test
-  void aReadThatIsLateIsRefusedAtItsAimAndNotSentAgain() {
+  void aLateReadIsRefusedAtItsTargetTimeAndNotRetried() {
     Fixture f = new Fixture(Fixture.READ).withFleet(6);
     long id = f.nextId();
     String endpoint = Fixture.sentTo(f.read(5));
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Reads to ten caches, of which every so manieth comes late; how many are refused of the last 400. The
-   * caches answer in 0.46 of the aim or miss, and the origin answers in 0.6 of it.
+   * Number of refused reads among the last 400 of 600, at ten caches, where every {@code lateEvery}-th read
+   * times out. Caches answer in 0.46 of the target time, or miss, and then the origin answers in 0.6 of it.
    */
   private static int refused(int lateEvery, boolean misses) {
     Fixture f = new Fixture(Fixture.READ).withFleet(10);
@@ -94,25 +94,25 @@
     return refused;
   }
 
-  /** Guards against a jam that upholds itself: the times of those in time look good, and much is late. */
+  /** Overload must not persist because the answers that come in time look good while many come late. */
   @Test
-  void lessIsAdmittedWhereMuchOfItComesLateAndAllWhereHardlyAnyDoes() {
+  void fewerReadsAreAdmittedWhereManyTimeOut() {
     assertEquals(0, refused(1_000, false));
     assertEquals(0, refused(20, false));
     assertTrue(refused(3, false) > 40, "refused: " + refused(3, false));
   }
 
-  /** Guards against an origin that all keep busy with fetches for which nobody waits any more. */
+  /** The origin must not be kept busy with fetches for which nobody waits any more. */
   @Test
-  void lessIsFetchedWhereManyFetchesComeLate() {
+  void fewerReadsAreFetchedWhereManyFetchesTimeOut() {
     assertEquals(0, refused(1_000, true));
     assertEquals(0, refused(20, true));
     assertTrue(refused(3, true) > 40, "refused: " + refused(3, true));
   }
 
-  /** Guards against a fleet that refuses because it refused: late answers are forgotten within seconds. */
+  /** Refusals must not persist for lack of new observations: late answers expire within seconds. */
   @Test
-  void whatCameLateIsForgottenSoonThoughAllWasRefused() {
+  void timeoutsExpireSoonWhileAllRequestsAreRefused() {
     Fixture f = new Fixture(Fixture.READ).withFleet(10);
     for (int i = 0; i < 100; i++) {
       long id = f.nextId();
@@ -133,9 +133,9 @@
     assertEquals(20, sent);
   }
 
-  /** Guards against a few silent caches that close the door to all the others. */
+  /** A few caches that do not answer must not stop the traffic to all the others. */
   @Test
-  void cachesThatAnswerQuicklyTakeAllThoughAFifthOfTheFleetIsSilent() {
+  void responsiveCachesServeTheTrafficWhileAFifthOfTheFleetDoesNotAnswer() {
     Fixture f = new Fixture(Fixture.READ).withFleet(10);
     Map<Long, String> open = new HashMap<>();
     int refused = 0;
@@ -158,50 +158,51 @@
   }
 
   /**
-   * True where a request of the class is served whose client waits so long, marked as asked before or not, by
-   * caches that need so long, among others whose clients wait for a second.
+   * True where a request is served whose client waits for {@code wait} ms, marked as a retry or not, after
+   * 400 requests of clients that wait for 1 s, which the caches served in {@code elapsed} ms each.
    */
-  private static boolean serves(Fixture f, int type, double wait, boolean again, double took, boolean marks) {
+  private static boolean serves(Fixture f, int type, double wait, boolean again, double elapsed,
+      boolean clientsMark) {
     for (int i = 0; i < 400; i++) {
       f.now += 10;
       long id = f.nextId();
       String endpoint = Fixture.sentTo(f.request(i % 2, 0, 1_000 + i, false));
       if (endpoint != null) {
-        f.end(id, 0, endpoint, took, Result.OK);
+        f.end(id, 0, endpoint, elapsed, Result.OK);
       }
     }
-    if (marks) {
+    if (clientsMark) {
       f.balancer.handle(f.now, new RequestReceived(98_000, f.now + 1_000, 0, 0, 6, false, true));
     }
     return Fixture.sentTo(f.balancer.handle(f.now,
         new RequestReceived(99_000, f.now + wait, 0, type, 5, false, again))) != null;
   }
 
-  private static Fixture twoKinds() {
-    return new Fixture(Fixture.READ, PART_WORTH).withFleet(10);
+  private static Fixture twoClasses() {
+    return new Fixture(Fixture.READ, LATE_WORTH).withFleet(10);
   }
 
-  /** Guards against caches that are kept busy with what was refused before and can earn nothing any more. */
+  /** Caches must not be kept busy with retries of refused requests that can't earn anything any more. */
   @Test
-  void whatIsAskedAgainAfterItsAimYieldsWhereCachesAreNotFree() {
-    assertFalse(serves(twoKinds(), 0, 400, false, 130, false));
-    assertTrue(serves(twoKinds(), 0, 400, false, 20, false), "there is room");
-    assertTrue(serves(twoKinds(), 0, 1_000, false, 130, false), "asked for the first time");
-    assertTrue(serves(twoKinds(), 0, 1_400, false, 130, false), "a client that waits longer than others");
-    assertTrue(serves(twoKinds(), 1, 400, false, 130, false), "worth a part until its client gives up");
+  void aRetryAfterTheTargetTimeHasLowPriorityAtBusyCaches() {
+    assertFalse(serves(twoClasses(), 0, 400, false, 130, false));
+    assertTrue(serves(twoClasses(), 0, 400, false, 20, false), "caches are not busy");
+    assertTrue(serves(twoClasses(), 0, 1_000, false, 130, false), "sent for the first time");
+    assertTrue(serves(twoClasses(), 0, 1_400, false, 130, false), "a client that waits longer than others");
+    assertTrue(serves(twoClasses(), 1, 400, false, 130, false), "a late answer earns a part");
   }
 
-  /** Guards against clients of little patience that are taken for others, where those mark repeats. */
+  /** A client that waits a short time must not be taken for one that retries, where clients mark retries. */
   @Test
-  void whereClientsMarkWhatTheyAskAgainOnlyThatYields() {
-    assertFalse(serves(twoKinds(), 0, 400, true, 130, true));
-    assertTrue(serves(twoKinds(), 0, 400, false, 130, true));
-    assertTrue(serves(twoKinds(), 0, 1_000, true, 130, true), "asked again at once, with all the time left");
+  void whereClientsMarkRetriesOnlyMarkedRequestsHaveLowPriority() {
+    assertFalse(serves(twoClasses(), 0, 400, true, 130, true));
+    assertTrue(serves(twoClasses(), 0, 400, false, 130, true));
+    assertTrue(serves(twoClasses(), 0, 1_000, true, 130, true), "a retry at once, with all the time left");
   }
 
-  /** Guards against a class all of whose clients wait for a small part of its time. */
+  /** A short wait must not count as a retry in a class all of whose clients wait for a part of its time. */
   @Test
-  void whatClientsOfAClassAlwaysWaitIsNoSignOfARepeat() {
+  void aWaitThatIsCommonInItsClassIsNoSignOfARetry() {
     Fixture f = new Fixture(Fixture.READ).withFleet(10);
     int refused = 0;
     for (int i = 0; i < 400; i++) {
--- a/src/test/java/beampoint/policy/ListSubscriptionTest.java
+++ b/src/test/java/beampoint/policy/ListSubscriptionTest.java
@@ -13,11 +13,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When the list of hosts is asked for, and asked for again. */
+/** When the module subscribes to the host list, and when it retries that. */
 class ListSubscriptionTest {
 
   @Test
-  void aBrokenSubscriptionIsAskedForAgainAtAScatteredTime() {
+  void aBrokenSubscriptionIsRetriedAfterARandomDelay() {
     Balancer b = new BalancerPolicy(Fixture.settings(List.of(), false, Fixture.READ));
     b.handle(0, new ListReceived(ListKind.REMEMBERED, Fixture.fleet(3)));
     b.handle(10, new ListReceived(ListKind.CHANGES, List.of()));
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void aListThatMustBeAskedForIsSubscribedAndAskedAgainAfterARefusal() {
+  void aListThatIsNotPushedIsSubscribedToAndARefusedSubscriptionIsRetried() {
     Balancer b = new BalancerPolicy(Fixture.settings(List.of(), false, Fixture.READ));
     assertTrue(Fixture.has(b.handle(0, new ListReceived(ListKind.REMEMBERED, Fixture.fleet(3))),
         FollowList.class));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void aSubscriptionThatIsNotAnsweredIsAskedForAgainAndAnAnsweredOneIsNot() {
+  void anUnansweredSubscriptionIsRetriedAndAnAnsweredOneIsNot() {
     Balancer b = new BalancerPolicy(Fixture.settings(List.of(), false, Fixture.READ));
     List<Action> asked = b.handle(0, new ListReceived(ListKind.REMEMBERED, Fixture.fleet(3)));
     SetTimer timer = (SetTimer) asked.get(1);
--- a/src/test/java/beampoint/policy/LoadReportTest.java
+++ b/src/test/java/beampoint/policy/LoadReportTest.java
@@ -11,21 +11,21 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What reports of load change, and that without them all is as it was. */
+/** How load reports change admission, and that a missing or empty report changes nothing. */
 class LoadReportTest {
 
   private static final List<Tenant> TENANTS = List.of(new Tenant(40), new Tenant(40), new Tenant(40));
-  private static final Load FREE = new Load(0, Double.NaN);
+  private static final Load NO_QUEUE = new Load(0, Double.NaN);
   private static final Load QUEUE = new Load(3, Double.NaN);
-  private static final Load NOTHING = new Load(Double.NaN, Double.NaN);
+  private static final Load NO_VALUES = new Load(Double.NaN, Double.NaN);
 
   private static int tenant(int request) {
     return request % 10 == 0 ? 1 : request % 10 == 5 ? 2 : 0;
   }
 
   /**
-   * One of three tenants surges while caches need 0.3 of the aim for an answer. True where its traffic beyond
-   * its share is served nearly in full.
+   * One of three tenants surges while caches need 0.3 of the target time for an answer. True where nearly all
+   * of its traffic beyond its share is served.
    */
   private static boolean servesASurge(Load load) {
     Fixture f = new Fixture(TENANTS, Fixture.READ).withFleet(6);
@@ -44,27 +44,27 @@
   }
 
   @Test
-  void trafficBeyondAShareIsServedWhileCachesSayThatNothingWaits() {
-    assertTrue(servesASurge(FREE));
+  void trafficBeyondAShareIsServedWhileCachesReportLowLoad() {
+    assertTrue(servesASurge(NO_QUEUE));
     assertTrue(servesASurge(new Load(Double.NaN, 0.1)));
   }
 
   @Test
-  void trafficBeyondAShareIsHeldBackWhileCachesSayThatTheyAreBusyOrSayNothing() {
+  void trafficBeyondAShareIsLimitedWhileCachesReportHighLoadOrNone() {
     assertFalse(servesASurge(QUEUE));
     assertFalse(servesASurge(new Load(Double.NaN, 0.98)));
     assertFalse(servesASurge(null));
-    assertFalse(servesASurge(NOTHING));
+    assertFalse(servesASurge(NO_VALUES));
   }
 
-  /** Guards against a report of minutes ago that goes on opening the door. */
+  /** A report from minutes ago must not go on admitting traffic beyond a share. */
   @Test
-  void whatWasReportedLongAgoCountsNoMore() {
+  void anOldReportDoesNotCount() {
     Fixture f = new Fixture(TENANTS, Fixture.READ).withFleet(6);
     for (int i = 0; i < 100; i++) {
       f.now += 10;
       long id = f.nextId();
-      f.endWithLoad(id, Fixture.sentTo(f.request(0, i % 3, i, false)), 150, FREE);
+      f.endWithLoad(id, Fixture.sentTo(f.request(0, i % 3, i, false)), 150, NO_QUEUE);
     }
     f.now += 60_000;
     int refused = 0;
@@ -80,9 +80,9 @@
     assertTrue(refused > 75, "refused: " + refused);
   }
 
-  /** A report may come with an attempt whose cache has left the list meanwhile. */
+  /** A report may come with the end of an attempt whose cache has left the list meanwhile. */
   @Test
-  void aReportOfACacheThatIsGoneDoesNoHarm() {
+  void aReportOfACacheThatIsGoneIsIgnored() {
     Fixture f = new Fixture(Fixture.READ).withFleet(3);
     long id = f.nextId();
     String endpoint = Fixture.sentTo(f.read(1));
--- a/src/test/java/beampoint/policy/OriginOverloadTest.java
+++ b/src/test/java/beampoint/policy/OriginOverloadTest.java
@@ -24,15 +24,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many instances before one origin that works in turn on all that it was sent, also on fetches for which
- * nobody waits any more, and can do less than the misses there are.
+ * Many instances send misses to one origin at a higher rate than it can serve. The origin works on all
+ * fetches in order, also on those that have timed out.
  */
 class OriginOverloadTest {
 
   private static final int INSTANCES = 200;
   private static final double CAPACITY = 0.2; // fetches a millisecond
   private static final double MAX_QUEUE = 3_000;
-  private static final double MISS = 60; // what a cache takes to say so
+  private static final double MISS = 60; // time until a cache reports a miss
 
   private record Task(double at, long order, Runnable what) {}
 
@@ -103,9 +103,9 @@
     now = end;
   }
 
-  /** Guards against a fleet that keeps an origin at work on what nobody waits for: nothing is served. */
+  /** With the origin kept busy by fetches that nobody waits for any more, nothing would be served in time. */
   @Test
-  void anOriginThatIsAskedForTooMuchServesMostOfWhatItCan() {
+  void anOverloadedOriginServesMostOfWhatItCan() {
     for (int i = 0; i < INSTANCES; i++) {
       fleet.add(new Fixture(new Settings(i, INSTANCES, i % 2, true, WeightSource.NOMINAL, Fixture.ORIGIN, 0.1,
           new Limits(3, false, false, true, 400, 50), new Rules(500, 3, 2_000, 0.25, 8_000, 10_000),
@@ -116,6 +116,6 @@
     served = 0;
     run(15_000);
     double part = served / (CAPACITY * 15_000);
-    assertTrue(part > 0.5, "served of what the origin can: " + part);
+    assertTrue(part > 0.5, "part served of what the origin can serve: " + part);
   }
 }
--- a/src/test/java/beampoint/policy/PlacementTest.java
+++ b/src/test/java/beampoint/policy/PlacementTest.java
@@ -18,22 +18,22 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Which caches a key goes to: the ring, its changes, and the spill to another cache. */
+/** Placement of keys on caches: the ring, its changes, and the spill to a second cache. */
 class PlacementTest {
 
   @Test
   void equalListsGiveEqualPlacementsInAnyOrderAndNeverTheOrigin() {
-    Fixture one = new Fixture(Fixture.READ).withFleet(8);
+    Fixture first = new Fixture(Fixture.READ).withFleet(8);
     Fixture other = new Fixture(Fixture.READ);
     List<Endpoint> reversed = IntStream.rangeClosed(0, 8).mapToObj(i -> Fixture.fleet(8).get(8 - i)).toList();
     other.list(ListKind.FULL, reversed);
-    Map<Long, String> placed = one.placement();
+    Map<Long, String> placed = first.placement();
     assertEquals(placed, other.placement());
     assertFalse(placed.containsValue("origin"));
   }
 
   @Test
-  void aGoneCacheMovesOnlyItsOwnKeysAndItsReturnBringsThemBack() {
+  void removingACacheMovesOnlyItsKeysAndItsReturnRestoresThem() {
     Fixture f = new Fixture(Fixture.READ).withFleet(8);
     Map<Long, String> before = f.placement();
     f.list(ListKind.CHANGES, List.of(Fixture.cache(3, EndpointState.GONE, 0)));
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void aWarmingCacheTakesKeysInStepWithItsWarmUp() {
+  void aWarmingCacheGetsMoreKeysAsItWarmsUp() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
     Map<Long, String> before = f.placement();
     f.list(ListKind.CHANGES, List.of(Fixture.cache(4, EndpointState.RUNNING, f.now)));
@@ -57,16 +57,16 @@
     for (int i = 0; i < 5; i++) {
       f.now += 2_000;
       Map<Long, String> placed = f.placement();
-      long own = placed.values().stream().filter("cache-4"::equals).count();
+      long count = placed.values().stream().filter("cache-4"::equals).count();
       placed.forEach((key, cache) -> assertTrue(cache.equals("cache-4") || cache.equals(before.get(key))));
-      assertTrue(own >= last, "share fell from " + last + " to " + own);
-      last = own;
+      assertTrue(count >= last, "keys of the warming cache fell from " + last + " to " + count);
+      last = count;
     }
-    assertTrue(last > Fixture.KEYS / 10, "share when warm: " + last);
+    assertTrue(last > Fixture.KEYS / 10, "keys of the warm cache: " + last);
   }
 
   @Test
-  void aListThatMovesNoPointsCostsNoRing() {
+  void aListThatChangesNoPointsDoesNotRebuildTheRing() {
     Fixture f = new Fixture(Fixture.READ).withFleet(8);
     BalancerPolicy policy = (BalancerPolicy) f.balancer;
     int before = policy.state.ringPoints.changes();
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void aRingChangedInAnyOrderEqualsOneBuiltFromScratch() {
+  void aRingAfterManyChangesEqualsOneBuiltFromScratch() {
     java.util.Random random = new java.util.Random(3);
     Fixture changed = new Fixture(Fixture.READ).withFleet(12);
     for (int i = 0; i < 60; i++) {
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void nothingNewGoesToADrainingCacheOrOneThatAFullListLacks() {
+  void nothingNewGoesToADrainingCacheOrOneMissingFromAFullList() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
     f.list(ListKind.CHANGES, List.of(Fixture.cache(1, EndpointState.DRAINING, 0)));
     assertFalse(f.placement().containsValue("cache-1"));
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void aStaleListAfterARestartIsMendedByWhatComesAndAReplacementTakesItsPlace() {
+  void changesCorrectAStaleRememberedList() {
     Fixture f = new Fixture(Fixture.READ);
     f.list(ListKind.REMEMBERED, Fixture.fleet(4));
     f.list(ListKind.CHANGES, List.of(Fixture.cache(2, EndpointState.GONE, 0), Fixture.cache(7)));
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void aBusyPrimarySpillsToOneSecondCache() {
+  void aBusyPrimarySpillsToOneOtherCache() {
     Fixture f = Fixture.withTraffic(6);
     String primary = f.serve(5);
     Map<String, Integer> sent = new HashMap<>();
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void aKeyHotterThanACacheIsServedByAsManyAsItFills() {
+  void aHotKeyIsServedByAsManyCachesAsItsTrafficFills() {
     Fixture f = Fixture.withTraffic(10);
     Map<String, Integer> served = new HashMap<>();
     for (int i = 0; i < 600; i++) {
@@ -132,10 +132,10 @@
   }
 
   @Test
-  void aFleetWithRoomServesAKeyWhoseTwoCachesAreBehindForAMoment() {
-    Balancer.RequestClass worthy =
+  void aKeyIsServedWhileItsTwoCachesAreSlowForAMoment() {
+    Balancer.RequestClass valuable =
         new Balancer.RequestClass(Idempotency.SAFE, DedupGroup.ALL, 2_000, 100, 1_500, 9, 0);
-    Fixture f = new Fixture(Fixture.READ, worthy).withFleet(40);
+    Fixture f = new Fixture(Fixture.READ, valuable).withFleet(40);
     for (long key = 1_000; key < 1_400; key++) {
       f.serve(key);
     }
--- a/src/test/java/beampoint/policy/ProbeTest.java
+++ b/src/test/java/beampoint/policy/ProbeTest.java
@@ -16,15 +16,15 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** When an endpoint is probed before it is sent a request, and what follows from the answer. */
+/** When an endpoint is probed before it is sent a request, and what follows from the outcome. */
 class ProbeTest {
 
   @Test
   void anUnknownCacheIsProbedAndALateProbeSpillsToTheNext() {
     Fixture f = new Fixture(true, Fixture.READ).withFleet(6);
-    List<Action> asked = f.read(5);
-    assertNull(Fixture.sentTo(asked));
-    String primary = ((Balancer.Probe) asked.get(0)).endpoint();
+    List<Action> probing = f.read(5);
+    assertNull(Fixture.sentTo(probing));
+    String primary = ((Balancer.Probe) probing.get(0)).endpoint();
     long first = f.nextId() - 1;
     List<Action> answered = f.balancer.handle(f.now, new Balancer.ProbeEnded(primary, Result.OK, 2));
     assertEquals(primary, Fixture.sentTo(answered));
@@ -39,13 +39,13 @@
   }
 
   @Test
-  void aProbeIsSentOnlyWhereBadOutcomesMakeItWorthItsPrice() {
+  void aProbeIsSentOnlyWhereFailuresMakeItWorthItsPrice() {
     Balancer.Prices prices = new Balancer.Prices(0, 0, 0.08, 0);
     Fixture f = new Fixture(Fixture.settings(List.of(), true, true, prices, Fixture.READ)).withFleet(40);
     for (long key = 0; key < 20; key++) {
       long id = f.nextId();
       List<Action> actions = f.read(key);
-      assertFalse(Fixture.has(actions, Balancer.Probe.class), "while caches do well, " + key);
+      assertFalse(Fixture.has(actions, Balancer.Probe.class), "while caches do well, key " + key);
       f.end(id, 0, Fixture.sentTo(actions), 10, key == 12 ? Result.TIMEOUT : Result.OK);
     }
     for (long key = 100; key < 112; key++) {
@@ -57,19 +57,19 @@
       }
     }
     assertTrue(IntStream.range(200, 220).anyMatch(key -> Fixture.has(f.read(key), Balancer.Probe.class)),
-        "once many attempts come to nothing");
+        "once many attempts fail");
   }
 
   @Test
-  void aProbeIsNotWaitedForBeyondTheClientsTime() {
+  void aProbeIsNotAwaitedBeyondTheDeadline() {
     Fixture f = new Fixture(true, Fixture.READ).withFleet(6);
     Balancer.RequestReceived last = new Balancer.RequestReceived(1, f.now + 20, 0, 0, 5, false);
-    List<Action> asked = f.balancer.handle(f.now, last);
-    assertTrue(asked.stream().anyMatch(a -> a instanceof SetTimer t && t.delay() < 20));
+    List<Action> probing = f.balancer.handle(f.now, last);
+    assertTrue(probing.stream().anyMatch(a -> a instanceof SetTimer t && t.delay() < 20));
   }
 
   @Test
-  void aCacheWhoseProbeFailsIsSkippedForAWhile() {
+  void aCacheWhoseProbeFailsIsEjectedForAWhile() {
     Fixture f = new Fixture(true, Fixture.READ).withFleet(6);
     String primary = ((Balancer.Probe) f.read(5).get(0)).endpoint();
     String next = Fixture.sentTo(
--- a/src/test/java/beampoint/policy/RepeatWindowTest.java
+++ b/src/test/java/beampoint/policy/RepeatWindowTest.java
@@ -15,34 +15,34 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Until when an attempt may begin, and how soon the list is asked for again. */
+/** The latest start of an attempt, and the delay before the list is subscribed to again. */
 class RepeatWindowTest {
 
   private static Send sent(List<Action> actions) {
     return (Send) actions.stream().filter(Send.class::isInstance).findFirst().orElseThrow();
   }
 
-  /** Guards against a repeat whose connection comes up when it is not dropped any more. */
+  /** A connection may be established late, when endpoints do not drop repeats of the request any more. */
   @Test
-  void aRepeatOfAKeyedRequestMustBeginWithinTheWindowOfItsFirstSend() {
+  void aRepeatOfAKeyedRequestMustBeginWithinTheDedupWindowOfItsFirstAttempt() {
     Fixture f = new Fixture(Fixture.requestClass(Idempotency.KEYED, DedupGroup.ALL)).withFleet(4);
     for (int key = 0; key < 10; key++) {
-      f.serve(key); // further attempts are a part of the requests
+      f.serve(key); // retries are limited to a part of the requests
     }
     double first = f.now;
     long id = f.nextId();
     Send send = sent(f.read(7));
-    assertTrue(send.startBy() > 1e15, "the first may begin whenever it can");
+    assertTrue(send.startBy() > 1e15, "the first may begin at any time");
     f.now += 100;
     Send again = sent(f.end(id, 0, send.endpoint(), 100, Result.RESET));
     assertEquals(first + 2_000, again.startBy());
     f.now += 100;
     Send last = sent(f.end(id, 1, again.endpoint(), 100, Result.RESET));
-    assertEquals(first + 2_000, last.startBy(), "counted from the first, whatever came after it");
+    assertEquals(first + 2_000, last.startBy(), "counted from the first attempt");
   }
 
   @Test
-  void whatNeverRanOrIsSafeMayBeginWhenever() {
+  void aRequestThatNeverRanOrIsSafeMayBeginAtAnyTime() {
     for (Idempotency effect : Idempotency.values()) {
       Fixture f = new Fixture(Fixture.requestClass(effect, DedupGroup.ALL)).withFleet(4);
       Send send = sent(f.read(7));
@@ -51,9 +51,9 @@
     }
   }
 
-  /** Guards against a list that is asked for when what it has counts as told: after 6 s, whatever failed. */
+  /** A balancer counts as informed of a change 6 s after it could have asked for it, whatever failed. */
   @Test
-  void aListThatMustBeAskedForIsAskedForAgainWithinSeconds() {
+  void aFailedSubscriptionIsRetriedWithinSeconds() {
     Fixture f = new Fixture(Fixture.settings(List.of(), false, Fixture.READ));
     List<Endpoint> known = List.of(Fixture.cache(0, EndpointState.RUNNING, 0));
     double unanswered = Fixture.timerDelay(f.list(ListKind.REMEMBERED, known));
--- a/src/test/java/beampoint/policy/RetryTest.java
+++ b/src/test/java/beampoint/policy/RetryTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Attempts after the first: at another cache, at the origin, or none where the effect forbids it. */
+/** Attempts after the first: at another cache, at the origin, or none where a repeat is unsafe. */
 class RetryTest {
 
   @Test
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void aFailedFetchIsNotRepeatedAtAnOriginThatHasSinceBeenToldToDrain() {
+  void aFailedFetchIsNotRetriedAtAnOriginThatDrains() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
     long id = f.nextId();
     assertEquals("origin", Fixture.sentTo(f.request(0, 0, 5, true)));
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void whatNeverRanDoesNotUseUpTheRetries() {
+  void anAttemptThatNeverRanUsesUpNoRetryTokens() {
     everyFirstAttemptEnds(Result.CONNECT_FAILED);
     everyFirstAttemptEnds(Result.FULL);
   }
@@ -66,14 +66,14 @@
     }
   }
 
-  /** Guards against attempts that are all gone within a moment, and against a request parked till its end. */
+  /** Immediate retries would use up all attempts at once; a request must not wait until it expires. */
   @Test
-  void anOriginThatRefusesAConnectionIsAskedAgainAfterAPauseOrNotAtAll() {
+  void anOriginThatRefusesAConnectionIsRetriedAfterAPauseOrNotAtAll() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
     long id = f.nextId();
     String cache = Fixture.sentTo(f.read(1));
     assertEquals("origin", Fixture.sentTo(f.end(id, 0, cache, 10, Result.MISS)));
-    f.now += 100; // which the origin is now known to take
+    f.now += 100; // the time that the origin takes, as observed
     List<Action> actions = f.end(id, 1, "origin", 100, Result.CONNECT_FAILED);
     assertNull(Fixture.sentTo(actions));
     double pause = actions.stream().filter(SetTimer.class::isInstance).map(a -> ((SetTimer) a).delay())
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void repeatsAndRefusalsFollowTheEffectOfTheClass() {
+  void retriesAndRefusalsFollowTheIdempotencyOfTheClass() {
     for (Idempotency idempotency : Idempotency.values()) {
       for (Result result : Result.values()) {
         if (result == Result.OK || result == Result.MISS || result == Result.NOT_SENT) {
@@ -100,7 +100,7 @@
         long id = f.nextId();
         String endpoint = Fixture.sentTo(f.request(0, 0, 5, true));
         List<Action> answer = f.end(id, 0, endpoint, 5, result);
-        if (result == Result.CONNECT_FAILED) { // asked again after a pause
+        if (result == Result.CONNECT_FAILED) { // retried after a pause
           f.now += 50;
           answer = f.balancer.handle(f.now, new TimerFired(id));
         }
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void aKeyedRequestIsNotRepeatedAfterItsWindow() {
+  void aKeyedRequestIsNotRetriedAfterItsDedupWindow() {
     Balancer.RequestClass keyed =
         new Balancer.RequestClass(Idempotency.KEYED, DedupGroup.ALL, 100, 5_000, 9_000, 1, 0);
     Fixture f = new Fixture(keyed).withFleet(4);
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void noAttemptIsMadeBeyondTheLimit() {
+  void attemptsAreLimited() {
     Fixture f = new Fixture(Fixture.READ).withFleet(6);
     long id = f.nextId();
     List<Action> answer = f.read(5);
--- a/src/test/java/beampoint/policy/SettingsChangeTest.java
+++ b/src/test/java/beampoint/policy/SettingsChangeTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Settings that change while requests are open, as the decision module has it. */
+/** How the decision module treats settings that change while requests are open. */
 class SettingsChangeTest {
 
   private static final RequestClass UNSAFE = Fixture.requestClass(Idempotency.UNSAFE, DedupGroup.ALL);
@@ -31,22 +31,22 @@
   }
 
   @Test
-  void anOpenRequestKeepsTheEffectItWasTakenWith() {
+  void anOpenRequestKeepsItsIdempotency() {
     Fixture f = new Fixture(Fixture.READ, UNSAFE).withFleet(4);
     long safe = f.nextId();
     String first = Fixture.sentTo(f.request(0, 0, 5, false));
     long unsafe = f.nextId();
     String other = Fixture.sentTo(f.request(1, 0, 6, false));
     change(f, settings(3, UNSAFE, Fixture.READ), 0, 1);
-    assertTrue(Fixture.sentTo(f.end(safe, 0, first, 10, Result.RESET)) != null, "it may be sent again");
-    assertTrue(Fixture.has(f.end(unsafe, 0, other, 10, Result.RESET), Fail.class), "it may not");
+    assertTrue(Fixture.sentTo(f.end(safe, 0, first, 10, Result.RESET)) != null, "a safe request is retried");
+    assertTrue(Fixture.has(f.end(unsafe, 0, other, 10, Result.RESET), Fail.class), "an unsafe one is not");
     long now = f.nextId();
     String third = Fixture.sentTo(f.request(0, 0, 7, false));
-    assertTrue(Fixture.has(f.end(now, 0, third, 10, Result.RESET), Fail.class), "by the new rules");
+    assertTrue(Fixture.has(f.end(now, 0, third, 10, Result.RESET), Fail.class), "the new settings apply");
   }
 
   @Test
-  void anOpenRequestKeepsItsAttemptsAndANewOneHasFewer() {
+  void anOpenRequestKeepsItsMaxAttemptsAndANewOneHasFewer() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
     long old = f.nextId();
     String first = Fixture.sentTo(f.read(5));
--- a/src/test/java/beampoint/policy/SlowStartFleetTest.java
+++ b/src/test/java/beampoint/policy/SlowStartFleetTest.java
@@ -32,35 +32,35 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What instances that share nothing send a cold cache together: beside N, which the settings allow it in the
- * stated time, only 2 root N + 2 are put down to chance, however many instances there are.
+ * Whether instances that share no state together overload a cold cache, however many they are. Within a
+ * window it can take the N requests that the settings allow, and 2 sqrt(N) + 2 more, which count as chance.
  */
 class SlowStartFleetTest {
 
   private static final Rules RULES = new Rules(1_000, 3, 2_000, 0.14, 20_000, 10_000);
   private static final int SEEDS = 6;
-  /** In so many groups instances are told, lest as many runs of one request at the least take minutes. */
+  /** Groups in which instances get a list: one by one, with a request or more between, would take minutes. */
   private static final int MAX_GROUPS = 100;
-  /** At the size of docs/CAPACITY.md one cache does so many requests a ms. */
-  private static final double COMING_CAPACITY = 4.26;
+  /** Requests per ms that a cache can serve at the size of docs/CAPACITY.md. */
+  private static final double PLANNED_CAPACITY = 4.26;
 
   private static final double PROBE_WORK = 0.02; // of a request's mean work
   private static final double HANDSHAKE_WORK = 0.05; // the same
 
-  /** What a cold cache was sent, in requests of mean work, and whether by one told of its start. */
-  private record Sent(double at, boolean told, double work) {}
+  /** Work sent to a cold cache, in requests of mean work, and whether its sender knew of the cold start. */
+  private record Sent(double at, boolean informed, double work) {}
 
-  /** A fleet of so many instances beside so many caches, of which one does so many requests a ms. */
-  private static final class Day {
+  /** A fleet of instances and caches, each of which can serve {@code capacity} requests per ms when warm. */
+  private static final class FleetRun {
     private final UniformRandomProvider random;
     private final int instances;
     private final int caches;
     private final double capacity;
-    private final boolean probes; // and a handshake for each request
+    private final boolean probes; // and a handshake with each request
     private final DiscreteSampler keys;
     private final List<Fixture> fleet = new ArrayList<>();
     private final Map<String, Deque<Sent>> sent = new HashMap<>(); // to cold caches, in the last window
-    private final Set<Fixture> told = new HashSet<>();
+    private final Set<Fixture> informed = new HashSet<>();
     private double now = 1_000_000;
     private double start; // of the cold caches
     private int cold;
@@ -68,11 +68,11 @@
     private long probesSent;
     private double worst = Double.NEGATIVE_INFINITY;
 
-    Day(long seed, int instances, int caches, double capacity) {
+    FleetRun(long seed, int instances, int caches, double capacity) {
       this(seed, instances, caches, capacity, false);
     }
 
-    Day(long seed, int instances, int caches, double capacity, boolean probes) {
+    FleetRun(long seed, int instances, int caches, double capacity, boolean probes) {
       this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
       this.instances = instances;
       this.caches = caches;
@@ -104,12 +104,12 @@
       return entries;
     }
 
-    /** The first caches have started now, and the last ones drain; instances are told within so many ms. */
+    /** Restarts the first caches and drains the last ones; instances get the list over {@code within} ms. */
     void restart(int number, int drained, double within) {
       cold = number;
       start = now;
       sent.clear();
-      told.clear();
+      informed.clear();
       List<Endpoint> entries = list(drained);
       int groups = Math.min(instances, MAX_GROUPS);
       for (int i = 0; i < instances; i++) {
@@ -118,27 +118,27 @@
         }
         Fixture f = fleet.get(i);
         f.now = now;
-        told.add(f);
+        informed.add(f);
         f.list(ListKind.CHANGES, entries);
       }
     }
 
-    /** So many instances, spread over the fleet, start anew with the present list. */
+    /** Replaces so many instances, spread over the fleet, by new ones that have the current list. */
     void replace(int number) {
       for (int i = 0; i < number; i++) {
         int place = i * instances / number;
         fleet.set(place, fresh(place));
         fleet.get(place).list(ListKind.FULL, list(0));
-        told.add(fleet.get(place));
+        informed.add(fleet.get(place));
       }
     }
 
-    private double bearable() {
+    private double capacityOfColdCache() {
       double allowed = RULES.fallMultiple() * RULES.warmth(now - start) * capacity * RULES.fallWindow();
       return allowed + 2 * Math.sqrt(allowed) + 2;
     }
 
-    /** A cache falls by what all send; who was told is to blame for over two thirds of it. */
+    /** Overload by all counts as a fault only where informed instances sent over two thirds of the work. */
     private void count(String endpoint, Sent next) {
       Deque<Sent> window = sent.computeIfAbsent(endpoint, e -> new ArrayDeque<>());
       window.add(next);
@@ -147,8 +147,8 @@
         window.pollFirst();
       }
       double work = window.stream().mapToDouble(Sent::work).sum();
-      if (3 * window.stream().filter(Sent::told).mapToDouble(Sent::work).sum() > 2 * work) {
-        worst = Math.max(worst, work - bearable());
+      if (3 * window.stream().filter(Sent::informed).mapToDouble(Sent::work).sum() > 2 * work) {
+        worst = Math.max(worst, work - capacityOfColdCache());
       }
     }
 
@@ -156,13 +156,13 @@
       return endpoint != null && Integer.parseInt(endpoint.substring(6)) < cold;
     }
 
-    /** Where a request is sent once the probe that it waits for has been answered. */
+    /** The endpoint of a request once the probe that it waits for, if any, has been answered. */
     private String afterProbe(Fixture f, List<Action> actions) {
       for (Action action : actions) {
         if (action instanceof Probe probe) {
           probesSent++;
           if (isCold(probe.endpoint())) {
-            count(probe.endpoint(), new Sent(now, told.contains(f), PROBE_WORK));
+            count(probe.endpoint(), new Sent(now, informed.contains(f), PROBE_WORK));
           }
           return Fixture.sentTo(f.balancer.handle(now, new ProbeEnded(probe.endpoint(), Result.OK, 1)));
         }
@@ -170,7 +170,7 @@
       return Fixture.sentTo(actions);
     }
 
-    /** Reads at so many times what all caches could do warm; one instance in five has half of the traffic. */
+    /** Reads at {@code load} times what all caches serve warm; a fifth of the instances get half of them. */
     void run(double time, double load) {
       double rate = load * caches * capacity;
       for (double end = now + time; now < end; now += -Math.log(1 - random.nextDouble()) / rate) {
@@ -180,7 +180,7 @@
         long id = f.nextId();
         String endpoint = afterProbe(f, f.read(keys.sample()));
         if (isCold(endpoint)) {
-          count(endpoint, new Sent(now, told.contains(f), probes ? 1 + HANDSHAKE_WORK : 1));
+          count(endpoint, new Sent(now, informed.contains(f), probes ? 1 + HANDSHAKE_WORK : 1));
         }
         if (endpoint != null) {
           f.end(id, 0, endpoint, 120, Result.OK);
@@ -189,15 +189,15 @@
     }
   }
 
-  private static void check(Day day, String what) {
-    assertTrue(day.worst <= 0, what + ": over what a cold cache bears: " + day.worst);
+  private static void check(FleetRun run, String what) {
+    assertTrue(run.worst <= 0, what + ": over what a cold cache can take: " + run.worst);
   }
 
-  private static Day halfAnew(long seed, int instances, double capacity) {
-    return halfAnew(new Day(seed, instances, 15, capacity), instances);
+  private static FleetRun replaceHalf(long seed, int instances, double capacity) {
+    return replaceHalf(new FleetRun(seed, instances, 15, capacity), instances);
   }
 
-  private static Day halfAnew(Day all, int instances) {
+  private static FleetRun replaceHalf(FleetRun all, int instances) {
     all.run(6_000, 0.9);
     all.restart(14, 0, 50);
     all.run(2_000, 1.2);
@@ -206,33 +206,33 @@
     return all;
   }
 
-  /** Days on which instances that have just started know no rate of theirs, and draw too well. */
+  /** Seeds with unfavourable random draws, as new instances do not know their rate yet. */
   @Test
-  void theSumIsBorneByThirtyOfWhichHalfStartAnewOnTheWorstDays() {
+  void thirtyInstancesOfWhichHalfAreNewDoNotOverloadOnTheWorstSeeds() {
     for (long seed : new long[] {22, 37}) {
-      check(halfAnew(seed, 30, 0.005), "30 instances, 0.005, seed " + seed);
+      check(replaceHalf(seed, 30, 0.005), "30 instances, 0.005, seed " + seed);
     }
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 5, 20, 30, 100})
-  void theSumIsBorneHoweverManyInstancesThereAre(int instances) {
+  void anyNumberOfInstancesDoesNotOverloadAColdCache(int instances) {
     for (double capacity : new double[] {0.002, 0.005, 0.03, 0.1}) {
       for (long seed = 0; seed < SEEDS; seed++) {
         String at = instances + " instances, " + capacity + ", seed " + seed + ", ";
-        Day few = new Day(seed, instances, 15, capacity);
+        FleetRun few = new FleetRun(seed, instances, 15, capacity);
         few.run(6_000, 0.9);
         few.restart(3, 0, 1_000);
         few.run(6_000, 0.9);
         check(few, at + "three of fifteen");
-        check(halfAnew(seed, instances, capacity), at + "all but one, and half of the instances anew");
-        Day surge = new Day(seed, instances, 15, capacity);
+        check(replaceHalf(seed, instances, capacity), at + "all but one, and half of the instances anew");
+        FleetRun surge = new FleetRun(seed, instances, 15, capacity);
         surge.run(6_000, 0.9);
         surge.restart(14, 0, 50);
         surge.run(3_000, 0.1);
         surge.run(4_000, 1.5);
         check(surge, at + "all but one, quiet and then a burst");
-        Day shrunk = new Day(seed, instances, 15, capacity);
+        FleetRun shrunk = new FleetRun(seed, instances, 15, capacity);
         shrunk.run(6_000, 0.9);
         shrunk.restart(2, 8, 1_000);
         shrunk.run(6_000, 0.9);
@@ -241,19 +241,19 @@
     }
   }
 
-  /** Fleets in which most instances send a cold cache nothing in most windows. */
+  /** Fleets so large that most instances send a cold cache nothing in most windows. */
   @ParameterizedTest
   @ValueSource(ints = {400, 1_000, 2_300})
-  void theSumIsBorneByLargeFleets(int instances) {
+  void largeFleetsDoNotOverloadAColdCache(int instances) {
     for (double capacity : new double[] {0.002, 0.005, 0.03, 0.1}) {
       String at = instances + " instances, " + capacity + ", ";
-      Day few = new Day(0, instances, 15, capacity);
+      FleetRun few = new FleetRun(0, instances, 15, capacity);
       few.run(6_000, 0.9);
       few.restart(3, 0, 1_000);
       few.run(6_000, 0.9);
       check(few, at + "three of fifteen");
-      check(halfAnew(0, instances, capacity), at + "all but one, and half of the instances anew");
-      Day shrunk = new Day(0, instances, 15, capacity);
+      check(replaceHalf(0, instances, capacity), at + "all but one, and half of the instances anew");
+      FleetRun shrunk = new FleetRun(0, instances, 15, capacity);
       shrunk.run(6_000, 0.9);
       shrunk.restart(2, 8, 1_000);
       shrunk.run(6_000, 0.9);
@@ -261,28 +261,28 @@
     }
   }
 
-  /** As many instances, and as many requests of one for one cache, as at the size of docs/CAPACITY.md. */
+  /** As many instances, and as many requests of one instance to one cache, as in docs/CAPACITY.md. */
   @Test
-  void theSumIsBorneAndNoneStarvesAtTheComingSize() {
-    Day few = new Day(0, 2_300, 15, COMING_CAPACITY);
+  void coldCachesAreNeitherOverloadedNorStarvedAtThePlannedSize() {
+    FleetRun few = new FleetRun(0, 2_300, 15, PLANNED_CAPACITY);
     few.run(6_000, 0.9);
     few.restart(3, 0, 1_000);
     few.run(6_000, 0.9);
     check(few, "three of fifteen");
     double warmth = (RULES.warmth(0) + RULES.warmth(7_000)) / 2;
-    double evenPart = 3 * 0.9 * warmth * COMING_CAPACITY * 6_000;
+    double evenPart = 3 * 0.9 * warmth * PLANNED_CAPACITY * 6_000;
     assertTrue(few.sentCold >= evenPart / 2, "of an even part of " + evenPart + " sent " + few.sentCold);
   }
 
-  /** Guards against a cold cache pushed over by a hot key's first requests, one from each instance. */
+  /** A cold cache must not be overloaded by a hot key's first requests, one from each instance. */
   @Test
-  void theSumIsBorneInABurstAfterQuiet() {
+  void aBurstAfterLowTrafficDoesNotOverloadAColdCache() {
     record Burst(int instances, double capacity, long seed) {}
 
     List<Burst> bursts = List.of(new Burst(100, 0.002, 7), new Burst(400, 0.002, 3),
         new Burst(1_000, 0.03, 1), new Burst(1_000, 0.03, 5), new Burst(1_000, 0.03, 6));
     for (Burst burst : bursts) {
-      Day surge = new Day(burst.seed, burst.instances, 15, burst.capacity);
+      FleetRun surge = new FleetRun(burst.seed, burst.instances, 15, burst.capacity);
       surge.run(6_000, 0.9);
       surge.restart(14, 0, 50);
       surge.run(3_000, 0.1);
@@ -291,20 +291,20 @@
     }
   }
 
-  /** What probes and handshakes cost a cold cache comes on top of its requests. */
+  /** The work of probes and handshakes at a cold cache comes on top of its requests. */
   @ParameterizedTest
   @ValueSource(ints = {1, 100, 1_000})
-  void probesAndHandshakesAreBorneToo(int instances) {
+  void probesAndHandshakesDoNotOverloadAColdCache(int instances) {
     for (double capacity : new double[] {0.002, 0.005, 0.03, 0.1}) {
       String at = instances + " instances, " + capacity + ", ";
-      Day few = new Day(0, instances, 15, capacity, true);
+      FleetRun few = new FleetRun(0, instances, 15, capacity, true);
       few.run(6_000, 0.9);
       few.restart(3, 0, 1_000);
       few.run(6_000, 0.9);
       check(few, at + "three of fifteen");
-      Day all = halfAnew(new Day(0, instances, 15, capacity, true), instances);
+      FleetRun all = replaceHalf(new FleetRun(0, instances, 15, capacity, true), instances);
       check(all, at + "all but one, and half of the instances anew");
-      Day surge = new Day(0, instances, 15, capacity, true);
+      FleetRun surge = new FleetRun(0, instances, 15, capacity, true);
       surge.run(6_000, 0.9);
       surge.restart(14, 0, 50);
       surge.run(3_000, 0.1);
--- a/src/test/java/beampoint/policy/SlowStartTest.java
+++ b/src/test/java/beampoint/policy/SlowStartTest.java
@@ -23,7 +23,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 
-/** What a hundred instances that share nothing send a cold cache together, beside what it bears. */
+/** Whether a hundred instances that share no state together overload a cold cache. */
 class SlowStartTest {
 
   private static final int INSTANCES = 100;
@@ -33,16 +33,16 @@
   private static final Rules RULES = new Rules(500, 1.3, 2_000, 0.15, 15_000, 10_000);
 
   private final Map<String, Deque<Double>> sent = new HashMap<>(); // to cold caches, in the last window
-  private double worst = Double.NEGATIVE_INFINITY; // sends over what a cold cache bears
+  private double worst = Double.NEGATIVE_INFINITY; // requests over what a cold cache can take
   private long toCold;
 
-  /** N + 2 root of N + 2 requests of mean work, N being what the settings allow in the stated time. */
-  private static double bearable(double age) {
+  /** Requests of mean work that a cold cache can take in a window: N + 2 sqrt(N) + 2, N by the settings. */
+  private static double capacityOfColdCache(double age) {
     double allowed = RULES.fallMultiple() * RULES.warmth(age) * CAPACITY * RULES.fallWindow();
     return allowed + 2 * Math.sqrt(allowed) + 2;
   }
 
-  private void day(long seed, int cold, int busy) {
+  private void run(long seed, int cold, int busy) {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     var keys = RejectionInversionZipfSampler.of(random, 40_000, 0.9);
     double now = 100_000;
@@ -55,10 +55,10 @@
       fleet.get(i).now = now;
       fleet.get(i).list(ListKind.FULL, Fixture.fleet(CACHES));
     }
-    boolean told = false;
+    boolean restarted = false;
     for (double end = now + 20_000; now < end; now += -Math.log(1 - random.nextDouble()) / RATE) {
-      if (!told && now > begin + 6_000) {
-        told = true;
+      if (!restarted && now > begin + 6_000) {
+        restarted = true;
         begin = now;
         List<Endpoint> started = new ArrayList<>();
         for (int i = 0; i < cold; i++) {
@@ -69,19 +69,19 @@
           f.list(ListKind.CHANGES, started);
         }
       }
-      // One instance in five has several times the even part.
+      // One instance in five gets several times an even part of the traffic.
       int number = random.nextInt(random.nextDouble() < 0.5 ? INSTANCES : busy);
       Fixture f = fleet.get(number);
       f.now = now;
       long id = f.nextId();
       String endpoint = Fixture.sentTo(f.read(keys.sample()));
-      if (endpoint != null && told && Integer.parseInt(endpoint.substring(6)) < cold) {
+      if (endpoint != null && restarted && Integer.parseInt(endpoint.substring(6)) < cold) {
         Deque<Double> window = sent.computeIfAbsent(endpoint, e -> new ArrayDeque<>());
         window.add(now);
         while (window.peekFirst() < now - RULES.fallWindow()) {
           window.pollFirst();
         }
-        worst = Math.max(worst, window.size() - bearable(now - begin));
+        worst = Math.max(worst, window.size() - capacityOfColdCache(now - begin));
         toCold++;
       }
       if (endpoint != null) {
@@ -91,12 +91,12 @@
   }
 
   @Test
-  void aHundredInstancesTogetherSendNoColdCacheMoreThanItBears() {
+  void aHundredInstancesTogetherDoNotOverloadAColdCache() {
     for (int cold : new int[] {1, 15, 90}) {
       sent.clear();
       toCold = 0;
-      day(cold, cold, 20);
-      assertTrue(worst <= 0, "over what a cold cache of " + cold + " bears: " + worst);
+      run(cold, cold, 20);
+      assertTrue(worst <= 0, "over what a cold cache of " + cold + " can take: " + worst);
       assertTrue(toCold > 30L * cold, "sent to " + cold + " cold caches: " + toCold);
     }
   }
--- a/src/test/java/beampoint/policy/UnconfirmedListTest.java
+++ b/src/test/java/beampoint/policy/UnconfirmedListTest.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Guards against sends to a cache whose drain discovery told before this process started. */
+/** With an unconfirmed list, no cache is used: discovery may have announced its drain before the start. */
 class UnconfirmedListTest {
 
   private static final int CACHES = 4;
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void anAnswerWithADrainLeavesTheOthers() {
+  void anAnswerWithADrainKeepsTheOtherCaches() {
     Fixture f = started(false);
     f.list(ListKind.CHANGES, List.of(Fixture.cache(1, EndpointState.DRAINING, 0)));
     Map<Long, String> placed = f.placement();
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void noFurtherAttemptAndNoProbeGoesToACache() {
+  void noRetryAndNoProbeGoesToACache() {
     Fixture f = started(true);
     for (Result failure : new Result[] {Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CONNECT_FAILED}) {
       long id = f.nextId();
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void withoutAnOriginRequestsAreRefusedWithATimeToComeBack() {
+  void withoutAnOriginRequestsAreRefusedWithRetryAdvice() {
     Fixture f = new Fixture(Fixture.READ);
     f.list(ListKind.UNCONFIRMED, List.of(Fixture.cache(0), Fixture.cache(1)));
     List<Action> actions = f.read(5);
--- a/src/test/java/beampoint/policy/ZoneLocalPlacementTest.java
+++ b/src/test/java/beampoint/policy/ZoneLocalPlacementTest.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Places of buckets in the own zone, before the one that all zones share. */
+/** Placement of buckets on caches of the balancer's own zone, before the cache that all zones share. */
 class ZoneLocalPlacementTest {
 
   private static final int CACHES = 12;
@@ -45,7 +45,7 @@
     return places.stream().filter(place -> zone(place) == zone).count();
   }
 
-  /** Lets time pass in which the origin has answered, or failed, once. */
+  /** One fetch from the origin, with this result. */
   private static void fetch(Fixture f, Result result, double elapsed) {
     long id = f.nextId();
     String cache = Fixture.sentTo(f.read(77_777));
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void withRoomAtTheOriginBucketsGetPlacesInTheOwnZoneByAndBy() {
+  void whileTheOriginHasRoomBucketsMoveToTheOwnZoneGradually() {
     Fixture f = instance(1, 0.03);
     List<String> before = places(f);
     assertEquals(before, places(instance(0, 0.03)));
@@ -65,26 +65,26 @@
     assertTrue(half > inZone(before, 1) + 30 && half < KEYS - 30, "half way: " + half);
     assertEquals(KEYS, inZone(after, 1));
     for (int i = 0; i < KEYS; i++) {
-      assertTrue(zone(before.get(i)) != 1 || before.get(i).equals(after.get(i)), "moved without cause");
+      assertTrue(zone(before.get(i)) != 1 || before.get(i).equals(after.get(i)), "moved without a reason");
     }
   }
 
   @Test
-  void instancesOfOneZoneAgreeAndWhereCrossingIsFreeAllDo() {
+  void instancesOfOneZoneAgreeAndAllDoWhereCrossingZonesIsFree() {
     Fixture one = instance(1, 0.03);
     Fixture other = instance(1, 0.03);
     Fixture free = instance(1, 0);
-    Fixture far = instance(0, 0);
-    for (Fixture f : List.of(one, other, free, far)) {
+    Fixture otherFree = instance(0, 0);
+    for (Fixture f : List.of(one, other, free, otherFree)) {
       f.now += 60_000;
     }
     assertEquals(places(one), places(other));
-    assertEquals(places(free), places(far));
+    assertEquals(places(free), places(otherFree));
   }
 
-  /** Guards against an origin that is sunk by the misses of keys kept in several zones. */
+  /** Keys kept in several zones miss more often, which could overload the origin. */
   @Test
-  void aFetchThatFailsTakesAllNearPlacesBack() {
+  void aFailedFetchWithdrawsAllZoneLocalPlacements() {
     Fixture f = instance(1, 0.03);
     List<String> shared = places(f);
     f.now += 20_000;
@@ -94,9 +94,9 @@
     assertEquals(shared, places(f));
   }
 
-  /** A cold cache gets only what the shared ring gives it: a zone's part could push it over. */
+  /** A cold cache gets only what the shared ring gives it: a zone's part could overload it. */
   @Test
-  void aColdCacheIsNoNearPlace() {
+  void aColdCacheIsNotUsedAsZoneLocalCache() {
     Fixture f = instance(1, 0.03);
     f.now += 20_000;
     List<Endpoint> endpoints = new ArrayList<>();
@@ -108,11 +108,11 @@
     Fixture shared = instance(1, 0);
     shared.now = f.now;
     shared.list(ListKind.FULL, endpoints);
-    List<String> near = places(f);
-    List<String> plain = places(shared);
+    List<String> local = places(f);
+    List<String> sharedPlaces = places(shared);
     for (int i = 0; i < KEYS; i++) {
-      if ("cache-3".equals(near.get(i))) {
-        assertEquals("cache-3", plain.get(i));
+      if ("cache-3".equals(local.get(i))) {
+        assertEquals("cache-3", sharedPlaces.get(i));
       }
     }
   }
@@ -129,21 +129,21 @@
     assertEquals(0, inZone(places(f), 1));
   }
 
-  /** A near place that refuses is skipped; what it had goes to the place that all share. */
+  /** A zone-local cache that refuses connections is skipped; its keys go to the shared cache. */
   @Test
-  void aNearPlaceThatRefusesIsFollowedByTheSharedOne() {
+  void aZoneLocalCacheThatRefusesIsFollowedByTheSharedOne() {
     Fixture f = instance(1, 0.03);
     List<String> shared = places(f);
     f.now += 20_000;
-    List<String> near = places(f);
+    List<String> local = places(f);
     int moved = 0;
-    while (near.get(moved).equals(shared.get(moved))) {
+    while (local.get(moved).equals(shared.get(moved))) {
       moved++;
     }
     f.now += 20_000;
     long id = f.nextId();
     String first = Fixture.sentTo(f.read(moved));
-    assertEquals(near.get(moved), first);
+    assertEquals(local.get(moved), first);
     String second = Fixture.sentTo(f.end(id, 0, first, 5, Result.CONNECT_FAILED));
     assertEquals(shared.get(moved), second);
     assertNotEquals(first, f.serve(moved));
--- a/src/test/java/beampoint/sim/SimulatorHostTest.java
+++ b/src/test/java/beampoint/sim/SimulatorHostTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The wire's reading and writing, and the plain messages on malformed input. */
+/** The simulator's wire format, and the messages on malformed input. */
 class SimulatorHostTest {
 
   private static final String START = "turn\tmoment-ms=1\ncontext\tproxy-id=proxy/0\n"
@@ -53,13 +53,13 @@
   }
 
   @Test
-  void aFailureOfTheModuleIsToldAsAFaultWithItsCause() throws Exception {
+  void aFailureOfTheModuleIsReportedAsAFaultWithItsCause() throws Exception {
     String reply = run(START + "new_request\trid=5\tnot-after-ms=200\tservice=9\taffinity=9\ncommit\n");
     assertTrue(reply.contains("fault\tbody-text=") && reply.contains("OutOfBoundsException"), reply);
   }
 
   @Test
-  void whatAClientMarksAsAskedAgainIsToldToTheModule() throws Exception {
+  void theModuleGetsTheRetryMarkOfAClient() throws Exception {
     List<Boolean> marks = new ArrayList<>();
     String input = START + "new_request\trid=5\tnot-after-ms=200\tservice=0\taffinity=9\n"
         + "new_request\trid=6\tnot-after-ms=200\tservice=0\taffinity=9\tresent=1\ncommit\n";
@@ -73,18 +73,18 @@
     assertEquals(List.of(false, true), marks);
   }
 
-  /** Guards against a peer of another version, or a message cut off on its way, that ends this instance. */
+  /** A peer of another version, or a truncated message, must not end this instance. */
   @Test
-  void whatPeersSayIsPassedOverWhateverItIs() throws Exception {
-    String said = "inbox\tneighbour=2\tdata=aGkgNw==\n" + "inbox\tneighbour=2\tdata=aGkgNw==\n"
+  void messagesFromPeersAreIgnored() throws Exception {
+    String messages = "inbox\tneighbour=2\tdata=aGkgNw==\n" + "inbox\tneighbour=2\tdata=aGkgNw==\n"
         + "inbox\tneighbour=999999\tdata=" + "QUJD".repeat(500) + "\n" + "inbox\tneighbour=-1\tdata=%%%\n"
         + "inbox\tdata=\n" + "inbox\tneighbour=x\tdata=aGk\tversion=9\n";
     String request = "new_request\trid=5\tnot-after-ms=200\tservice=0\taffinity=9\ncommit\n";
-    assertEquals(run(START + request), run(START + said + request));
+    assertEquals(run(START + request), run(START + messages + request));
   }
 
   @Test
-  void malformedInputIsNamedWithLineAndField() {
+  void malformedInputIsReportedWithLineAndField() {
     String missing = problem(START + "new_request\trid=5\ncommit\n");
     assertTrue(missing.contains("line 6") && missing.contains("'not-after-ms'"), missing);
     String word = problem(START + "new_request\trid=five\tnot-after-ms=1\ncommit\n");
