--- a/src/test/java/beampoint/policy/BanTest.java
+++ b/src/test/java/beampoint/policy/BanTest.java
@@ -124,7 +124,7 @@
     assertEquals(full, share(placement(f), "cache-1"), "it has warmed up since that start");
   }
 
-  /** Without this, a cache that failed before its restart would be skipped after it. */
+  /** A cache that failed before its restart must not be skipped after it. */
   @Test
   void observationsFromBeforeABanAreDropped() {
     Fixture f = new Fixture(Fixture.READ).withFleet(4);
@@ -149,7 +149,7 @@
     assertEquals("origin", Fixture.sentTo(f.request(0, 0, 1, true)));
   }
 
-  /** Without this, two processes of one proxy would each send a cold cache what one process may. */
+  /** Two processes of one proxy must not each send a cold cache as much as one may. */
   @Test
   void twoProcessesOfOneBalancerShareTheRateForAColdCache() {
     int whole = sentToCold(1);
--- a/src/test/java/beampoint/policy/EndpointHealthTest.java
+++ b/src/test/java/beampoint/policy/EndpointHealthTest.java
@@ -29,7 +29,7 @@
     assertEquals(overloaded, f.serve(5));
   }
 
-  /** The number of requests that a cache gets which never answers, of ten per second to ten caches. */
+  /** The requests sent to a cache that never answers, of ten per second at ten caches. */
   private static int sentToSlow(Fixture f, String slow, int requests) {
     int sent = 0;
     for (int i = 0; i < requests; i++) {
@@ -54,7 +54,7 @@
     sentToSlow(f, slow, 200);
     int sent = sentToSlow(f, slow, 1_000);
     assertTrue(sent > 0, "it is tried again");
-    assertTrue(sent < 60, "of about 100 that are its own, sent all the same: " + sent);
+    assertTrue(sent < 60, "sent to the slow cache, of about 100 requests for its keys: " + sent);
   }
 
   @Test
--- a/src/test/java/beampoint/policy/LateAnswerTest.java
+++ b/src/test/java/beampoint/policy/LateAnswerTest.java
@@ -36,7 +36,7 @@
     assertEquals(500, timeout(f.read(5)));
     assertEquals(1_000, timeout(f.request(1, 0, 5, false)), "a late answer earns a part");
     assertEquals(200, timeout(f.balancer.handle(f.now, new RequestReceived(99, f.now + 200, 0, 0, 5, false))),
-        "the client gives up before the aim");
+        "the client gives up before the target time");
   }
 
   @Test
--- a/src/test/java/beampoint/policy/SlowStartFleetTest.java
+++ b/src/test/java/beampoint/policy/SlowStartFleetTest.java
@@ -39,7 +39,7 @@
 
   private static final Rules RULES = new Rules(1_000, 3, 2_000, 0.14, 20_000, 10_000);
   private static final int SEEDS = 6;
-  /** Groups in which instances get a list: one by one, with a request or more between, would take minutes. */
+  /** Most groups in which instances get a list; one by one, with requests between, would take minutes. */
   private static final int MAX_GROUPS = 100;
   /** Requests per ms that a cache can serve at the size of docs/CAPACITY.md. */
   private static final double PLANNED_CAPACITY = 4.26;
--- a/src/test/java/beampoint/policy/UnconfirmedListTest.java
+++ b/src/test/java/beampoint/policy/UnconfirmedListTest.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** With an unconfirmed list, no cache is used: discovery may have announced its drain before the start. */
+/** No cache of an unconfirmed list is used: discovery may have announced its drain before the start. */
 class UnconfirmedListTest {
 
   private static final int CACHES = 4;
