--- a/src/test/java/beampoint/policy/RepeatWindowTest.java
+++ b/src/test/java/beampoint/policy/RepeatWindowTest.java
@@ -51,7 +51,10 @@
     }
   }
 
-  /** A balancer counts as informed of a change 6 s after it could have asked for it, whatever failed. */
+  /**
+   * After a call for the list that failed or was refused or abandoned, a balancer has to know a change within
+   * 6 s of the time when discovery had it and could be reached.
+   */
   @Test
   void aFailedSubscriptionIsRetriedWithinSeconds() {
     Fixture f = new Fixture(Fixture.settings(List.of(), false, Fixture.READ));
--- a/src/test/java/beampoint/policy/SlowStartFleetTest.java
+++ b/src/test/java/beampoint/policy/SlowStartFleetTest.java
@@ -206,7 +206,10 @@
     return all;
   }
 
-  /** Seeds with unfavourable random draws, as new instances do not know their rate yet. */
+  /**
+   * Seeds on which instances that had just started, and took their own request rate for too low, won more than
+   * their share of random draws, so that together they overloaded the cold caches.
+   */
   @Test
   void thirtyInstancesOfWhichHalfAreNewDoNotOverloadOnTheWorstSeeds() {
     for (long seed : new long[] {22, 37}) {
