--- a/src/main/java/beampoint/Balancer.java
+++ b/src/main/java/beampoint/Balancer.java
@@ -12,7 +12,9 @@
   List<Action> handle(double now, Event event);
 
   /** Whether a request that may have run may be sent again: always, where repeats are dropped, or never. */
-  enum Idempotency { SAFE, KEYED, UNSAFE }
+  enum Idempotency {
+    SAFE, KEYED, UNSAFE
+  }
 
   /** The set of endpoints that drop repeats of a keyed request which one of them may have run. */
   enum DedupGroup {
@@ -29,7 +31,9 @@
   }
 
   /** What an endpoint's list weight stands for; live weights follow its load. */
-  enum WeightSource { NONE, NOMINAL, ROUGH, LIVE }
+  enum WeightSource {
+    NONE, NOMINAL, ROUGH, LIVE
+  }
 
   /** The state of an endpoint in the list. */
   enum EndpointState { RUNNING, DRAINING, GONE }
--- a/src/main/java/beampoint/policy/hostlist/HostListSubscription.java
+++ b/src/main/java/beampoint/policy/hostlist/HostListSubscription.java
@@ -12,8 +12,8 @@
   /** Timer tokens from here on are retries of the subscription; those of other timers are request ids. */
   private static final long FIRST_TOKEN = 1L << 60;
   /**
-   * Longest delay of a retry. After a failed, refused or abandoned call, a balancer has to know a change within
-   * 6 s of the time when discovery had it and could be reached; this leaves room for a second retry.
+   * Longest delay of a retry. After a failed, refused or abandoned call, a balancer has to know a change
+   * within 6 s of the time when discovery had it and could be reached; this leaves room for a second retry.
    */
   private static final double MAX_RETRY_MS = 2500;
 
--- a/src/test/java/beampoint/policy/SlowStartFleetTest.java
+++ b/src/test/java/beampoint/policy/SlowStartFleetTest.java
@@ -207,8 +207,8 @@
   }
 
   /**
-   * Seeds on which instances that had just started, and took their own request rate for too low, won more than
-   * their share of random draws, so that together they overloaded the cold caches.
+   * Seeds on which instances that had just started, and took their own request rate for too low, won more
+   * than their share of random draws, so that together they overloaded the cold caches.
    */
   @Test
   void thirtyInstancesOfWhichHalfAreNewDoNotOverloadOnTheWorstSeeds() {
