--- a/src/main/java/beampoint/buffer/Collector.java
+++ b/src/main/java/beampoint/buffer/Collector.java
@@ -55,7 +55,7 @@
     }
   }
 
-  public boolean isWhole() {
+  public boolean isComplete() {
     return size == length;
   }
 
--- a/src/main/java/beampoint/buffer/Gather.java
+++ b/src/main/java/beampoint/buffer/MessageBuilder.java
@@ -7,28 +7,28 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 
 /** A message put together of texts and of bytes as they lie, to be written in one gathered write. */
-public final class Gather {
+public final class MessageBuilder {
 
   private final MemoryManager<?> memory;
   private final BuffersBuffer parts;
 
-  public Gather(MemoryManager<?> memory) {
+  public MessageBuilder(MemoryManager<?> memory) {
     this.memory = memory;
     this.parts = BuffersBuffer.create(memory);
   }
 
-  public Gather text(String text) {
+  public MessageBuilder text(String text) {
     parts.append(Buffers.wrap(memory, text.getBytes(StandardCharsets.ISO_8859_1)));
     return this;
   }
 
   /** Adds bytes without copying them, under bounds of their own: writing moves those of what it writes. */
-  public Gather bytes(Buffer buffer) {
+  public MessageBuilder bytes(Buffer buffer) {
     return bytes(buffer, buffer.position(), buffer.limit());
   }
 
   /** Adds a part of a buffer. */
-  public Gather bytes(Buffer buffer, int from, int to) {
+  public MessageBuilder bytes(Buffer buffer, int from, int to) {
     if (to > from) {
       parts.append(buffer.slice(from, to));
     }
--- a/src/main/java/beampoint/buffer/Stream.java
+++ b/src/main/java/beampoint/buffer/Stream.java
@@ -24,10 +24,10 @@
     void bytes(Buffer bytes);
 
     /** All bytes have come, and what followed them was right. */
-    void whole();
+    void complete();
 
     /** The rest will never come. */
-    void broken();
+    void failed();
   }
 
   private final long length;
@@ -91,9 +91,9 @@
     if (!over && sink != null && (whole || broken)) {
       end();
       if (broken) {
-        sink.broken();
+        sink.failed();
       } else {
-        sink.whole();
+        sink.complete();
       }
     }
   }
--- a/src/main/java/beampoint/cli/Main.java
+++ b/src/main/java/beampoint/cli/Main.java
@@ -87,7 +87,7 @@
         LOG.error("no configuration: give --config FILE or set PROXY_CONFIG");
         return 2;
       }
-      Log.takeOverLibraries();
+      Log.captureLibraryLogs();
       try {
         FileChanges changes = new FileChanges(config); // before it is read: no change is missed
         Proxy proxy = new Proxy(Config.read(config), BalancerPolicy::new);
@@ -132,7 +132,7 @@
       Thread end = new Thread(() -> end(proxy), "end");
       Runtime.getRuntime().addShutdownHook(end);
       try {
-        proxy.startWarm();
+        proxy.startWithWarmUp();
         return SERVING;
       } catch (IOException e) {
         Runtime.getRuntime().removeShutdownHook(end);
--- a/src/main/java/beampoint/client/Session.java
+++ b/src/main/java/beampoint/client/Session.java
@@ -323,7 +323,7 @@
     }
 
     @Override
-    public void whole() {
+    public void complete() {
       slot.stream = null;
       slot.answer = sessions.writer().line("");
       flush();
@@ -331,7 +331,7 @@
 
     /** Guards against a value that was cut off and looks whole: the connection ends before its end. */
     @Override
-    public void broken() {
+    public void failed() {
       closed = true;
       connection.terminateSilently();
     }
--- a/src/main/java/beampoint/http/HttpWriter.java
+++ b/src/main/java/beampoint/http/HttpWriter.java
@@ -1,6 +1,6 @@
 package beampoint.http;
 
-import beampoint.buffer.Gather;
+import beampoint.buffer.MessageBuilder;
 import beampoint.request.ParameterList;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.memory.MemoryManager;
@@ -16,13 +16,14 @@
 
   /** A request without a body. */
   public Buffer get(String path, String host) {
-    return new Gather(memory).text("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n").message();
+    return new MessageBuilder(memory).text("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
+        .message();
   }
 
   /** The request of a client, with its id, its parameters and the time that is left; a write has a body. */
   public Buffer request(String host, Buffer key, Buffer id, ParameterList parameters, long timeLeftMs,
       Buffer body) {
-    Gather out = new Gather(memory);
+    MessageBuilder out = new MessageBuilder(memory);
     out.text(body == null ? "GET /" : "PUT /").bytes(key);
     out.text(" HTTP/1.1\r\nHost: " + host + "\r\nReq-Id: ").bytes(id);
     out.text("\r\nReq-Extra: ");
@@ -35,7 +36,7 @@
 
   /** An answer of one line, after which the connection ends. */
   public Buffer answer(int status, String reason, String text) {
-    return new Gather(memory).text("HTTP/1.1 " + status + " " + reason
+    return new MessageBuilder(memory).text("HTTP/1.1 " + status + " " + reason
         + "\r\nContent-Type: text/plain\r\nContent-Length: " + (text.length() + 1)
         + "\r\nConnection: close\r\n\r\n" + text + "\n").message();
   }
--- a/src/main/java/beampoint/log/Log.java
+++ b/src/main/java/beampoint/log/Log.java
@@ -76,7 +76,7 @@
   public static final class NoConfiguration {}
 
   /** Writes the warnings of libraries, which log by java.util.logging, as lines of this log. */
-  public static void takeOverLibraries() {
+  public static void captureLibraryLogs() {
     Log log = of("library");
     System.setProperty("java.util.logging.config.class", NoConfiguration.class.getName());
     LogManager.getLogManager().reset();
--- a/src/main/java/beampoint/memcache/CommandReader.java
+++ b/src/main/java/beampoint/memcache/CommandReader.java
@@ -144,7 +144,7 @@
       return skip > 0 ? null : unfinished;
     }
     heldUp = !value.add(in);
-    if (!value.isWhole()) {
+    if (!value.isComplete()) {
       return null;
     }
     Buffer whole = value.message();
--- a/src/main/java/beampoint/memcache/ReplyReader.java
+++ b/src/main/java/beampoint/memcache/ReplyReader.java
@@ -98,7 +98,7 @@
 
   private Reply collect(Buffer in) {
     value.add(in);
-    if (!value.isWhole()) {
+    if (!value.isComplete()) {
       return null;
     }
     Buffer whole = value.message();
--- a/src/main/java/beampoint/memcache/Writer.java
+++ b/src/main/java/beampoint/memcache/Writer.java
@@ -1,6 +1,6 @@
 package beampoint.memcache;
 
-import beampoint.buffer.Gather;
+import beampoint.buffer.MessageBuilder;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.memory.MemoryManager;
 
@@ -16,7 +16,7 @@
   /** The command as the client sent it, but for the time that is left. */
   public Buffer command(Command command, long timeLeftMs) {
     Buffer value = command.value();
-    Gather out = new Gather(memory);
+    MessageBuilder out = new MessageBuilder(memory);
     out.text(value == null ? "mg " : "ms ").bytes(command.key());
     out.text(value == null ? " v O" : " " + value.remaining() + " O").bytes(command.id()).text(" P");
     command.parameters().appendTo(out, timeLeftMs);
@@ -29,22 +29,22 @@
 
   /** A value that was given for this request. */
   public Buffer value(Buffer id, Buffer value) {
-    return new Gather(memory).text("VA " + value.remaining() + " O").bytes(id).text("\r\n")
+    return new MessageBuilder(memory).text("VA " + value.remaining() + " O").bytes(id).text("\r\n")
         .bytes(value).text("\r\n").message();
   }
 
   /** The head of a value of so many bytes, which follow on their own. */
   public Buffer valueHead(Buffer id, long length) {
-    return new Gather(memory).text("VA " + length + " O").bytes(id).text("\r\n").message();
+    return new MessageBuilder(memory).text("VA " + length + " O").bytes(id).text("\r\n").message();
   }
 
   /** The receipt that was given for this write. */
   public Buffer receipt(Buffer id, Buffer receipt) {
-    return new Gather(memory).text("HD O").bytes(id).text(" c").bytes(receipt).text("\r\n").message();
+    return new MessageBuilder(memory).text("HD O").bytes(id).text(" c").bytes(receipt).text("\r\n").message();
   }
 
   /** One line of text. */
   public Buffer line(String text) {
-    return new Gather(memory).text(text + "\r\n").message();
+    return new MessageBuilder(memory).text(text + "\r\n").message();
   }
 }
--- a/src/main/java/beampoint/request/ParameterList.java
+++ b/src/main/java/beampoint/request/ParameterList.java
@@ -1,7 +1,7 @@
 package beampoint.request;
 
 import beampoint.buffer.Collector;
-import beampoint.buffer.Gather;
+import beampoint.buffer.MessageBuilder;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.memory.MemoryManager;
 
@@ -19,7 +19,7 @@
    *
    * @param timeLeftMs whole ms, rounded down, for which the proxy will wait and the client will at most
    */
-  public void appendTo(Gather request, long timeLeftMs) {
+  public void appendTo(MessageBuilder request, long timeLeftMs) {
     if (timeTo <= timeFrom) {
       request.bytes(bytes);
       return;
--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -45,10 +45,10 @@
   private static final double LATE_MS = 15; // that the module has to answer what it was told of
 
   private final Balancer balancer;
-  private final Directory directory;
+  private final NameIndex directory;
   private final Counters counters;
   private final Clock clock;
-  private final Loop loop;
+  private final EventLoop loop;
   private final BooleanSupplier ready;
   private final Predicate<String> isOut; // by operators
   private Settings settings; // in force; open requests may have been taken under others
@@ -58,10 +58,10 @@
   private final Set<String> idsInUse = new HashSet<>(); // of these, as the clients word them
   private long lastId;
   private double endsBy = Double.POSITIVE_INFINITY;
-  private final FirstList firstList;
+  private final InitialListGate firstList;
 
-  Decisions(Balancer balancer, Settings settings, Directory directory, Counters counters, Clock clock,
-      Loop loop, BooleanSupplier ready, Predicate<String> isOut) {
+  Decisions(Balancer balancer, Settings settings, NameIndex directory, Counters counters, Clock clock,
+      EventLoop loop, BooleanSupplier ready, Predicate<String> isOut) {
     this.balancer = balancer;
     this.settings = settings;
     this.directory = directory;
@@ -70,7 +70,7 @@
     this.loop = loop;
     this.ready = ready;
     this.isOut = isOut;
-    this.firstList = new FirstList(loop);
+    this.firstList = new InitialListGate(loop);
   }
 
   /** Takes what carries out the decisions; before the first event. */
@@ -168,7 +168,7 @@
     Command command = exchange.command();
     exchange.told(clock.getAsDouble());
     give(new RequestReceived(exchange.id(), Math.min(exchange.notAfter(), endsBy), directory.tenant(command),
-        requestClass, Directory.key(command.key()), command.kind() == Command.Kind.WRITE, command.again(),
+        requestClass, NameIndex.key(command.key()), command.kind() == Command.Kind.WRITE, command.again(),
         overflow));
   }
 
--- a/src/main/java/beampoint/serve/Loop.java
+++ b/src/main/java/beampoint/serve/EventLoop.java
@@ -30,7 +30,7 @@
  * calls the module. Guards against one thread that wakes another for each message: of a part of one core that
  * took a third.
  */
-final class Loop extends AbstractExecutorService implements ScheduledExecutorService {
+final class EventLoop extends AbstractExecutorService implements ScheduledExecutorService {
 
   private static final Log LOG = Log.of("serve");
   private static final int MANY_CANCELLED = 1000;
@@ -83,7 +83,7 @@
     return new Arrivals() {
       @Override
       public double earliest() {
-        return clock.getAsDouble() - (System.nanoTime() - passes.arrivedSince()) / 1e6;
+        return clock.getAsDouble() - (System.nanoTime() - passes.earliestArrival()) / 1e6;
       }
 
       @Override
@@ -147,7 +147,7 @@
   }
 
   /** How many timers are kept. */
-  int timers() {
+  int timerCount() {
     return timers.size();
   }
 
--- a/src/main/java/beampoint/serve/GracefulShutdown.java
+++ b/src/main/java/beampoint/serve/GracefulShutdown.java
@@ -22,14 +22,14 @@
 
   private final Sessions sessions;
   private final Decisions decisions;
-  private final Loop loop;
+  private final EventLoop loop;
   private final Clock clock;
   private final BooleanSupplier isReplacing; // another process of this proxy serves
   private final CountDownLatch drained = new CountDownLatch(1);
   private volatile boolean begun;
   private double endsBy;
 
-  GracefulShutdown(Sessions sessions, Decisions decisions, Loop loop, Clock clock,
+  GracefulShutdown(Sessions sessions, Decisions decisions, EventLoop loop, Clock clock,
       BooleanSupplier isReplacing) {
     this.sessions = sessions;
     this.decisions = decisions;
--- a/src/main/java/beampoint/serve/HostListReceiver.java
+++ b/src/main/java/beampoint/serve/HostListReceiver.java
@@ -19,7 +19,7 @@
  */
 final class HostListReceiver {
 
-  private final Directory directory;
+  private final NameIndex directory;
   private final Decisions decisions;
   private final Upstreams upstreams;
   private final Runnable answered; // by discovery, with each list
@@ -27,7 +27,7 @@
   private boolean hasAny;
   private boolean unconfirmed; // discovery may have told more before this process started
 
-  HostListReceiver(Directory directory, Decisions decisions, Upstreams upstreams, Runnable answered) {
+  HostListReceiver(NameIndex directory, Decisions decisions, Upstreams upstreams, Runnable answered) {
     this.directory = directory;
     this.decisions = decisions;
     this.upstreams = upstreams;
--- a/src/main/java/beampoint/serve/FirstList.java
+++ b/src/main/java/beampoint/serve/InitialListGate.java
@@ -9,13 +9,13 @@
  * it listens: a drain of which the configuration does not know would be broken by the first request. Belongs
  * to the decision thread.
  */
-final class FirstList {
+final class InitialListGate {
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final List<Runnable> waiting = new ArrayList<>();
   private boolean known;
 
-  FirstList(Loop loop) {
+  InitialListGate(EventLoop loop) {
     this.loop = loop;
   }
 
--- a/src/main/java/beampoint/serve/Directory.java
+++ b/src/main/java/beampoint/serve/NameIndex.java
@@ -10,11 +10,11 @@
 import org.glassfish.grizzly.Buffer;
 
 /** Turns the names on the sockets into the module's numbers. */
-final class Directory {
+final class NameIndex {
 
   private SocketSettings settings;
 
-  Directory(SocketSettings settings) {
+  NameIndex(SocketSettings settings) {
     this.settings = settings;
   }
 
--- a/src/main/java/beampoint/serve/Proxy.java
+++ b/src/main/java/beampoint/serve/Proxy.java
@@ -52,8 +52,8 @@
   private final Function<Settings, Balancer> factory;
   private final Counters counters = new Counters();
   private final Clock clock = new Clock();
-  private final Loop loop = new Loop();
-  private final Directory directory;
+  private final EventLoop loop = new EventLoop();
+  private final NameIndex directory;
   private final TCPNIOTransport transport;
   private final Budget budget;
   private final Upstreams upstreams;
@@ -81,7 +81,7 @@
     this.name = config.name();
     this.factory = factory;
     Settings settings = config.settings();
-    this.directory = new Directory(config.socketSettings());
+    this.directory = new NameIndex(config.socketSettings());
     // One selector, and all filters and decisions on its thread: the proxy has one core, or a part of it.
     this.transport = TCPNIOTransportBuilder.newInstance()
         .setIOStrategy(SameThreadIOStrategy.getInstance())
@@ -142,7 +142,7 @@
    * As {@link #start()}, but says that it is ready only once its code has been run a while. Where another
    * process of this proxy may serve, clients are listened to only then, and not before discovery was heard.
    */
-  public void startWarm() throws IOException {
+  public void startWithWarmUp() throws IOException {
     warm = false;
     InetSocketAddress ops = open();
     InetSocketAddress self = adminServer == null ? onLoop(this::listen) : ops;
--- a/src/main/java/beampoint/serve/Reload.java
+++ b/src/main/java/beampoint/serve/Reload.java
@@ -15,16 +15,16 @@
   private static final double OLD_KIND_MS = 2000; // after new settings, beside a deadline, old requests come
 
   private Config config;
-  private final Directory directory;
+  private final NameIndex directory;
   private final Decisions decisions;
   private final Upstreams upstreams;
   private final HostListWatcher watch;
   private final Counters counters;
-  private final Loop loop;
+  private final EventLoop loop;
   private int reloads;
 
-  Reload(Config config, Directory directory, Decisions decisions, Upstreams upstreams, HostListWatcher watch,
-      Counters counters, Loop loop) {
+  Reload(Config config, NameIndex directory, Decisions decisions, Upstreams upstreams, HostListWatcher watch,
+      Counters counters, EventLoop loop) {
     this.config = config;
     this.directory = directory;
     this.decisions = decisions;
--- a/src/main/java/beampoint/serve/SelectorPasses.java
+++ b/src/main/java/beampoint/serve/SelectorPasses.java
@@ -83,7 +83,7 @@
   }
 
   /** When what the last selection found can have come at the earliest. */
-  long arrivedSince() {
+  long earliestArrival() {
     return arrivedSince;
   }
 }
--- a/src/test/java/beampoint/buffer/StreamTest.java
+++ b/src/test/java/beampoint/buffer/StreamTest.java
@@ -25,12 +25,12 @@
     }
 
     @Override
-    public void whole() {
+    public void complete() {
       told.add("whole");
     }
 
     @Override
-    public void broken() {
+    public void failed() {
       told.add("broken");
     }
   };
--- a/src/test/java/beampoint/log/LogTest.java
+++ b/src/test/java/beampoint/log/LogTest.java
@@ -39,7 +39,7 @@
   @Test
   void librariesWriteToTheSameLog() {
     String[] lines = written(() -> {
-      Log.takeOverLibraries();
+      Log.captureLibraryLogs();
       Logger.getLogger("org.example").warning("it creaks");
       Logger.getLogger("org.example").info("it runs");
     });
--- a/src/test/java/beampoint/request/ParameterListTest.java
+++ b/src/test/java/beampoint/request/ParameterListTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import beampoint.buffer.Gather;
+import beampoint.buffer.MessageBuilder;
 import java.nio.charset.StandardCharsets;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.memory.Buffers;
@@ -33,7 +33,7 @@
   }
 
   private static String written(ParameterList list, long timeLeftMs) {
-    Gather request = new Gather(MEMORY);
+    MessageBuilder request = new MessageBuilder(MEMORY);
     list.appendTo(request, timeLeftMs);
     return request.message().toStringContent(StandardCharsets.ISO_8859_1);
   }
--- a/src/test/java/beampoint/serve/ConfigTest.java
+++ b/src/test/java/beampoint/serve/ConfigTest.java
@@ -38,7 +38,7 @@
 
   private static long key(String text) {
     Buffer buffer = Buffers.wrap(new HeapMemoryManager(), text);
-    return Directory.key(buffer);
+    return NameIndex.key(buffer);
   }
 
   @Test
@@ -52,7 +52,7 @@
     assertEquals(50, config.settings().tenants().get(0).quotaPerSecond());
     assertEquals(List.of("read", "put"), config.socketSettings().classes());
     assertEquals(60_000, config.socketSettings().connectionIdle());
-    assertEquals(1, new Directory(config.socketSettings()).endpoint(config.known().hosts().get(0)).kind());
+    assertEquals(1, new NameIndex(config.socketSettings()).endpoint(config.known().hosts().get(0)).kind());
   }
 
   @Test
@@ -117,7 +117,7 @@
     json.getAsJsonObject("known").getAsJsonArray("hosts").get(0).getAsJsonObject().addProperty("class", "m9");
     Config config = Config.read("config.json", json);
     assertEquals(-1, config.settings().originKind());
-    assertEquals(2, new Directory(config.socketSettings()).endpoint(config.known().hosts().get(0)).kind());
+    assertEquals(2, new NameIndex(config.socketSettings()).endpoint(config.known().hosts().get(0)).kind());
   }
 
   @Test
--- a/src/test/java/beampoint/serve/LoopTest.java
+++ b/src/test/java/beampoint/serve/LoopTest.java
@@ -21,7 +21,7 @@
 @Timeout(30)
 class LoopTest {
 
-  private final Loop loop = new Loop();
+  private final EventLoop loop = new EventLoop();
   private final TCPNIOTransport transport = TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1)
       .setSelectorHandler(loop.selectorHandler()).build();
   private final LinkedBlockingQueue<Object> done = new LinkedBlockingQueue<>();
@@ -81,7 +81,7 @@
         cancelled.add(loop.schedule(() -> done.add("cancelled"), 50, TimeUnit.MILLISECONDS));
       }
       cancelled.forEach(timer -> timer.cancel(false));
-      done.add(loop.timers());
+      done.add(loop.timerCount());
     });
     assertTrue((int) next() <= 1000, "most have left");
     loop.schedule(() -> done.add("last"), 60, TimeUnit.MILLISECONDS);
--- a/src/test/java/beampoint/serve/OperationsTest.java
+++ b/src/test/java/beampoint/serve/OperationsTest.java
@@ -176,7 +176,7 @@
     Proxy proxy = new Proxy(config(384, discovery.address()), settings -> module, directory);
     Thread start = new Thread(() -> {
       try {
-        proxy.startWarm();
+        proxy.startWithWarmUp();
       } catch (java.io.IOException e) {
         throw new java.io.UncheckedIOException(e);
       }
--- a/src/test/java/beampoint/serve/ProxyLifecycleTest.java
+++ b/src/test/java/beampoint/serve/ProxyLifecycleTest.java
@@ -51,7 +51,7 @@
     Proxy proxy = new Proxy(ProxyFixture.config(hosts, 1024, Stub.nobody()),
         settings -> made.getAndIncrement() == 0 ? module : rehearsed);
     try {
-      proxy.startWarm();
+      proxy.startWithWarmUp();
       try (Client client = new Client(proxy.port())) {
         module.next(ListReceived.class);
         client.say("mn\r\n");
--- a/src/test/java/beampoint/serve/SelectorPassesTest.java
+++ b/src/test/java/beampoint/serve/SelectorPassesTest.java
@@ -30,7 +30,7 @@
   }
 
   private void assertSince(double ms) {
-    assertEquals(nanos(ms), passes.arrivedSince());
+    assertEquals(nanos(ms), passes.earliestArrival());
   }
 
   @Test
@@ -63,7 +63,7 @@
       assertFalse(fresh.mustReadAgain(nanos(10.1))); // its work ends at 11, the stop at 161
       assertEquals(0, fresh.longestWaitMs(nanos(161), Long.MAX_VALUE));
       fresh.selected(nanos(161), 0, nanos(161 + slow));
-      assertEquals(nanos(10), fresh.arrivedSince(), "a selection of " + slow);
+      assertEquals(nanos(10), fresh.earliestArrival(), "a selection of " + slow);
       assertTrue(fresh.mustReadAgain(nanos(161 + slow)), "a selection of " + slow);
     }
   }
@@ -76,7 +76,7 @@
         SelectorPasses fresh = new SelectorPasses(0);
         fresh.selected(0, nanos(longest), nanos(begins + 150));
         assertTrue(fresh.mustReadAgain(nanos(begins + 150)), begins + " ms into a wait of " + longest);
-        assertTrue(fresh.arrivedSince() <= nanos(begins));
+        assertTrue(fresh.earliestArrival() <= nanos(begins));
       }
     }
   }
