--- a/src/main/java/beampoint/serve/Clock.java
+++ b/src/main/java/beampoint/serve/Clock.java
@@ -3,16 +3,16 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Unix time in ms that never goes back: the ring's steps and the hosts' starts need a clock common to all
- * machines, and what is measured must not see the system's clock being set.
+ * Monotonic Unix time in ms. The ring's steps and the start times of hosts need a clock that all machines
+ * share, and measured durations must not be affected when the system clock is set.
  */
 final class Clock implements DoubleSupplier {
 
   private final double startedAt = System.currentTimeMillis();
-  private final long nanos = System.nanoTime();
+  private final long startNanos = System.nanoTime();
 
   @Override
   public double getAsDouble() {
-    return startedAt + (System.nanoTime() - nanos) / 1e6;
+    return startedAt + (System.nanoTime() - startNanos) / 1e6;
   }
 }
--- a/src/main/java/beampoint/serve/Config.java
+++ b/src/main/java/beampoint/serve/Config.java
@@ -19,8 +19,13 @@
 import java.util.Set;
 
 /**
- * What a proxy is told at its start; {@code ops} is null where there is no address for operators, and
- * {@code fleet} where it is a member of none.
+ * The configuration of a proxy.
+ *
+ * @param ops the address for operators, or null if there is none
+ * @param fleet the fleet that the proxy is a member of, or null if there is none
+ * @param sockets how many file descriptors the process may use
+ * @param known the host list that holds until discovery sends one
+ * @param keys the keys that the configuration file contains, without those of the host list
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress ops,
     FleetSettings fleet, InetSocketAddress discovery, long seed,
@@ -29,7 +34,11 @@
 
   private static final int MIN_SOCKETS = 40;
 
-  /** Reads the file; whatever is wrong with it is told in one plain sentence. */
+  /**
+   * Reads a configuration file.
+   *
+   * @throws InputException with a one-line message if the file can't be read or is not valid
+   */
   public static Config read(Path file) throws InputException {
     try {
       return read(file.toString(), JsonParser.parseString(Files.readString(file)).getAsJsonObject());
@@ -42,53 +51,53 @@
   }
 
   static Config read(String source, JsonObject json) throws InputException {
-    JsonObject own = withoutHosts(json);
-    JsonFields top = new JsonFields(source, own);
+    JsonObject fields = withoutHosts(json);
+    JsonFields root = new JsonFields(source, fields);
     long seed;
     try {
-      seed = Long.parseUnsignedLong(top.text("seed"), 16);
+      seed = Long.parseUnsignedLong(root.text("seed"), 16);
     } catch (NumberFormatException e) {
-      throw top.malformed("seed", "not a hexadecimal number");
+      throw root.malformed("seed", "not a hexadecimal number");
     }
     if (!json.has("settings") || !json.has("known")) {
-      throw top.malformed(json.has("known") ? "settings" : "known", "missing");
+      throw root.malformed(json.has("known") ? "settings" : "known", "missing");
     }
     JsonFields settings = new JsonFields(source + ", settings", json.getAsJsonObject("settings"));
     settings.put("nonce64", Long.toString(seed));
-    int sockets = Descriptors.atMost(top.index("limits.sockets", 1024));
+    int sockets = Descriptors.atMost(root.index("limits.sockets", 1024));
     if (sockets < MIN_SOCKETS) {
-      throw top.malformed("limits.sockets", "too few: " + sockets + ", at least " + MIN_SOCKETS);
+      throw root.malformed("limits.sockets", "too few: " + sockets + ", at least " + MIN_SOCKETS);
     }
     String ops = System.getenv("PROXY_OPS");
     if (ops != null && !ops.isBlank()) {
-      top.put("ops", ops);
+      root.put("ops", ops);
     }
-    return new Config(top.text("name"), top.address("listen"),
-        top.text("ops", null) == null ? null : top.address("ops"),
-        json.has("fleet") ? FleetSettings.read(top) : null, top.address("discovery"), seed,
-        sockets, top.index("limits.memory_mb", 192), HostList.read(json.getAsJsonObject("known")),
-        SettingsReader.read(settings), SocketSettings.read(settings), Shape.of(own));
+    return new Config(root.text("name"), root.address("listen"),
+        root.text("ops", null) == null ? null : root.address("ops"),
+        json.has("fleet") ? FleetSettings.read(root) : null, root.address("discovery"), seed,
+        sockets, root.index("limits.memory_mb", 192), HostList.read(json.getAsJsonObject("known")),
+        SettingsReader.read(settings), SocketSettings.read(settings), Shape.of(fields));
   }
 
-  /** The same with a mark in place of the list of hosts, which has a form of its own and is long. */
+  /** Copies the configuration with {@code true} in place of the host list, which is long and parsed apart. */
   private static JsonObject withoutHosts(JsonObject json) {
-    JsonObject own = new JsonObject();
-    json.entrySet().forEach(member -> own.add(member.getKey(), member.getValue()));
-    if (own.has("known")) {
-      own.addProperty("known", true);
+    JsonObject fields = new JsonObject();
+    json.entrySet().forEach(member -> fields.add(member.getKey(), member.getValue()));
+    if (fields.has("known")) {
+      fields.addProperty("known", true);
     }
-    return own;
+    return fields;
   }
 
   /**
-   * The first key that the next configuration lacks though this one has it, or null. Guards against one that
-   * was written in part: what is missing would be taken for what it is by default.
+   * Returns the first key of this configuration that the next one lacks, or null. A file that was written
+   * only in part must not be applied, because its missing keys would fall back to their defaults.
    */
   String missingIn(Config next) {
     return keys.stream().filter(key -> !next.keys.contains(key)).findFirst().orElse(null);
   }
 
-  /** True where the next configuration differs in what holds from a start on. */
+  /** True if the next configuration changes a setting that takes effect only at a restart. */
   boolean needsRestart(Config next) {
     return !name.equals(next.name) || !listen.equals(next.listen) || sockets != next.sockets
         || !Objects.equals(ops, next.ops) || !Objects.equals(fleet, next.fleet)
--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -36,72 +36,74 @@
 import java.util.stream.IntStream;
 
 /**
- * Tells the decision module what happens and carries out what it decides, for every request that is open. It
- * picks, repeats and refuses nothing itself. Belongs to the decision thread.
+ * Passes events to the decision module and carries out the actions that it returns, for all open requests. It
+ * selects no endpoint, retries nothing and refuses nothing itself. Belongs to the decision thread.
  */
 final class Decisions implements Intake, Reports {
 
   private static final Log LOG = Log.of("serve");
-  private static final double LATE_MS = 15; // that the module has to answer what it was told of
+  private static final double OVERDUE_CHECK_MS = 15; // for the module to answer after an event
 
   private final Balancer balancer;
-  private final NameIndex directory;
+  private final NameIndex names;
   private final Counters counters;
   private final Clock clock;
   private final EventLoop loop;
   private final BooleanSupplier ready;
-  private final Predicate<String> isOut; // by operators
-  private Settings settings; // in force; open requests may have been taken under others
+  private final Predicate<String> isBanned; // by operators
+  private Settings settings; // in force; open requests may have been accepted under earlier ones
   private Upstreams upstreams;
-  private HostListWatcher watch;
-  private final Map<Long, Exchange> exchanges = new HashMap<>(); // open, or with an attempt out
-  private final Set<String> idsInUse = new HashSet<>(); // of these, as the clients word them
+  private HostListWatcher watcher;
+  private final Map<Long, Exchange> exchanges = new HashMap<>(); // open, or with an attempt in flight
+  private final Set<String> idsInUse = new HashSet<>(); // the client ids of these exchanges
   private long lastId;
-  private double endsBy = Double.POSITIVE_INFINITY;
-  private final InitialListGate firstList;
+  private double attemptDeadline = Double.POSITIVE_INFINITY;
+  private final InitialListGate initialList;
 
-  Decisions(Balancer balancer, Settings settings, NameIndex directory, Counters counters, Clock clock,
-      EventLoop loop, BooleanSupplier ready, Predicate<String> isOut) {
+  Decisions(Balancer balancer, Settings settings, NameIndex names, Counters counters, Clock clock,
+      EventLoop loop, BooleanSupplier ready, Predicate<String> isBanned) {
     this.balancer = balancer;
     this.settings = settings;
-    this.directory = directory;
+    this.names = names;
     this.counters = counters;
     this.clock = clock;
     this.loop = loop;
     this.ready = ready;
-    this.isOut = isOut;
-    this.firstList = new InitialListGate(loop);
+    this.isBanned = isBanned;
+    this.initialList = new InitialListGate(loop);
   }
 
-  /** Takes what carries out the decisions; before the first event. */
-  void carryOutWith(Upstreams attempts, HostListWatcher list) {
-    upstreams = attempts;
-    watch = list;
+  /** Sets the components that carry out the actions; called before the first event. */
+  void connect(Upstreams newUpstreams, HostListWatcher newWatcher) {
+    upstreams = newUpstreams;
+    watcher = newWatcher;
   }
 
   Settings settings() {
     return settings;
   }
 
-  /** New settings are in force from here on. */
-  void settings(Settings next) {
+  /** Uses other settings from now on. */
+  void setSettings(Settings next) {
     settings = next;
   }
 
-  /** Among how many proxies the load is shared, as far as it is known. */
-  void siblings(int number) {
+  /** Sets the number of proxies that share the load, as currently known. */
+  void setSiblings(int number) {
     if (number != settings.siblings()) {
       LOG.info("the load is shared among " + number + " proxies");
       settings = settings.withSiblings(number);
-      give(new SettingsChanged(settings, places(settings.classes()), places(settings.tenants())));
+      dispatch(new SettingsChanged(settings, unchangedIndices(settings.classes()),
+          unchangedIndices(settings.tenants())));
     }
   }
 
-  /** All stay where they are. */
-  private static List<Integer> places(List<?> of) {
-    return IntStream.range(0, of.size()).boxed().toList();
+  /** The former index of each entry of a list in which none has moved. */
+  private static List<Integer> unchangedIndices(List<?> list) {
+    return IntStream.range(0, list.size()).boxed().toList();
   }
 
+  /** The longest deadline of all request classes, in ms. */
   static double longestDeadline(Settings settings) {
     return settings.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0);
   }
@@ -111,11 +113,11 @@
     return ready.getAsBoolean();
   }
 
-  /** Guards against an id that stands for two requests at once: an answer names its request by it. */
+  /** Rejects an id that another open request uses as well, because answers name their request by its id. */
   @Override
   public String problem(Command command) {
-    return directory.requestClass(command) < 0 ? "unknown class"
-        : !directory.knowsTenant(command) ? "unknown tenant"
+    return names.requestClass(command) < 0 ? "unknown class"
+        : !names.knowsTenant(command) ? "unknown tenant"
         : idsInUse.contains(id(command)) ? "id in use" : null;
   }
 
@@ -125,14 +127,14 @@
 
   @Override
   public Exchange take(Command command, double readAt, BooleanSupplier left, Consumer<Answer> client) {
-    int requestClass = directory.requestClass(command);
+    int requestClass = names.requestClass(command);
     Exchange exchange = open(command, readAt + command.waitMs(), left, client);
     double notAfter = exchange.notAfter();
-    // Queued, as its place in the order of answers must stand before the module may answer.
+    // Queued, because the request must have its place in the order of answers before the module can answer.
     loop.execute(() -> {
-      failLateAfter(notAfter + LATE_MS - clock.getAsDouble(), exchange, notAfter);
-      // By half of its time it is decided in any case: what is refused later than that costs its client more.
-      firstList.whenKnown((notAfter - clock.getAsDouble()) / 2, () -> begin(exchange, requestClass));
+      scheduleOverdueCheck(notAfter + OVERDUE_CHECK_MS - clock.getAsDouble(), exchange, notAfter);
+      // Decided after half of its time at the latest: a later refusal would cost its client more.
+      initialList.runWhenOpen((notAfter - clock.getAsDouble()) / 2, () -> begin(exchange, requestClass));
     });
     return exchange;
   }
@@ -141,10 +143,10 @@
   public Answer refuse(Command command) {
     AtomicReference<Answer> answer = new AtomicReference<>();
     Exchange exchange = open(command, clock.getAsDouble() + command.waitMs(), () -> false, answer::set);
-    tell(exchange, directory.requestClass(command), true);
+    submit(exchange, names.requestClass(command), true);
     if (!exchange.isOver()) {
       close(exchange, Answer.FAILED);
-      give(new RequestGone(exchange.id()));
+      dispatch(new RequestGone(exchange.id()));
     }
     return answer.get();
   }
@@ -159,62 +161,65 @@
   }
 
   private void begin(Exchange exchange, int requestClass) {
-    if (exchange.isWanted()) { // else the module would hear of its leaving first, and of it after that
-      tell(exchange, requestClass, false);
+    if (exchange.isWanted()) { // otherwise the module would receive RequestGone before RequestReceived
+      submit(exchange, requestClass, false);
     }
   }
 
-  private void tell(Exchange exchange, int requestClass, boolean overflow) {
+  private void submit(Exchange exchange, int requestClass, boolean overflow) {
     Command command = exchange.command();
     exchange.told(clock.getAsDouble());
-    give(new RequestReceived(exchange.id(), Math.min(exchange.notAfter(), endsBy), directory.tenant(command),
-        requestClass, NameIndex.key(command.key()), command.kind() == Command.Kind.WRITE, command.again(),
-        overflow));
+    dispatch(new RequestReceived(exchange.id(), Math.min(exchange.notAfter(), attemptDeadline),
+        names.tenant(command), requestClass, NameIndex.key(command.key()),
+        command.kind() == Command.Kind.WRITE, command.again(), overflow));
   }
 
-  /** Discovery was heard, or can't be for now: requests wait for its first list no longer. */
-  void heardDiscovery() {
-    firstList.known();
+  /** A call to discovery has been answered or has failed: requests no longer wait for the first list. */
+  void discoveryContacted() {
+    initialList.open();
   }
 
-  /** Has the last word on a request after so many ms, unless the module was told of it since a time. */
-  private void failLateAfter(double delay, Exchange exchange, double since) {
-    long id = exchange.id(); // the timer outlasts the exchange and must not keep it
+  /**
+   * Fails a request after a delay in ms, unless it has been answered by then. Allows more time if attempts
+   * are in flight, or the module has received an event for it at or after {@code since}.
+   */
+  private void scheduleOverdueCheck(double delay, Exchange exchange, double since) {
+    long id = exchange.id(); // the timer may outlive the exchange and must not keep it reachable
     int extensions = exchange.maxAttempts() + 1;
-    loop.after(delay, () -> failLate(id, since, extensions));
+    loop.after(delay, () -> checkOverdue(id, since, extensions));
   }
 
   /**
-   * Guards against a request that the module forgot: whatever was taken is answered. What the module is told
-   * once a request's time is over it may answer, by the timers and the ends of attempts that follow. Where
-   * this thread was late these stand behind this timer: without the extensions a request would be failed that
-   * the module has yet to answer.
+   * Fails a request that the module has left unanswered past its deadline, so that every accepted request is
+   * answered. The module may still answer on events that it receives after the deadline: timers, and attempts
+   * that end. If this thread ran late, those events are queued behind this timer. Without the extensions, a
+   * request would then be failed although the module is about to answer it.
    */
-  private void failLate(long id, double since, int extensions) {
+  private void checkOverdue(long id, double since, int extensions) {
     Exchange exchange = exchanges.get(id);
     if (exchange == null || exchange.isOver()) {
       return;
     }
     double now = clock.getAsDouble();
-    boolean isToldMore = exchange.attemptsOut() > 0 || exchange.toldAt() >= since;
-    if (isToldMore && extensions > 0) {
-      loop.after(LATE_MS, () -> failLate(id, now, extensions - 1));
+    boolean mayBeAnswered = exchange.attemptsOut() > 0 || exchange.toldAt() >= since;
+    if (mayBeAnswered && extensions > 0) {
+      loop.after(OVERDUE_CHECK_MS, () -> checkOverdue(id, now, extensions - 1));
       return;
     }
     counters.add(Counter.ANSWERS_OVERDUE);
     LOG.error("no answer in time for request " + id + ": " + Math.round(now - exchange.notAfter())
-        + " ms over its time, " + exchange.attemptsOut() + " attempts out, the module was told "
+        + " ms past its deadline, " + exchange.attemptsOut() + " attempts in flight, last module event "
         + Math.round(now - exchange.toldAt()) + " ms ago");
     close(exchange, Answer.FAILED);
-    give(new RequestGone(id));
+    dispatch(new RequestGone(id));
   }
 
   @Override
   public void gone(Exchange exchange) {
     if (exchange.abandon()) {
       counters.add(Counter.REQUESTS_GONE);
-      forget(exchange);
-      give(new RequestGone(exchange.id()));
+      releaseIfDone(exchange);
+      dispatch(new RequestGone(exchange.id()));
       upstreams.abandon(exchange.id());
     }
   }
@@ -227,35 +232,36 @@
     if (answer != null) {
       close(exchange, answer);
     }
-    forget(exchange);
-    give(new AttemptEnded(exchange.id(), attempt, endpoint, elapsed, result, exchange.isOver(),
-        directory.names().loads().named(load)));
+    releaseIfDone(exchange);
+    dispatch(new AttemptEnded(exchange.id(), attempt, endpoint, elapsed, result, exchange.isOver(),
+        names.settings().loads().named(load)));
   }
 
   @Override
   public void probed(String endpoint, double elapsed, Result result) {
-    give(new ProbeEnded(endpoint, result, elapsed));
+    dispatch(new ProbeEnded(endpoint, result, elapsed));
   }
 
-  /** Tells the module, and does what it says. */
-  void give(Event event) {
+  /** Passes an event to the decision module and carries out the actions that it returns. */
+  void dispatch(Event event) {
     if (event instanceof BanChanged e && e.out()) {
-      upstreams.drain(e.endpoint()); // a connection may come up after the grace
+      upstreams.drain(e.endpoint()); // a connection may be established only after the grace period
     }
     List<Action> actions;
     try {
       actions = balancer.handle(clock.getAsDouble(), event);
     } catch (RuntimeException e) {
-      // Guards against a fault in the module: it costs the request at hand, not the proxy.
+      // An exception in the module fails only the request that the event belongs to, not the proxy.
       counters.add(Counter.LOGIC_EXCEPTIONS);
       LOG.error("the decision module failed for " + event, e);
-      fail(event);
+      failRequestOf(event);
       return;
     }
     actions.forEach(this::carryOut);
   }
 
-  private void fail(Event event) {
+  /** Fails the request that an event belongs to, if there is one. */
+  private void failRequestOf(Event event) {
     long id = event instanceof RequestReceived e ? e.id() : event instanceof AttemptEnded e ? e.id()
         : event instanceof TimerFired e ? e.token() : 0;
     Exchange exchange = exchanges.get(id);
@@ -274,14 +280,14 @@
     } else if (action instanceof Balancer.Cancel a) {
       upstreams.cancel(a.id(), a.attempt());
     } else if (action instanceof Balancer.SetTimer a) {
-      loop.after(a.delay(), () -> give(new TimerFired(a.token())));
+      loop.after(a.delay(), () -> dispatch(new TimerFired(a.token())));
     } else if (action instanceof Balancer.Probe a) {
-      checkInUse(a.endpoint());
+      checkNotBanned(a.endpoint());
       upstreams.probe(a.endpoint());
     } else if (action instanceof Balancer.CloseIdle a) {
       upstreams.closeIdle(a.endpoint());
     } else if (action instanceof Balancer.FollowList) {
-      watch.follow();
+      watcher.follow();
     } else if (action instanceof Balancer.Log a) {
       LOG.info(a.text());
     }
@@ -293,10 +299,10 @@
       return;
     }
     double now = clock.getAsDouble();
-    double last = Math.min(exchange.notAfter(), endsBy);
+    double last = Math.min(exchange.notAfter(), attemptDeadline);
     counters.check(settings.limits().secondCopies() || exchange.attemptsOut() == 0,
-        "one attempt is out at a time");
-    checkInUse(a.endpoint());
+        "only one attempt is in flight at a time");
+    checkNotBanned(a.endpoint());
     int attempt = exchange.beginAttempt();
     if (!exchange.isWanted()) {
       gone(exchange);
@@ -309,17 +315,18 @@
     }
   }
 
-  private void checkInUse(String endpoint) {
-    counters.check(!isOut.test(endpoint), "nothing goes to a node that is out");
+  private void checkNotBanned(String endpoint) {
+    counters.check(!isBanned.test(endpoint), "no request or probe is sent to a banned node");
   }
 
   private void close(Exchange exchange, Answer answer) {
     if (exchange != null && exchange.answer(answer)) {
-      forget(exchange);
+      releaseIfDone(exchange);
     }
   }
 
-  private void forget(Exchange exchange) {
+  /** Releases an exchange once it is over and has no attempt in flight. */
+  private void releaseIfDone(Exchange exchange) {
     if (exchange.isOver() && exchange.attemptsOut() == 0) {
       exchange.command().release();
       exchanges.remove(exchange.id());
@@ -327,17 +334,17 @@
     }
   }
 
-  /** Guards against a SIGKILL with requests still open: no attempt lasts beyond this. */
-  void endBy(double time) {
-    endsBy = time;
+  /** Sets the time by which all attempts end, so that no request is still open at a SIGKILL. */
+  void setAttemptDeadline(double time) {
+    attemptDeadline = time;
   }
 
-  /** Ends all attempts: the module answers what is open, or else it is failed. */
+  /** Ends all attempts. The module then answers the open requests; any that it leaves open are failed. */
   void expireAll() {
     for (Exchange exchange : List.copyOf(exchanges.values())) {
       if (!exchange.isOver()) {
         upstreams.expire(exchange.id());
-        failLateAfter(LATE_MS, exchange, clock.getAsDouble());
+        scheduleOverdueCheck(OVERDUE_CHECK_MS, exchange, clock.getAsDouble());
       }
     }
   }
--- a/src/main/java/beampoint/serve/Descriptors.java
+++ b/src/main/java/beampoint/serve/Descriptors.java
@@ -6,28 +6,28 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** How many file descriptors the system lets this process have. */
+/** The limit on the number of open file descriptors of this process. */
 final class Descriptors {
 
   private static final Path LIMITS = Path.of("/proc/self/limits");
-  private static final Pattern SOFT = Pattern.compile("(?m)^Max open files +(\\d{1,9}) ");
+  private static final Pattern SOFT_LIMIT = Pattern.compile("(?m)^Max open files +(\\d{1,9}) ");
 
   private Descriptors() {}
 
   /**
-   * The smaller of a stated number and the limit in force. Guards against a proxy that is told of more than
-   * it has: it would accept until nothing is left, for discovery and cache nodes either.
+   * Returns the smaller of a configured number and the limit in force. A proxy whose configured number
+   * exceeds the limit would accept clients until no descriptor is left for discovery and cache nodes.
    */
-  static int atMost(int stated) {
+  static int atMost(int configured) {
     try {
-      return atMost(stated, Files.readString(LIMITS));
+      return atMost(configured, Files.readString(LIMITS));
     } catch (IOException e) {
-      return stated; // a system that does not tell
+      return configured; // the system has no such file
     }
   }
 
-  static int atMost(int stated, String limits) {
-    Matcher matcher = SOFT.matcher(limits);
-    return matcher.find() ? Math.min(stated, Integer.parseInt(matcher.group(1))) : stated;
+  static int atMost(int configured, String limits) {
+    Matcher matcher = SOFT_LIMIT.matcher(limits);
+    return matcher.find() ? Math.min(configured, Integer.parseInt(matcher.group(1))) : configured;
   }
 }
--- a/src/main/java/beampoint/serve/EventLoop.java
+++ b/src/main/java/beampoint/serve/EventLoop.java
@@ -25,30 +25,30 @@
 import org.glassfish.grizzly.nio.SelectorRunner;
 
 /**
- * The decision thread, which is the selector's own: once all that is ready has been read, it runs the tasks
- * that came of it and the timers that are due. Every state that is not a codec's belongs to it, and it alone
- * calls the module. Guards against one thread that wakes another for each message: of a part of one core that
- * took a third.
+ * The event loop of the decision thread, which is the selector's thread: once everything ready has been read,
+ * it runs the resulting tasks and the timers that are due. All state except that of the codecs belongs to
+ * this thread, and only this thread calls the decision module. With a separate thread for decisions, waking
+ * it for each message took a third of the CPU time where the proxy had only a part of a core.
  */
 final class EventLoop extends AbstractExecutorService implements ScheduledExecutorService {
 
   private static final Log LOG = Log.of("serve");
-  private static final int MANY_CANCELLED = 1000;
-  private static final long SLICE_NANOS = 10_000_000; // of tasks, before the selector has its turn again
+  private static final int MAX_CANCELLED = 1000; // that may stay in the queue of timers
+  private static final long SLICE_NANOS = 10_000_000; // for tasks, before the next selection
 
   private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-  private final Queue<Runnable> afterNextRead = new ArrayDeque<>(); // tasks
+  private final Queue<Runnable> afterNextRead = new ArrayDeque<>();
   private final Queue<Runnable> newTimers = new ConcurrentLinkedQueue<>(); // set by other threads
-  private final PriorityQueue<Timer<?>> timers =
-      new PriorityQueue<>(Comparator.<Timer<?>>comparingLong(t -> t.dueAt).thenComparingLong(t -> t.number));
-  private int cancelled; // of the timers
-  private long lastNumber;
+  private final PriorityQueue<Timer<?>> timers = new PriorityQueue<>(
+      Comparator.<Timer<?>>comparingLong(t -> t.dueAt).thenComparingLong(t -> t.sequence));
+  private int cancelled; // timers still in the queue
+  private long lastSequence;
   private final SelectorPasses passes = new SelectorPasses(System.nanoTime());
   private volatile Selector selector;
   private volatile Thread thread;
   private volatile boolean stopped;
 
-  /** What the transport is to be given. */
+  /** The selector handler to give to the transport. */
   DefaultSelectorHandler selectorHandler() {
     return new Handler();
   }
@@ -59,13 +59,13 @@
     public Set<SelectionKey> select(SelectorRunner runner) throws IOException {
       selector = runner.getSelector();
       thread = Thread.currentThread();
-      long askedAt = System.nanoTime();
-      long untilNext = runner.getPostponedTasks().isEmpty() ? untilNext(askedAt) : 0;
-      long longestMs = passes.longestWaitMs(askedAt, untilNext);
-      int found = longestMs == 0 ? selector.selectNow() : selector.select(longestMs);
-      passes.selected(askedAt, TimeUnit.MILLISECONDS.toNanos(longestMs), System.nanoTime());
+      long startedAt = System.nanoTime();
+      long untilNext = runner.getPostponedTasks().isEmpty() ? nanosUntilNext(startedAt) : 0;
+      long maxWaitMs = passes.longestWaitMs(startedAt, untilNext);
+      int found = maxWaitMs == 0 ? selector.selectNow() : selector.select(maxWaitMs);
+      passes.selected(startedAt, TimeUnit.MILLISECONDS.toNanos(maxWaitMs), System.nanoTime());
       if (found == 0 && passes.selectionWasStalled()) {
-        selector.selectNow(); // a wait that is over ends without what came while the process was stopped
+        selector.selectNow(); // a wait that timed out misses what arrived while the process was paused
       }
       tasks.addAll(afterNextRead);
       afterNextRead.clear();
@@ -74,11 +74,11 @@
 
     @Override
     public void postSelect(SelectorRunner runner) {
-      runAll();
+      runDue();
     }
   }
 
-  /** When what is read can have come, by this clock; on this thread. */
+  /** The times of arrival of what is read, by the given clock; for use on this thread. */
   Arrivals arrivals(DoubleSupplier clock) {
     return new Arrivals() {
       @Override
@@ -98,8 +98,8 @@
     };
   }
 
-  /** How long nothing is due, in ns. */
-  private long untilNext(long now) {
+  /** The time until the next task or timer is due, in ns. */
+  private long nanosUntilNext(long now) {
     if (!tasks.isEmpty() || !afterNextRead.isEmpty() || !newTimers.isEmpty()) {
       return 0;
     }
@@ -107,37 +107,38 @@
   }
 
   /**
-   * Runs what is due. A long backlog lets the selector have its turn between, and where the thread was
-   * stalled all is read once more first: no work is to be begun for clients whose end lies unread.
+   * Runs the tasks and timers that are due. A long backlog is interrupted for selections. After a stall of
+   * the thread, everything is read once more first, so that no work starts for clients that have closed their
+   * connection while the close is still unread.
    */
-  private void runAll() {
+  private void runDue() {
     long begun = System.nanoTime();
     if (passes.mustReadAgain(begun)) {
       return;
     }
-    drain(newTimers, begun + Long.MAX_VALUE / 2);
-    boolean all = drain(tasks, begun + SLICE_NANOS);
+    runTasks(newTimers, begun + Long.MAX_VALUE / 2);
+    boolean isEmpty = runTasks(tasks, begun + SLICE_NANOS);
     long now = System.nanoTime();
     while (!timers.isEmpty() && timers.peek().dueAt - now <= 0) {
       Timer<?> timer = timers.poll();
       if (timer.isCancelled()) {
         cancelled--;
-      } else if (all) {
+      } else if (isEmpty) {
         timer.fire();
-        all = drain(tasks, begun + SLICE_NANOS);
+        isEmpty = runTasks(tasks, begun + SLICE_NANOS);
       } else {
-        tasks.add(timer::fire); // behind what was read before
+        tasks.add(timer::fire); // behind the tasks that are queued already
       }
     }
   }
 
-  /** True where nothing is left when the time is over. */
-  private boolean drain(Queue<Runnable> queue, long until) {
+  /** Runs queued tasks until the given time; true if the queue is empty then. */
+  private boolean runTasks(Queue<Runnable> queue, long until) {
     for (Runnable task = queue.poll(); task != null && !stopped; task = queue.poll()) {
       try {
         task.run();
       } catch (RuntimeException | Error e) {
-        LOG.error("a task failed", e); // guards against an exception that nobody would see
+        LOG.error("a task failed on the decision thread", e); // otherwise nobody would see the exception
       }
       if (System.nanoTime() - until > 0) {
         return queue.isEmpty();
@@ -146,12 +147,12 @@
     return true;
   }
 
-  /** How many timers are kept. */
+  /** The number of timers in the queue. */
   int timerCount() {
     return timers.size();
   }
 
-  /** Runs a task after those that were given before. */
+  /** Queues a task behind those that are queued already. */
   @Override
   public void execute(Runnable task) {
     tasks.add(task);
@@ -165,11 +166,11 @@
     }
   }
 
-  /** A task that runs later, once or again and again. */
+  /** A task that runs later, either once or periodically. */
   private final class Timer<V> extends FutureTask<V> implements ScheduledFuture<V> {
-    private final long periodNanos; // 0: once
+    private final long periodNanos; // 0 for a task that runs once
     private long dueAt;
-    private long number;
+    private long sequence;
 
     Timer(Callable<V> task, long delayNanos, long periodNanos) {
       super(task);
@@ -188,13 +189,13 @@
 
     @Override
     protected void setException(Throwable cause) {
-      LOG.error("a task failed", cause);
+      LOG.error("a task failed on a timer of the decision thread", cause);
       super.setException(cause);
     }
 
     @Override
     protected void done() {
-      if (isCancelled() && Thread.currentThread() == thread && ++cancelled > MANY_CANCELLED
+      if (isCancelled() && Thread.currentThread() == thread && ++cancelled > MAX_CANCELLED
           && cancelled > timers.size() / 2) {
         timers.removeIf(FutureTask::isCancelled);
         cancelled = 0;
@@ -214,11 +215,11 @@
 
   private void add(Timer<?> timer) {
     if (Thread.currentThread() == thread) {
-      timer.number = ++lastNumber;
+      timer.sequence = ++lastSequence;
       timers.add(timer);
     } else {
       newTimers.add(() -> {
-        timer.number = ++lastNumber;
+        timer.sequence = ++lastSequence;
         timers.add(timer);
       });
       wakeUp();
@@ -245,9 +246,9 @@
     return scheduleWithFixedDelay(task, first, period, unit);
   }
 
-  /** Runs a task after so many ms. */
-  void after(double delay, Runnable task) {
-    schedule(task, (long) Math.max(0, delay * 1000), TimeUnit.MICROSECONDS);
+  /** Runs a task after a delay in ms. */
+  void after(double delayMs, Runnable task) {
+    schedule(task, (long) Math.max(0, delayMs * 1000), TimeUnit.MICROSECONDS);
   }
 
   @Override
--- a/src/main/java/beampoint/serve/GracefulShutdown.java
+++ b/src/main/java/beampoint/serve/GracefulShutdown.java
@@ -5,82 +5,88 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** The end after a SIGTERM: serves on while clients may still come, then answers all that was taken. */
+/**
+ * The shutdown after a SIGTERM: serves on while new clients may still arrive, then answers all accepted
+ * requests.
+ */
 final class GracefulShutdown {
 
-  private static final long FRONT_LEAVES_MS = 450; // after a SIGTERM new clients come for up to 400 ms
-  // After that a command that has begun may come to its end: for long where another process serves, shortly
-  // where nobody does, or clients that stop half way would hold up the restart.
-  private static final double HALF_COMMAND_MS = 2000;
-  private static final double HALF_COMMAND_ALONE_MS = 200;
-  private static final double MAX_DEADLINE_MS = 3000; // that the platform waits for after a SIGTERM
-  private static final double KILL_MS = 700; // after that deadline a SIGKILL may come
-  private static final double END_MS = 300; // before it all is answered
-  private static final double REFUSE_MS = 200; // before that nothing waits behind other requests any more
+  private static final long ACCEPT_MS = 450; // new clients arrive for up to 400 ms after a SIGTERM
+  // After that, how long a command that has arrived in part may take to arrive whole. Short where no other
+  // process serves, so that clients that stop in the middle of a command do not delay the restart.
+  private static final double PARTIAL_COMMAND_MS = 2000;
+  private static final double PARTIAL_COMMAND_ALONE_MS = 200;
+  private static final double MAX_DEADLINE_MS = 3000; // the longest that the platform waits for
+  private static final double KILL_DELAY_MS = 700; // after that deadline a SIGKILL may come
+  private static final double ANSWER_MARGIN_MS = 300; // before the SIGKILL, by which all is answered
+  private static final double REFUSE_MARGIN_MS = 200; // before that, from which on no request is queued
   private static final double LAST_WRITES_MS = 100; // until the last answers are written
-  private static final double STEP_MS = 10;
+  private static final double POLL_MS = 10;
 
   private final Sessions sessions;
   private final Decisions decisions;
   private final EventLoop loop;
   private final Clock clock;
-  private final BooleanSupplier isReplacing; // another process of this proxy serves
+  private final BooleanSupplier hasOtherProcess; // true while another process of this proxy serves
   private final CountDownLatch drained = new CountDownLatch(1);
   private volatile boolean begun;
-  private double endsBy;
+  private double answeredBy;
 
   GracefulShutdown(Sessions sessions, Decisions decisions, EventLoop loop, Clock clock,
-      BooleanSupplier isReplacing) {
+      BooleanSupplier hasOtherProcess) {
     this.sessions = sessions;
     this.decisions = decisions;
     this.loop = loop;
     this.clock = clock;
-    this.isReplacing = isReplacing;
+    this.hasOtherProcess = hasOtherProcess;
   }
 
   boolean hasBegun() {
     return begun;
   }
 
-  /** Returns once all is answered and written, or a SIGKILL is near; from any thread but the decisions'. */
+  /**
+   * Shuts down. Returns once all requests are answered and the answers written, or a SIGKILL is imminent.
+   * Must not be called on the decision thread.
+   */
   void await() throws InterruptedException {
-    double longest = Decisions.longestDeadline(decisions.settings());
-    double killed = Math.min(longest, MAX_DEADLINE_MS) + KILL_MS;
+    double longestDeadline = Decisions.longestDeadline(decisions.settings());
+    double killAfterMs = Math.min(longestDeadline, MAX_DEADLINE_MS) + KILL_DELAY_MS;
     loop.execute(() -> {
       begun = true;
-      endsBy = clock.getAsDouble() + killed - END_MS;
-      decisions.endBy(endsBy);
-      loop.after(FRONT_LEAVES_MS, this::endSessions);
-      loop.after(killed - END_MS - REFUSE_MS, sessions::refuseWaiting);
-      loop.after(killed - END_MS, this::endAll);
+      answeredBy = clock.getAsDouble() + killAfterMs - ANSWER_MARGIN_MS;
+      decisions.setAttemptDeadline(answeredBy);
+      loop.after(ACCEPT_MS, this::stopListening);
+      loop.after(killAfterMs - ANSWER_MARGIN_MS - REFUSE_MARGIN_MS, sessions::refuseWaiting);
+      loop.after(killAfterMs - ANSWER_MARGIN_MS, this::expireAttempts);
     });
-    drained.await((long) (killed + KILL_MS), TimeUnit.MILLISECONDS);
+    drained.await((long) (killAfterMs + KILL_DELAY_MS), TimeUnit.MILLISECONDS);
   }
 
-  private void endSessions() {
-    sessions.stopListening(isReplacing.getAsBoolean() ? HALF_COMMAND_MS : HALF_COMMAND_ALONE_MS);
+  private void stopListening() {
+    sessions.stopListening(hasOtherProcess.getAsBoolean() ? PARTIAL_COMMAND_MS : PARTIAL_COMMAND_ALONE_MS);
     pollDrained();
   }
 
-  /** Ends once all is answered and written, and clients have seen their connections close. */
+  /** Checks repeatedly whether all is answered and written and all client connections are closed. */
   private void pollDrained() {
     if (sessions.isDrained()) {
       drained.countDown();
     } else {
-      loop.after(STEP_MS, this::pollDrained);
+      loop.after(POLL_MS, this::pollDrained);
     }
   }
 
-  /** Guards against a SIGKILL with requests still open: their time is cut short, and the module answers. */
-  private void endAll() {
+  /** Ends all attempts, so that the module answers every open request before a SIGKILL. */
+  private void expireAttempts() {
     decisions.expireAll();
-    loop.after(LAST_WRITES_MS, this::endWrites);
+    loop.after(LAST_WRITES_MS, this::awaitLastWrites);
   }
 
-  /** What streams, or waits to be written, goes on until a SIGKILL may come. */
-  private void endWrites() {
-    if (sessions.hasUnanswered() && clock.getAsDouble() < endsBy + END_MS - LAST_WRITES_MS) {
-      loop.after(STEP_MS, this::endWrites);
+  /** Lets streams and unwritten answers continue until a SIGKILL may come. */
+  private void awaitLastWrites() {
+    if (sessions.hasUnanswered() && clock.getAsDouble() < answeredBy + ANSWER_MARGIN_MS - LAST_WRITES_MS) {
+      loop.after(POLL_MS, this::awaitLastWrites);
     } else {
       drained.countDown();
     }
--- a/src/main/java/beampoint/serve/HostListReceiver.java
+++ b/src/main/java/beampoint/serve/HostListReceiver.java
@@ -14,77 +14,77 @@
 import java.util.stream.Collectors;
 
 /**
- * Takes the lists of hosts: the connections learn where each host is reached, the decision module how it
- * stands. Belongs to the decision thread.
+ * Receives host lists. Passes the address of each host to the connection pools and its state to the decision
+ * module. Belongs to the decision thread.
  */
 final class HostListReceiver {
 
-  private final NameIndex directory;
+  private final NameIndex names;
   private final Decisions decisions;
   private final Upstreams upstreams;
-  private final Runnable answered; // by discovery, with each list
-  private final Set<String> cacheNodes = new HashSet<>(); // in the list
-  private boolean hasAny;
-  private boolean unconfirmed; // discovery may have told more before this process started
+  private final Runnable onList; // runs at each list from discovery
+  private final Set<String> cacheNodes = new HashSet<>(); // in the current list
+  private boolean hasHosts;
+  private boolean unconfirmed; // discovery may have sent changes before this process started
 
-  HostListReceiver(NameIndex directory, Decisions decisions, Upstreams upstreams, Runnable answered) {
-    this.directory = directory;
+  HostListReceiver(NameIndex names, Decisions decisions, Upstreams upstreams, Runnable onList) {
+    this.names = names;
     this.decisions = decisions;
     this.upstreams = upstreams;
-    this.answered = answered;
+    this.onList = onList;
   }
 
-  /** True once any host was listed. */
-  boolean hasAny() {
-    return hasAny;
+  /** True once a list with at least one host has been received. */
+  boolean hasHosts() {
+    return hasHosts;
   }
 
   boolean hasCacheNode(String id) {
     return cacheNodes.contains(id);
   }
 
-  /** The event by which the decision module learns of a list. */
+  /** The event that passes a list to the decision module. */
   ListReceived event(HostList list, ListKind kind) {
-    return new ListReceived(kind, list.hosts().stream().map(directory::endpoint).toList());
+    return new ListReceived(kind, list.hosts().stream().map(names::endpoint).toList());
   }
 
   /**
-   * Takes the list of the configuration. Where discovery pushes changes, it counts as having told them to
-   * this process from its first moment, so the list is not confirmed until discovery has answered.
+   * Uses the host list of the configuration. If discovery pushes changes, this process must respect all of
+   * them from its start on, so the list is unconfirmed until discovery has answered.
    */
-  void remember(HostList list) {
+  void receiveConfigured(HostList list) {
     unconfirmed = decisions.settings().listPushed();
-    take(list, unconfirmed ? ListKind.UNCONFIRMED : ListKind.REMEMBERED);
+    apply(list, unconfirmed ? ListKind.UNCONFIRMED : ListKind.REMEMBERED);
   }
 
-  /** Takes a list of discovery, whole or with changes only. */
+  /** Receives a list from discovery, either complete or with changes only. */
   void receive(HostList list) {
     unconfirmed = false;
-    take(list, list.whole() ? ListKind.FULL : ListKind.CHANGES);
-    answered.run();
+    apply(list, list.whole() ? ListKind.FULL : ListKind.CHANGES);
+    onList.run();
   }
 
-  /** Discovery was called. An answer without a list confirms the one that is remembered. */
-  void called(Contact contact) {
+  /** A call to discovery has ended. An answer without a list confirms the configured one. */
+  void onContact(Contact contact) {
     if (contact == Contact.RECEIVED && unconfirmed) {
       unconfirmed = false;
-      decisions.give(new ListReceived(ListKind.CHANGES, List.of()));
+      decisions.dispatch(new ListReceived(ListKind.CHANGES, List.of()));
     }
-    decisions.heardDiscovery();
+    decisions.discoveryContacted();
   }
 
-  private void take(HostList list, ListKind kind) {
+  private void apply(HostList list, ListKind kind) {
     if (kind == ListKind.FULL) {
       cacheNodes.clear();
       upstreams.retain(list.hosts().stream().map(Host::host).collect(Collectors.toSet()));
     }
-    list.hosts().forEach(this::take);
-    decisions.give(event(list, kind));
-    hasAny |= !list.hosts().isEmpty();
+    list.hosts().forEach(this::apply);
+    decisions.dispatch(event(list, kind));
+    hasHosts |= !list.hosts().isEmpty();
   }
 
-  private void take(Host host) {
-    Endpoint endpoint = directory.endpoint(host);
+  private void apply(Host host) {
+    Endpoint endpoint = names.endpoint(host);
     boolean isOrigin = endpoint.kind() == decisions.settings().originKind();
     if (endpoint.state() == EndpointState.GONE || isOrigin) {
       cacheNodes.remove(endpoint.id());
@@ -93,7 +93,7 @@
     }
     if (endpoint.state() == EndpointState.GONE) {
       upstreams.remove(endpoint.id());
-    } else if (host.dial() != null) { // else it drains, and what is out there ends as it may
+    } else if (host.dial() != null) { // without an address it drains, and its in-flight requests just end
       upstreams.place(endpoint.id(), host.dial(), isOrigin, endpoint.startedAt());
     }
     if (endpoint.state() == EndpointState.DRAINING) {
--- a/src/main/java/beampoint/serve/InitialListGate.java
+++ b/src/main/java/beampoint/serve/InitialListGate.java
@@ -4,38 +4,42 @@
 import java.util.List;
 
 /**
- * Holds what must not be decided on the remembered list alone. What discovery has counts as told from the
- * first moment of a process, and clients that kept the address of one that was killed ask the next as soon as
- * it listens: a drain of which the configuration does not know would be broken by the first request. Belongs
+ * Holds tasks back until discovery has been contacted, so that no request is decided on the configured host
+ * list alone. A process must respect everything that discovery knows from the process's start on, and clients
+ * that kept the address of a killed process send to its successor as soon as that listens. Without the gate
+ * their first request could go to a host that is draining, which the configured list does not show. Belongs
  * to the decision thread.
  */
 final class InitialListGate {
 
   private final EventLoop loop;
   private final List<Runnable> waiting = new ArrayList<>();
-  private boolean known;
+  private boolean isOpen;
 
   InitialListGate(EventLoop loop) {
     this.loop = loop;
   }
 
-  /** Runs a task once discovery was heard or has not answered, or after so many ms, whichever is sooner. */
-  void whenKnown(double longestMs, Runnable task) {
-    if (known) {
+  /**
+   * Runs a task once a call to discovery has been answered or has failed, or after {@code maxWaitMs},
+   * whichever comes first.
+   */
+  void runWhenOpen(double maxWaitMs, Runnable task) {
+    if (isOpen) {
       task.run();
       return;
     }
     waiting.add(task);
-    loop.after(longestMs, () -> {
+    loop.after(maxWaitMs, () -> {
       if (waiting.remove(task)) {
         task.run();
       }
     });
   }
 
-  /** Discovery was heard, or can't be for now. */
-  void known() {
-    known = true;
+  /** Runs all waiting tasks, and later ones at once: a call to discovery has been answered or has failed. */
+  void open() {
+    isOpen = true;
     List<Runnable> held = List.copyOf(waiting);
     waiting.clear();
     held.forEach(Runnable::run);
--- a/src/main/java/beampoint/serve/NameIndex.java
+++ b/src/main/java/beampoint/serve/NameIndex.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.glassfish.grizzly.Buffer;
 
-/** Turns the names on the sockets into the module's numbers. */
+/** Maps the names used on the sockets to the numbers used by the decision module. */
 final class NameIndex {
 
   private SocketSettings settings;
@@ -18,11 +18,13 @@
     this.settings = settings;
   }
 
-  SocketSettings names() {
+  /** The settings that hold the names in force. */
+  SocketSettings settings() {
     return settings;
   }
 
-  void take(SocketSettings next) {
+  /** Uses the names of other settings from now on. */
+  void update(SocketSettings next) {
     settings = next;
   }
 
@@ -36,12 +38,12 @@
         number(settings.kinds(), host.kind()), host.block(), state, host.share(), host.bornMs());
   }
 
-  /** A class's number, or -1. */
+  /** Returns the number of the request class, or -1 if it is unknown. */
   int requestClass(Command command) {
     return settings.classes().indexOf(command.requestClass());
   }
 
-  /** False for a tenant that the settings don't name, where they name any. */
+  /** False if the settings name tenants and the command's is not one of them. */
   boolean knowsTenant(Command command) {
     return command.tenant() == null || settings.tenants().isEmpty()
         || settings.tenants().contains(command.tenant());
@@ -52,21 +54,24 @@
   }
 
   /**
-   * The number of a name; one past the last for a name that the settings don't know. Guards against a host of
-   * an unknown kind that passes for the origin, whose kind is -1 where there is none.
+   * Returns the number of a name, or one past the last number for an unknown name. It must not be -1: that is
+   * the origin's kind where there is no origin, and a host of an unknown kind would pass for the origin.
    */
   private static int number(List<String> names, String name) {
     int number = names.indexOf(name);
     return number < 0 ? names.size() : number;
   }
 
-  /** A key as all proxies number it. A number below 0 would tell the module that there is no key. */
+  /**
+   * Returns the number that all proxies give to a key. It is never negative, because a negative number means
+   * to the module that a request has no key.
+   */
   static long key(Buffer key) {
     String text = key.toStringContent(StandardCharsets.ISO_8859_1);
     try {
       return Long.parseUnsignedLong(text, 16) & Long.MAX_VALUE;
     } catch (NumberFormatException e) {
-      long hash = 0xcbf29ce484222325L; // FNV-1a: a key may be any word
+      long hash = 0xcbf29ce484222325L; // FNV-1a, for a key that is not hexadecimal
       for (int i = 0; i < text.length(); i++) {
         hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
       }
--- a/src/main/java/beampoint/serve/Operations.java
+++ b/src/main/java/beampoint/serve/Operations.java
@@ -19,66 +19,76 @@
 import java.util.function.Predicate;
 
 /**
- * What operators call for, and what this process shares with another one of the same proxy while one replaces
- * the other. It tells the module and decides nothing. Belongs to the decision thread.
+ * Carries out the calls of operators, and shares bans and presence with another process of the same proxy
+ * while one replaces the other. Passes events to the decision module and decides nothing itself. Belongs to
+ * the decision thread.
  */
 final class Operations implements AdminService {
 
   private static final Log LOG = Log.of("ops");
 
-  /** What it needs of the proxy. */
-  record Parts(Predicate<String> knows, BooleanSupplier ready, Consumer<Event> module, IntConsumer share,
-      DoubleSupplier clock, Counters counters) {}
-
-  private final Parts proxy;
-  private final BanFile file;
-  private Presence presence; // null where the directory can't be used
+  /**
+   * What this class uses of the proxy.
+   *
+   * @param isKnownNode whether a cache node is in the host list
+   * @param isReady whether the proxy accepts clients and can decide requests
+   * @param module takes the events for the decision module
+   * @param processCount called with the new number of processes when it changes
+   * @param clock Unix time in ms
+   */
+  record Dependencies(Predicate<String> isKnownNode, BooleanSupplier isReady, Consumer<Event> module,
+      IntConsumer processCount, DoubleSupplier clock, Counters counters) {}
+
+  private final Dependencies proxy;
+  private final BanFile banFile;
+  private Presence presence; // null if the directory can't be used
   private int processes = 1;
 
-  Operations(Path directory, String name, int port, Parts proxy) {
+  Operations(Path directory, String name, int port, Dependencies proxy) {
     this.proxy = proxy;
     String base = "beampoint-" + name.replaceAll("[^A-Za-z0-9.-]", "_") + "-" + port;
-    this.file = new BanFile(directory.resolve(base + ".bans.json"), name);
+    this.banFile = new BanFile(directory.resolve(base + ".bans.json"), name);
     try {
       presence = new Presence(directory.resolve(base + ".processes"));
     } catch (IOException e) {
-      LOG.error("can't tell another process of this proxy by " + directory + ": " + e.getMessage());
+      LOG.error("can't detect other processes of this proxy in " + directory + ": " + e.getMessage());
     }
   }
 
-  /** The bans stand before the list comes, or a node that is out would be used for a moment. */
+  /** Applies the stored bans. Called before the first host list, or a banned node would be used briefly. */
   void start() {
-    file.refresh().forEach(this::tell);
+    banFile.refresh().forEach(this::apply);
     poll();
   }
 
-  /** Takes over what the other process has stored, and whether there is one. */
+  /** Applies the bans that another process has stored, and updates the number of processes. */
   void poll() {
-    file.refresh().forEach(this::tell);
+    banFile.refresh().forEach(this::apply);
     try {
       int count = presence == null ? 1 : presence.count();
       if (count != processes) {
         LOG.info("processes of this proxy: " + count + ", before: " + processes);
         processes = count;
-        proxy.share().accept(count);
+        proxy.processCount().accept(count);
         proxy.module().accept(new ShareChanged(1.0 / count));
       }
     } catch (IOException e) {
-      LOG.error("can't look for another process: " + e.getMessage());
+      LOG.error("can't count the processes of this proxy: " + e.getMessage());
     }
   }
 
-  /** True while a node is taken out. */
-  boolean isOut(String node) {
-    Ban ban = file.of(node);
+  /** True while an operator has detached a node. */
+  boolean isBanned(String node) {
+    Ban ban = banFile.of(node);
     return ban != null && ban.isOut();
   }
 
+  /** How many processes of this proxy there are, this one included. */
   int processes() {
     return processes;
   }
 
-  private void tell(Ban ban) {
+  private void apply(Ban ban) {
     proxy.module().accept(new BanChanged(ban.node(), true, ban.since()));
     if (!ban.isOut()) {
       proxy.module().accept(new BanChanged(ban.node(), false, ban.until()));
@@ -87,7 +97,7 @@
 
   @Override
   public boolean isReady() {
-    return proxy.ready().getAsBoolean();
+    return proxy.isReady().getAsBoolean();
   }
 
   @Override
@@ -100,22 +110,22 @@
     return change(node, false);
   }
 
-  /** In force first, then stored, then answered: the call binds though its answer may never arrive. */
+  /** Applies a change, then stores it, then answers: the call takes effect even if its answer is lost. */
   private Outcome change(String node, boolean out) {
-    if (!proxy.knows().test(node) && file.of(node) == null) {
+    if (!proxy.isKnownNode().test(node) && banFile.of(node) == null) {
       return Outcome.UNKNOWN;
     }
-    if (!file.change(node, out, proxy.clock().getAsDouble())) {
+    if (!banFile.change(node, out, proxy.clock().getAsDouble())) {
       return Outcome.TOO_MANY;
     }
-    Ban ban = file.of(node);
+    Ban ban = banFile.of(node);
     if (ban != null) {
-      tell(ban);
+      apply(ban);
     }
     proxy.counters().add(out ? Counter.NODES_OUT : Counter.NODES_BACK);
-    LOG.info(node + (out ? " is taken out" : " is used again"));
+    LOG.info(node + (out ? " is detached" : " is attached again"));
     try {
-      file.store().forEach(this::tell);
+      banFile.store().forEach(this::apply);
       return Outcome.DONE;
     } catch (IOException e) {
       LOG.error("the ban file can't be written: " + e.getMessage());
@@ -125,12 +135,12 @@
 
   void close() {
     try {
-      file.close();
+      banFile.close();
       if (presence != null) {
         presence.close();
       }
     } catch (IOException e) {
-      LOG.error("can't close what is shared: " + e.getMessage());
+      LOG.error("can't close the files shared with other processes: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/beampoint/serve/Proxy.java
+++ b/src/main/java/beampoint/serve/Proxy.java
@@ -32,125 +32,133 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * One proxy: the sockets, the decision module between them, and when clients are listened to.
+ * One proxy: connects the client side, the upstream side and the decision module, and decides when it listens
+ * to clients.
  */
 public final class Proxy {
 
   private static final Log LOG = Log.of("serve");
-  private static final int RESERVED_DESCRIPTORS = 32; // for the machine, discovery and standard streams
-  private static final int OPS_DESCRIPTORS = AdminServer.MAX_CONNECTIONS + 4; // with shared files
-  private static final int FLEET_DESCRIPTORS = Views.MAX_EXCHANGES + 4; // with both listeners
-  private static final long POLL_MS = 100; // for what the other process of this proxy has stored
-  private static final double HEARD_MS = 1500; // that a new process waits for discovery before it listens
-  private static final int CLIENT_SHARE = 4; // of all descriptors; clients may hold a third
-  private static final int READ_BUFFER = 32 * 1024; // at most this is read at once, however much has come
-  private static final int BUDGET_SHARE = 8; // of the memory that values may take
-  private static final int MIN_DESCRIPTORS = 8; // however little is left beside what is set aside
-
-  private final Config config; // as it was at the start
+  private static final int RESERVED_DESCRIPTORS = 32; // for the JVM, discovery and standard streams
+  private static final int OPS_DESCRIPTORS = AdminServer.MAX_CONNECTIONS + 4; // including shared files
+  private static final int FLEET_DESCRIPTORS = Views.MAX_EXCHANGES + 4; // including both listeners
+  private static final long POLL_MS = 100; // for the files shared with another process of this proxy
+  private static final double DISCOVERY_WAIT_MS = 1500; // of a new process, before it listens
+  private static final int MANY_CLIENTS_DIVISOR = 4; // of all descriptors; clients may hold a third
+  private static final int READ_BUFFER_BYTES = 32 * 1024; // the most that one read takes
+  private static final int BUDGET_DIVISOR = 8; // of the memory, for the part that values may take
+  private static final int MIN_DESCRIPTORS = 8; // per process, however few are not reserved
+
+  private final Config config; // at the start; not updated by a reload
   private final String name;
-  private final Function<Settings, Balancer> factory;
+  private final Function<Settings, Balancer> moduleFactory;
   private final Counters counters = new Counters();
   private final Clock clock = new Clock();
   private final EventLoop loop = new EventLoop();
-  private final NameIndex directory;
+  private final NameIndex names;
   private final TCPNIOTransport transport;
   private final Budget budget;
   private final Upstreams upstreams;
   private final Sessions sessions;
-  private final HostListWatcher watch;
-  private final FleetNode fleet; // null where the proxy is a member of none
+  private final HostListWatcher watcher;
+  private final FleetNode fleet; // null if the proxy is a member of no fleet
   private final Decisions decisions;
   private final Reload reload;
   private final GracefulShutdown shutdown;
-  private final Operations operations; // null without an address for operators, as is the next
+  private final Operations operations; // null if there is no address for operators, as is adminServer
   private final AdminServer adminServer;
   private final HostListReceiver hosts;
-  private final CompletableFuture<InetSocketAddress> listens = new CompletableFuture<>();
-  private boolean heard; // discovery, or waited for it long enough
-  private volatile boolean warm = true; // code is compiled
+  private final CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
+  private boolean discoveryWaitOver; // discovery has answered, or the wait for it has timed out
+  private volatile boolean warm = true; // false until the code has been warmed up
 
-  public Proxy(Config config, Function<Settings, Balancer> factory) {
-    this(config, factory,
+  /**
+   * A proxy that is not started yet.
+   *
+   * @param moduleFactory creates an instance of the decision module for the given settings
+   */
+  public Proxy(Config config, Function<Settings, Balancer> moduleFactory) {
+    this(config, moduleFactory,
         Path.of(System.getenv().getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))));
   }
 
-  /** The directory is shared with the other process of this proxy, if there is an address for operators. */
-  Proxy(Config config, Function<Settings, Balancer> factory, Path directory) {
+  /** If there is an address for operators, the directory is shared with another process of this proxy. */
+  Proxy(Config config, Function<Settings, Balancer> moduleFactory, Path directory) {
     this.config = config;
     this.name = config.name();
-    this.factory = factory;
+    this.moduleFactory = moduleFactory;
     Settings settings = config.settings();
-    this.directory = new NameIndex(config.socketSettings());
-    // One selector, and all filters and decisions on its thread: the proxy has one core, or a part of it.
+    this.names = new NameIndex(config.socketSettings());
+    // One selector, with all filters and decisions on its thread: the proxy has one core or a part of one.
     this.transport = TCPNIOTransportBuilder.newInstance()
         .setIOStrategy(SameThreadIOStrategy.getInstance())
         .setSelectorRunnersCount(1)
         .setSelectorHandler(loop.selectorHandler())
         .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig().setCorePoolSize(1).setMaxPoolSize(1)
-            .setThreadFactory(task -> new Thread(task, "decisions"))) // the pool's own costs a start 30 ms
+            .setThreadFactory(task -> new Thread(task, "decisions"))) // the default one adds 30 ms to a start
         .setMemoryManager(new HeapMemoryManager())
-        .setReadBufferSize(READ_BUFFER)
+        .setReadBufferSize(READ_BUFFER_BYTES)
         .setTcpNoDelay(true)
         .setReuseAddress(true)
         .setServerConnectionBackLog(1024)
         .build();
     transport.setChannelConfigurator(new SharedListener());
     this.budget = new Budget(0);
-    this.decisions = new Decisions(factory.apply(settings), settings, this.directory, counters, clock, loop,
-        this::isReady, this::isOut);
+    this.decisions = new Decisions(moduleFactory.apply(settings), settings, names, counters, clock, loop,
+        this::isReady, this::isBanned);
     this.upstreams = new Upstreams(transport, loop, clock, decisions, counters, budget,
         settings.limits().connectTimeout(), config.socketSettings().connectionIdle());
     this.sessions = new Sessions(transport, loop, clock, loop.arrivals(clock), decisions, counters, budget);
-    share(1);
-    this.hosts = new HostListReceiver(this.directory, decisions, upstreams, this::discoveryAnswered);
-    this.watch = new HostListWatcher(transport, loop, counters, new Random(config.seed()), config.discovery(),
-        config.known().version(), hosts::receive, this::watchBroken, HostListWatcher.HEARTBEAT_TIMEOUT_MS,
-        HostListWatcher.ANSWER_TIMEOUT_MS);
-    decisions.carryOutWith(upstreams, watch);
-    watch.afterEachCall(hosts::called);
-    this.reload = new Reload(config, this.directory, decisions, upstreams, watch, counters, loop);
+    divideResources(1);
+    this.hosts = new HostListReceiver(names, decisions, upstreams, this::listReceived);
+    this.watcher = new HostListWatcher(transport, loop, counters, new Random(config.seed()),
+        config.discovery(), config.known().version(), hosts::receive, this::watchFailed,
+        HostListWatcher.HEARTBEAT_TIMEOUT_MS, HostListWatcher.ANSWER_TIMEOUT_MS);
+    decisions.connect(upstreams, watcher);
+    watcher.afterEachCall(hosts::onContact);
+    this.reload = new Reload(config, names, decisions, upstreams, watcher, counters, loop);
     this.fleet = config.fleet() == null ? null : new FleetNode(config.fleet(), name, config.seed(),
-        MemberTerms.usual(), settings.siblings(), decisions::siblings, transport, loop, clock, counters);
-    this.shutdown = new GracefulShutdown(sessions, decisions, loop, clock, this::isReplacing);
+        MemberTerms.usual(), settings.siblings(), decisions::setSiblings, transport, loop, clock, counters);
+    this.shutdown = new GracefulShutdown(sessions, decisions, loop, clock, this::hasOtherProcess);
     if (config.ops() == null) {
       this.operations = null;
       this.adminServer = null;
     } else {
       this.operations = new Operations(directory, name, config.listen().getPort(),
-          new Operations.Parts(hosts::hasCacheNode, this::takesClients, decisions::give, this::share, clock,
-              counters));
+          new Operations.Dependencies(hosts::hasCacheNode, this::acceptsClients, decisions::dispatch,
+              this::divideResources, clock, counters));
       this.adminServer = new AdminServer(transport, loop, operations, counters);
     }
   }
 
   /**
-   * Shares out the descriptors among so many processes of this proxy. Clients hold a third of all at most, of
-   * both together, so that each may have as many; the rest is for connections to cache nodes and origin.
+   * Divides descriptors and memory among the processes of this proxy. Clients hold at most a third of all
+   * descriptors, counted over both processes, so each process has room for that many; the rest is for
+   * connections to cache nodes and the origin.
    */
-  private void share(int processes) {
+  private void divideResources(int processes) {
     int reserved = RESERVED_DESCRIPTORS + (config.ops() == null ? 0 : OPS_DESCRIPTORS)
         + (config.fleet() == null ? 0 : FLEET_DESCRIPTORS);
-    int own = Math.max(MIN_DESCRIPTORS, (config.sockets() - processes * reserved) / processes);
-    budget.limit(config.memoryMb() * 1024L * 1024 / BUDGET_SHARE / processes);
-    int clients = processes == 1 ? own / 2 : own * 2 / 3;
-    upstreams.resize(own - clients);
-    sessions.resize(clients, Math.min(clients * 9 / 10, config.sockets() / CLIENT_SHARE));
+    int available = Math.max(MIN_DESCRIPTORS, (config.sockets() - processes * reserved) / processes);
+    budget.limit(config.memoryMb() * 1024L * 1024 / BUDGET_DIVISOR / processes);
+    int clients = processes == 1 ? available / 2 : available * 2 / 3;
+    upstreams.resize(available - clients);
+    sessions.resize(clients, Math.min(clients * 9 / 10, config.sockets() / MANY_CLIENTS_DIVISOR));
   }
 
   /**
-   * As {@link #start()}, but says that it is ready only once its code has been run a while. Where another
-   * process of this proxy may serve, clients are listened to only then, and not before discovery was heard.
+   * As {@link #start()}, but reports that it is ready only after a warm-up of its code. If another process of
+   * this proxy may be serving, it listens to clients only after the warm-up, and after discovery has answered
+   * or the wait for it has timed out.
    */
   public void startWithWarmUp() throws IOException {
     warm = false;
     InetSocketAddress ops = open();
-    InetSocketAddress self = adminServer == null ? onLoop(this::listen) : ops;
+    InetSocketAddress warmUpAddress = adminServer == null ? callOnLoop(this::listen) : ops;
     loop.execute(() -> new WarmUp(transport, loop, clock, this::warmedUp)
-        .start(factory.apply(config.settings()), config.settings(),
-            hosts.event(config.known(), ListKind.FULL), self, adminServer != null));
+        .start(moduleFactory.apply(config.settings()), config.settings(),
+            hosts.event(config.known(), ListKind.FULL), warmUpAddress, adminServer != null));
     try {
-      listens.get();
+      listening.get();
     } catch (ExecutionException e) {
       throw new IOException(e.getCause().getMessage(), e);
     } catch (InterruptedException e) {
@@ -158,57 +166,57 @@
     }
   }
 
-  /** Begins to serve; returns once clients are listened to. */
+  /** Starts to serve; returns once it listens to clients. */
   public void start() throws IOException {
     open();
-    onLoop(this::listen);
+    callOnLoop(this::listen);
   }
 
   /**
-   * Binds on the decision thread, however long that has other work. Guards against Grizzly's limit of 10 s
-   * for the selector to take a listener from another thread, after which a busy machine's start would be
-   * given up.
+   * Binds on the decision thread, however long that is busy. From another thread, Grizzly waits for at most
+   * 10 s until the selector takes the listener, and the start would fail on a busy machine.
    */
-  private <T> T onLoop(Callable<T> task) throws IOException {
+  private <T> T callOnLoop(Callable<T> task) throws IOException {
     try {
       return loop.submit(task).get();
     } catch (ExecutionException e) {
       throw new IOException(e.getCause().getMessage(), e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IOException("interrupted while it starts", e);
+      throw new IOException("interrupted during the start", e);
     }
   }
 
   /**
-   * Returns where operators call, or null. They are listened to once the bans and the known nodes stand, and
-   * before anything is asked of discovery. Guards against a call that is refused while the proxy starts.
+   * Starts all but the listener for clients, and returns the address for operators or null. The listener for
+   * operators opens once the bans and the configured nodes are known and before discovery is called, so that
+   * no operator's call is refused while the proxy starts.
    */
   private InetSocketAddress open() throws IOException {
     transport.start();
-    Config start = config;
+    Config initial = config;
     loop.execute(() -> {
       if (operations != null) {
         operations.start();
         loop.scheduleWithFixedDelay(operations::poll, POLL_MS, POLL_MS, TimeUnit.MILLISECONDS);
-        loop.after(HEARD_MS, this::heard);
+        loop.after(DISCOVERY_WAIT_MS, this::endDiscoveryWait);
       }
-      hosts.remember(start.known());
+      hosts.receiveConfigured(initial.known());
     });
-    InetSocketAddress ops = adminServer == null ? null : onLoop(() -> adminServer.listen(config.ops()));
+    InetSocketAddress ops = adminServer == null ? null : callOnLoop(() -> adminServer.listen(config.ops()));
     if (fleet != null && operations == null) {
-      onLoop(() -> {
+      callOnLoop(() -> {
         fleet.start();
         return null;
       });
     } else if (fleet != null) {
-      joinWhenAlone(); // another process of this proxy is told of in a moment
+      joinWhenAlone(); // the number of processes is known after the first poll
     }
     loop.execute(() -> {
       if (decisions.settings().listPushed()) {
-        watch.follow();
-      } else if (!watch.isAsking()) {
-        decisions.heardDiscovery(); // nothing comes until the module asks for it
+        watcher.follow();
+      } else if (!watcher.isAsking()) {
+        decisions.discoveryContacted(); // no list comes until the module asks for one
       }
     });
     return ops;
@@ -217,81 +225,81 @@
   private InetSocketAddress listen() throws IOException {
     InetSocketAddress address = sessions.listen(config.listen());
     LOG.info(name + " listens on " + config.listen());
-    listens.complete(address);
+    listening.complete(address);
     return address;
   }
 
-  /** True while another process of this proxy is there, to be replaced by this one or in its place. */
-  private boolean isReplacing() {
+  /** True while there is another process of this proxy, which replaces this one or is replaced by it. */
+  private boolean hasOtherProcess() {
     return operations != null && operations.processes() > 1;
   }
 
-  /** Two processes of one proxy are one member: the second takes the place of the first when that is gone. */
+  /** Joins the fleet once no other process is left, because all processes of a proxy are a single member. */
   private void joinWhenAlone() {
     loop.after(POLL_MS, () -> {
-      if (isReplacing()) {
+      if (hasOtherProcess()) {
         joinWhenAlone();
         return;
       }
       try {
         fleet.start();
       } catch (IOException e) {
-        LOG.error("can't be a member of its fleet", e);
+        LOG.error("can't join the fleet", e);
       }
     });
   }
 
-  private boolean isOut(String endpoint) {
-    return operations != null && operations.isOut(endpoint);
+  private boolean isBanned(String endpoint) {
+    return operations != null && operations.isBanned(endpoint);
   }
 
-  private void heard() {
-    heard = true;
+  private void endDiscoveryWait() {
+    discoveryWaitOver = true;
     listenWhenWarm();
   }
 
-  /** Guards against clients that reach this process before it is of use, while another serves them. */
+  /** Listens to clients, but not before this process is able to serve them: another may still do so. */
   private void listenWhenWarm() {
-    if (!warm || !heard || shutdown.hasBegun() || listens.isDone()) {
+    if (!warm || !discoveryWaitOver || shutdown.hasBegun() || listening.isDone()) {
       return;
     }
     try {
       listen();
     } catch (IOException e) {
-      listens.completeExceptionally(e);
+      listening.completeExceptionally(e);
     }
   }
 
-  private boolean takesClients() {
-    return listens.isDone() && isReady();
+  private boolean acceptsClients() {
+    return listening.isDone() && isReady();
   }
 
-  /** Takes a new configuration while it serves, or nothing of one that lacks what the present one has. */
+  /** Applies a new configuration while serving, or rejects one that lacks a key that the present one has. */
   public void reload(Config next) {
-    loop.execute(() -> reload.take(next));
+    loop.execute(() -> reload.apply(next));
   }
 
-  /** Tells of a configuration that can't be used. */
+  /** Counts and logs a configuration that can't be used. */
   public void reloadFailed(String why) {
-    reload.failed(why);
+    reload.rejected(why);
   }
 
-  /** The port that clients connect to. */
+  /** The port that clients connect to; waits until it is open. */
   public int port() {
-    return listens.join().getPort();
+    return listening.join().getPort();
   }
 
-  /** The bytes of values that are held, and streams, each as one: 0 when nothing is left of either. */
+  /** The bytes of values held plus the number of open streams: 0 when nothing is left of either. */
   long held() {
     return budget.held() + budget.streams();
   }
 
-  /** The port that operators call; 0 where there is none, or not yet. */
+  /** The port that operators call; 0 if there is none, or none yet. */
   int opsPort() {
     return adminServer == null ? 0 : adminServer.port();
   }
 
-  /** Stops at once, whatever is open. */
+  /** Stops at once, without regard to open requests. */
   public void stop() throws IOException {
     if (operations != null) {
       operations.close();
@@ -308,7 +316,7 @@
     return loop.submit(() -> operations.processes()).get();
   }
 
-  /** How this proxy sees the members of its fleet, for a test. */
+  /** The members of the fleet as this proxy sees them, for a test. */
   List<News> members() throws InterruptedException, ExecutionException {
     return loop.submit(fleet::view).get();
   }
@@ -318,8 +326,9 @@
     return counters;
   }
 
+  /** True once requests can be decided, and until a shutdown begins. */
   private boolean isReady() {
-    return hosts.hasAny() && warm && !shutdown.hasBegun();
+    return hosts.hasHosts() && warm && !shutdown.hasBegun();
   }
 
   private void warmedUp() {
@@ -330,21 +339,21 @@
     }
   }
 
-  private void discoveryAnswered() {
+  private void listReceived() {
     if (adminServer != null) {
-      heard();
+      endDiscoveryWait();
     }
   }
 
-  private void watchBroken() {
+  private void watchFailed() {
     if (decisions.settings().listPushed()) {
-      watch.followLater();
+      watcher.followLater();
     } else {
-      decisions.give(new ListReceived(ListKind.UNAVAILABLE, List.of()));
+      decisions.dispatch(new ListReceived(ListKind.UNAVAILABLE, List.of()));
     }
   }
 
-  /** Ends in order: serves on while clients may still come, then answers all that was taken. */
+  /** Shuts down gracefully: serves on while clients may still arrive, then answers all accepted requests. */
   public void drain() throws InterruptedException {
     if (fleet != null) {
       loop.execute(fleet::leave);
--- a/src/main/java/beampoint/serve/Reload.java
+++ b/src/main/java/beampoint/serve/Reload.java
@@ -8,83 +8,87 @@
 import beampoint.settings.Transition.Terms;
 import beampoint.upstream.Upstreams;
 
-/** Takes a new configuration while the proxy serves. Belongs to the decision thread. */
+/** Applies a new configuration while the proxy serves. Belongs to the decision thread. */
 final class Reload {
 
   private static final Log LOG = Log.of("serve");
-  private static final double OLD_KIND_MS = 2000; // after new settings, beside a deadline, old requests come
+  private static final double OLD_REQUESTS_MS = 2000; // for requests by the old settings, beside a deadline
 
   private Config config;
-  private final NameIndex directory;
+  private final NameIndex names;
   private final Decisions decisions;
   private final Upstreams upstreams;
-  private final HostListWatcher watch;
+  private final HostListWatcher watcher;
   private final Counters counters;
   private final EventLoop loop;
   private int reloads;
 
-  Reload(Config config, NameIndex directory, Decisions decisions, Upstreams upstreams, HostListWatcher watch,
+  Reload(Config config, NameIndex names, Decisions decisions, Upstreams upstreams, HostListWatcher watcher,
       Counters counters, EventLoop loop) {
     this.config = config;
-    this.directory = directory;
+    this.names = names;
     this.decisions = decisions;
     this.upstreams = upstreams;
-    this.watch = watch;
+    this.watcher = watcher;
     this.counters = counters;
     this.loop = loop;
   }
 
-  /** Takes all of it, or nothing of one that lacks what the present one has. */
-  void take(Config next) {
+  /** Applies a configuration, or rejects it whole if it lacks a key that the present one has. */
+  void apply(Config next) {
     String missing = config.missingIn(next);
     if (missing != null) {
-      failed("field '" + missing + "': missing");
+      rejected("field '" + missing + "': missing");
       return;
     }
     counters.add(Counter.CONFIG_APPLIED);
-    boolean moves = !next.discovery().equals(config.discovery());
-    LOG.info("configuration read again: discovery " + (moves ? "moves to " : "stays at ") + next.discovery());
+    boolean addressChanged = !next.discovery().equals(config.discovery());
+    LOG.info("configuration read again: discovery " + (addressChanged ? "moves to " : "stays at ")
+        + next.discovery());
     if (config.needsRestart(next)) {
-      LOG.warn("what changed of name, addresses, limits, zones, kinds or the list's ways holds from the "
-          + "next start on");
+      LOG.warn("changes to name, addresses, limits, zones, kinds or the way hosts are listed take effect "
+          + "at the next start");
     }
     config = next;
-    if (moves && !watch.move(next.discovery()) && decisions.settings().listPushed()) {
-      watch.follow(); // it waited to ask again
+    if (addressChanged && !watcher.move(next.discovery()) && decisions.settings().listPushed()) {
+      watcher.follow(); // discovery was waiting for its next retry; ask the new address now
     }
-    retune(next);
+    applySettings(next);
   }
 
-  /** Tells of a configuration that can't be used; from any thread. */
-  void failed(String why) {
+  /** Counts and logs a configuration that can't be used; from any thread. */
+  void rejected(String why) {
     counters.add(Counter.CONFIG_REJECTED);
-    LOG.error("the new configuration can't be used, the old one stays: " + why);
+    LOG.error("new configuration rejected, the old one stays in force: " + why);
   }
 
-  /** The new settings hold at once, beside the old for requests of the old kind that are on their way. */
-  private void retune(Config next) {
-    Terms present = new Terms(decisions.settings(), directory.names());
+  /**
+   * Applies the new settings at once, together with the old request classes as long as requests may still
+   * arrive that clients sent under the old settings.
+   */
+  private void applySettings(Config next) {
+    Terms present = new Terms(decisions.settings(), names.settings());
     Terms taken = Transition.taken(present, new Terms(next.settings(), next.socketSettings()));
     double longest = Math.max(Decisions.longestDeadline(decisions.settings()),
         Decisions.longestDeadline(taken.settings()));
-    int reload = ++reloads;
+    int thisReload = ++reloads;
     change(Transition.meanwhile(present, taken));
-    loop.after(longest + OLD_KIND_MS, () -> {
-      if (reload == reloads) {
+    loop.after(longest + OLD_REQUESTS_MS, () -> {
+      if (thisReload == reloads) {
         change(taken);
       }
     });
   }
 
   private void change(Terms next) {
-    Terms present = new Terms(decisions.settings(), directory.names());
+    Terms present = new Terms(decisions.settings(), names.settings());
     if (!next.equals(present)) {
       LOG.info("classes: " + next.names().classes() + ", attempts: "
           + next.settings().limits().maxAttempts());
-      decisions.settings(next.settings());
-      directory.take(next.names());
+      decisions.setSettings(next.settings());
+      names.update(next.names());
       upstreams.setTimeouts(next.settings().limits().connectTimeout(), next.names().connectionIdle());
-      decisions.give(Transition.change(present, next));
+      decisions.dispatch(Transition.change(present, next));
     }
   }
 }
--- a/src/main/java/beampoint/serve/SelectorPasses.java
+++ b/src/main/java/beampoint/serve/SelectorPasses.java
@@ -3,76 +3,78 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the decision thread knows of its passes: how long a selection may wait, when what it found can have
- * come, and whether all has to be read once more before anything is begun, as the thread was stalled. A pass
- * lasts from the end of one selection to the begin of the next. All times are by {@link System#nanoTime()}. A
- * pure state machine, of one thread.
+ * The timing of the decision thread's passes: how long a selection may wait, the earliest time at which what
+ * it found can have arrived, and whether a stall of the thread requires that everything is read once more
+ * before work starts. A pass lasts from the end of one selection to the start of the next. All times are by
+ * {@link System#nanoTime()}. A pure state machine, used by one thread.
  */
 final class SelectorPasses {
 
   /**
-   * The longest that a selection waits. Where a stop of the process ends within a longer wait it
-   * can't be told from quiet; attempts may begin up to 100 ms after their client's close.
+   * The longest wait of a selection. If the process is paused and resumed within a longer wait, the pause
+   * can't be distinguished from an idle period. Attempts may start up to 100 ms after their client's close.
    */
   static final long LONGEST_WAIT_MS = 50;
 
-  private static final long STALL_NANOS = 20_000_000; // by which a pass or a wait took longer
+  private static final long STALL_NANOS = 20_000_000; // a pass, or the excess of a wait, beyond this is a stall
 
-  private long number; // of selections so far
-  private long foundAt; // the end of the last selection
-  private long arrivedSince; // at the earliest, what it found
-  private boolean stalled; // the last selection, or the pass before it
-  private boolean selectionStalled;
-  private boolean readsAgain; // all that is ready, since the thread was stalled
+  private long number; // of the last selection
+  private long lastEndedAt; // the end of the last selection
+  private long earliestArrival; // of what the last selection found
+  private boolean stalled; // in the last selection or the pass before it
+  private boolean selectionStalled; // the last selection took longer than it was to wait
+  private boolean readsAgain; // everything ready is read once more because of a stall
 
   SelectorPasses(long now) {
-    foundAt = now;
-    arrivedSince = now;
+    lastEndedAt = now;
+    earliestArrival = now;
   }
 
   private boolean passStalled(long endedAt) {
-    return endedAt - foundAt > STALL_NANOS;
+    return endedAt - lastEndedAt > STALL_NANOS;
   }
 
   /**
-   * How many ms the next selection may wait, where nothing is due for so many ns. After a pass that was
-   * stalled it does not wait, so that what it finds can be told from what comes in a wait.
+   * Returns how many ms the next selection may wait. After a stalled pass it does not wait, so that what
+   * arrived during the pass can be distinguished from what arrives during a wait.
    *
-   * @param askedAt when the selection begins, as it is told to {@link #selected}
+   * @param startedAt when the selection starts, the same as is passed to {@link #selected}
+   * @param untilNextNanos the time until the next task or timer is due
    */
-  long longestWaitMs(long askedAt, long untilNextNanos) {
-    if (untilNextNanos <= 0 || readsAgain || passStalled(askedAt)) {
+  long longestWaitMs(long startedAt, long untilNextNanos) {
+    if (untilNextNanos <= 0 || readsAgain || passStalled(startedAt)) {
       return 0;
     }
     return Math.min(LONGEST_WAIT_MS, TimeUnit.NANOSECONDS.toMillis(untilNextNanos) + 1);
   }
 
   /**
-   * A selection has ended. What it found came at its end, or in a pass before it that was stalled, or, where
-   * the selection took longer than it was to wait, at any time in it.
+   * Records a selection that has ended. What it found arrived at its end; or, if the pass before it was
+   * stalled, at any time since that pass began; or, if the selection took longer than it was to wait, at any
+   * time during it.
    */
-  void selected(long askedAt, long longestNanos, long endedAt) {
-    boolean passStalled = passStalled(askedAt);
-    selectionStalled = endedAt - askedAt > longestNanos + STALL_NANOS;
+  void selected(long startedAt, long maxWaitNanos, long endedAt) {
+    boolean passStalled = passStalled(startedAt);
+    selectionStalled = endedAt - startedAt > maxWaitNanos + STALL_NANOS;
     stalled = passStalled || selectionStalled;
-    long since = passStalled ? foundAt : selectionStalled ? askedAt : endedAt;
-    if (!readsAgain || since - arrivedSince < 0) {
-      arrivedSince = since;
+    long arrival = passStalled ? lastEndedAt : selectionStalled ? startedAt : endedAt;
+    if (!readsAgain || arrival - earliestArrival < 0) {
+      earliestArrival = arrival;
     }
-    foundAt = endedAt;
+    lastEndedAt = endedAt;
     number++;
   }
 
   /**
-   * True once after the thread was stalled: all that is ready is to be read again before work goes on, as a
-   * client's end may lie unread behind what was read.
+   * True once after a stall of the thread: everything ready must be read again before work continues, because
+   * a client's close may be unread behind the data that was read.
    */
   boolean mustReadAgain(long now) {
     readsAgain = (stalled || passStalled(now)) && !readsAgain;
     return readsAgain;
   }
 
-  /** True where the last selection took longer than it was to wait. */
+  /** True if the last selection took longer than it was to wait. */
   boolean selectionWasStalled() {
     return selectionStalled;
   }
@@ -82,8 +84,8 @@
     return number;
   }
 
-  /** When what the last selection found can have come at the earliest. */
+  /** The earliest time at which what the last selection found can have arrived. */
   long earliestArrival() {
-    return arrivedSince;
+    return earliestArrival;
   }
 }
--- a/src/main/java/beampoint/serve/SharedListener.java
+++ b/src/main/java/beampoint/serve/SharedListener.java
@@ -8,14 +8,14 @@
 import org.glassfish.grizzly.nio.NIOTransport;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
-/** Has listeners share their address with those of another process of this proxy. */
+/** Sets SO_REUSEPORT on listeners, so that another process of this proxy can listen on the same address. */
 final class SharedListener implements ChannelConfigurator {
 
-  private static final ChannelConfigurator USUAL = TCPNIOTransport.DEFAULT_CHANNEL_CONFIGURATOR;
+  private static final ChannelConfigurator DEFAULT = TCPNIOTransport.DEFAULT_CHANNEL_CONFIGURATOR;
 
   @Override
   public void preConfigure(NIOTransport transport, SelectableChannel channel) throws IOException {
-    USUAL.preConfigure(transport, channel);
+    DEFAULT.preConfigure(transport, channel);
     if (channel instanceof ServerSocketChannel server
         && server.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
       server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
@@ -24,6 +24,6 @@
 
   @Override
   public void postConfigure(NIOTransport transport, SelectableChannel channel) throws IOException {
-    USUAL.postConfigure(transport, channel);
+    DEFAULT.postConfigure(transport, channel);
   }
 }
--- a/src/main/java/beampoint/serve/WarmUp.java
+++ b/src/main/java/beampoint/serve/WarmUp.java
@@ -22,17 +22,17 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Runs the program's paths before it says that it is ready. Guards against first answers that wait for
- * classes to be loaded: an instance of the module that is thrown away decides on made-up events, and the
- * proxy asks itself over a socket, at the clients' address or, where another process may listen there too, at
- * that of the operators. It is short on purpose: where most proxies restart at once, nobody serves while they
- * warm up.
+ * Exercises the code paths of requests before the proxy reports that it is ready, so that the first answers
+ * are not delayed by class loading. A temporary instance of the decision module handles synthetic events, and
+ * the proxy sends probes to itself over a socket: to the address for clients or, if another process may
+ * listen there too, to the address for operators. The warm-up is short because no proxy serves during it if
+ * most proxies restart at once.
  */
 final class WarmUp implements Reports {
 
   private static final String SELF = "self";
-  private static final int EVENTS = 50;
-  private static final int QUESTIONS = 20;
+  private static final int REQUESTS = 50;
+  private static final int PROBES = 20;
   private static final double MAX_MS = 1500;
 
   private final ScheduledExecutorService loop;
@@ -40,7 +40,7 @@
   private final Upstreams upstreams;
   private final Runnable done;
   private double endsAt;
-  private int asked;
+  private int probes;
 
   WarmUp(TCPNIOTransport transport, ScheduledExecutorService loop, DoubleSupplier clock, Runnable done) {
     this.loop = loop;
@@ -50,19 +50,24 @@
         MAX_MS);
   }
 
-  /** Begins; the module's part is done at once, the questions to itself come and go on their own. */
+  /**
+   * Starts the warm-up. Exercises the decision module before it returns; the probes run afterwards.
+   *
+   * @param self the address to probe
+   * @param http whether that address speaks HTTP
+   */
   void start(Balancer module, Settings settings, ListReceived known, InetSocketAddress self, boolean http) {
     endsAt = clock.getAsDouble() + MAX_MS;
-    rehearse(module, settings, known);
+    exerciseModule(module, settings, known);
     upstreams.place(SELF, self, http, 0);
     upstreams.probe(SELF);
   }
 
-  private void rehearse(Balancer module, Settings settings, ListReceived known) {
+  private void exerciseModule(Balancer module, Settings settings, ListReceived known) {
     double now = clock.getAsDouble();
     module.handle(now, new ListReceived(ListKind.FULL, known.endpoints()));
     int classes = settings.classes().size();
-    for (int id = 1; id <= EVENTS && classes > 0 && clock.getAsDouble() < endsAt; id++) {
+    for (int id = 1; id <= REQUESTS && classes > 0 && clock.getAsDouble() < endsAt; id++) {
       RequestClass type = settings.classes().get(id % classes);
       Event event = new RequestReceived(id, ++now + type.deadline(), 0, id % classes, id, id % 50 == 0);
       for (int attempt = 0; event != null; attempt++) {
@@ -80,7 +85,7 @@
 
   @Override
   public void probed(String endpoint, double elapsed, Result result) {
-    if (++asked < QUESTIONS && clock.getAsDouble() < endsAt) {
+    if (++probes < PROBES && clock.getAsDouble() < endsAt) {
       upstreams.probe(SELF);
     } else {
       upstreams.close();
@@ -91,6 +96,6 @@
   @Override
   public void ended(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
       Answer answer, String load) {
-    throw new IllegalStateException("no attempt is made here");
+    throw new IllegalStateException("the warm-up makes no attempts, but one ended");
   }
 }
