--- a/src/main/java/beampoint/serve/EventLoop.java
+++ b/src/main/java/beampoint/serve/EventLoop.java
@@ -61,7 +61,7 @@
       thread = Thread.currentThread();
       long startedAt = System.nanoTime();
       long untilNext = runner.getPostponedTasks().isEmpty() ? nanosUntilNext(startedAt) : 0;
-      long maxWaitMs = passes.longestWaitMs(startedAt, untilNext);
+      long maxWaitMs = passes.maxWaitMs(startedAt, untilNext);
       int found = maxWaitMs == 0 ? selector.selectNow() : selector.select(maxWaitMs);
       passes.selected(startedAt, TimeUnit.MILLISECONDS.toNanos(maxWaitMs), System.nanoTime());
       if (found == 0 && passes.selectionWasStalled()) {
--- a/src/main/java/beampoint/serve/SelectorPasses.java
+++ b/src/main/java/beampoint/serve/SelectorPasses.java
@@ -14,7 +14,7 @@
    * The longest wait of a selection. If the process is paused and resumed within a longer wait, the pause
    * can't be distinguished from an idle period. Attempts may start up to 100 ms after their client's close.
    */
-  static final long LONGEST_WAIT_MS = 50;
+  static final long MAX_WAIT_MS = 50;
 
   private static final long STALL_NANOS = 20_000_000; // a pass, or the excess of a wait, beyond this is a stall
 
@@ -41,11 +41,11 @@
    * @param startedAt when the selection starts, the same as is passed to {@link #selected}
    * @param untilNextNanos the time until the next task or timer is due
    */
-  long longestWaitMs(long startedAt, long untilNextNanos) {
+  long maxWaitMs(long startedAt, long untilNextNanos) {
     if (untilNextNanos <= 0 || readsAgain || passStalled(startedAt)) {
       return 0;
     }
-    return Math.min(LONGEST_WAIT_MS, TimeUnit.NANOSECONDS.toMillis(untilNextNanos) + 1);
+    return Math.min(MAX_WAIT_MS, TimeUnit.NANOSECONDS.toMillis(untilNextNanos) + 1);
   }
 
   /**
--- a/src/test/java/beampoint/serve/SelectorPassesTest.java
+++ b/src/test/java/beampoint/serve/SelectorPassesTest.java
@@ -26,7 +26,7 @@
 
   /** How long a selection may wait where nothing is due. */
   private long longestWait(double askedAt) {
-    return passes.longestWaitMs(nanos(askedAt), Long.MAX_VALUE);
+    return passes.maxWaitMs(nanos(askedAt), Long.MAX_VALUE);
   }
 
   private void assertSince(double ms) {
@@ -38,7 +38,7 @@
     select(1, 50, 40);
     assertSince(40);
     assertFalse(readsAgain(41));
-    assertEquals(SelectorPasses.LONGEST_WAIT_MS, longestWait(42));
+    assertEquals(SelectorPasses.MAX_WAIT_MS, longestWait(42));
   }
 
   @Test
@@ -61,7 +61,7 @@
       SelectorPasses fresh = new SelectorPasses(0);
       fresh.selected(0, nanos(50), nanos(10));
       assertFalse(fresh.mustReadAgain(nanos(10.1))); // its work ends at 11, the stop at 161
-      assertEquals(0, fresh.longestWaitMs(nanos(161), Long.MAX_VALUE));
+      assertEquals(0, fresh.maxWaitMs(nanos(161), Long.MAX_VALUE));
       fresh.selected(nanos(161), 0, nanos(161 + slow));
       assertEquals(nanos(10), fresh.earliestArrival(), "a selection of " + slow);
       assertTrue(fresh.mustReadAgain(nanos(161 + slow)), "a selection of " + slow);
@@ -71,7 +71,7 @@
   /** A stop of 150 ms, whenever it begins, is seen: the longest wait ends well before it does. */
   @Test
   void aStopOf150MsIsSeenWheneverItBegins() {
-    for (double longest = 1; longest <= SelectorPasses.LONGEST_WAIT_MS; longest++) {
+    for (double longest = 1; longest <= SelectorPasses.MAX_WAIT_MS; longest++) {
       for (double begins = 0; begins <= longest; begins++) {
         SelectorPasses fresh = new SelectorPasses(0);
         fresh.selected(0, nanos(longest), nanos(begins + 150));
