--- a/src/main/java/beampoint/serve/HostListReceiver.java
+++ b/src/main/java/beampoint/serve/HostListReceiver.java
@@ -39,6 +39,7 @@
     return hasHosts;
   }
 
+  /** True if a cache node is in the current list. */
   boolean hasCacheNode(String id) {
     return cacheNodes.contains(id);
   }
@@ -64,7 +65,7 @@
     onList.run();
   }
 
-  /** A call to discovery has ended. An answer without a list confirms the configured one. */
+  /** A call to discovery was answered or has failed. An answer without a list confirms the configured one. */
   void onContact(Contact contact) {
     if (contact == Contact.RECEIVED && unconfirmed) {
       unconfirmed = false;
--- a/src/main/java/beampoint/serve/Reload.java
+++ b/src/main/java/beampoint/serve/Reload.java
@@ -12,7 +12,7 @@
 final class Reload {
 
   private static final Log LOG = Log.of("serve");
-  private static final double OLD_REQUESTS_MS = 2000; // for requests by the old settings, beside a deadline
+  private static final double OLD_REQUESTS_MS = 2000; // beyond a deadline, for requests under old settings
 
   private Config config;
   private final NameIndex names;
@@ -51,7 +51,7 @@
     }
     config = next;
     if (addressChanged && !watcher.move(next.discovery()) && decisions.settings().listPushed()) {
-      watcher.follow(); // discovery was waiting for its next retry; ask the new address now
+      watcher.follow(); // it was waiting for its next retry
     }
     applySettings(next);
   }
--- a/src/main/java/beampoint/serve/SelectorPasses.java
+++ b/src/main/java/beampoint/serve/SelectorPasses.java
@@ -16,7 +16,7 @@
    */
   static final long MAX_WAIT_MS = 50;
 
-  private static final long STALL_NANOS = 20_000_000; // a pass, or the excess of a wait, beyond this is a stall
+  private static final long STALL_NANOS = 20_000_000; // of a pass, or in excess of a wait's limit
 
   private long number; // of the last selection
   private long lastEndedAt; // the end of the last selection
