--- a/src/main/java/beampoint/cli/EmulateCommand.java
+++ b/src/main/java/beampoint/cli/EmulateCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Plays a day of a fleet round the decision module in virtual time, and tells what was counted. */
+/** Runs a scenario of a whole fleet around the decision module in virtual time, and prints the figures. */
 @Command(name = "emulate", mixinStandardHelpOptions = true,
     description = "Plays a scenario in virtual time; figures as name=value lines on standard output.",
     footer = "Exit code 2: the scenario can't be used; 3: a rule was broken; 5: the run is void.")
@@ -36,7 +36,7 @@
   private CommandSpec spec;
 
   @Option(names = "--scenario", paramLabel = "FILE", required = true, description = "The day, as YAML.")
-  private Path scenario;
+  private Path scenarioFile;
 
   @Option(names = "--seed", paramLabel = "N", description = "A seed in place of the scenario's.")
   private Long seed;
@@ -49,14 +49,14 @@
   public Integer call() {
     Report report;
     try {
-      if (ControlScenario.isOne(scenario)) {
-        return playControl(ControlScenario.read(scenario));
+      if (ControlScenario.isOne(scenarioFile)) {
+        return runControl(ControlScenario.read(scenarioFile));
       }
-      Scenario day = Scenario.read(scenario);
-      day = seed == null ? day : day.withSeed(seed);
-      report = jar == null ? Emulation.run(day, BalancerPolicy::new) : onLoopback(day);
+      Scenario scenario = Scenario.read(scenarioFile);
+      scenario = seed == null ? scenario : scenario.withSeed(seed);
+      report = jar == null ? Emulation.run(scenario, BalancerPolicy::new) : runOnLoopback(scenario);
     } catch (InputException e) {
-      LOG.error("bad scenario: " + e.getMessage());
+      LOG.error("invalid scenario: " + e.getMessage());
       return 2;
     } catch (IOException e) {
       LOG.error("the run is void: " + e.getMessage());
@@ -66,33 +66,33 @@
     return report.breaks() > 0 ? RULE_BROKEN : 0;
   }
 
-  private int playControl(ControlScenario day) throws InputException {
+  private int runControl(ControlScenario scenario) throws InputException {
     if (jar != null) {
-      throw new InputException("a scenario of the model 'control' is played in virtual time only");
+      throw new InputException("a scenario of model 'control' runs in virtual time only, without --loopback");
     }
-    ControlReport report = ControlEmulation.run(seed == null ? day : day.withSeed(seed));
+    ControlReport report = ControlEmulation.run(seed == null ? scenario : scenario.withSeed(seed));
     print(report.broken(), report.figures());
     return report.broken().isEmpty() ? 0 : RULE_BROKEN;
   }
 
-  private void print(List<String> broken, Map<String, ?> figures) {
+  private void print(List<String> brokenRules, Map<String, ?> figures) {
     PrintWriter out = spec.commandLine().getOut();
-    broken.forEach(rule -> out.println("rule_broken=" + rule));
+    brokenRules.forEach(rule -> out.println("rule_broken=" + rule));
     figures.forEach((name, figure) -> out.println(name + "=" + figure));
     out.flush();
   }
 
-  private Report onLoopback(Scenario day) throws IOException {
+  private Report runOnLoopback(Scenario scenario) throws IOException {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     Path directory = Files.createTempDirectory("emulate");
     List<String> command = List.of(java, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m",
         "-Djava.net.preferIPv4Stack=true", "-jar", jar.toAbsolutePath().toString());
-    Loopback.Outcome outcome = Loopback.run(day, command, directory);
+    Loopback.Outcome outcome = Loopback.run(scenario, command, directory);
     if (outcome.report() == null) {
       throw new IOException(outcome.why());
     }
-    LOG.info("a hundredth of the load maker's tasks was later than " + outcome.lateness() + " ms; logs: "
-        + directory);
+    LOG.info("99th percentile of the lateness of the load generator's tasks: " + outcome.lateness()
+        + " ms; logs: " + directory);
     return outcome.report();
   }
 }
--- a/src/main/java/beampoint/cli/ExperimentCommand.java
+++ b/src/main/java/beampoint/cli/ExperimentCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Compares variants of a scenario on the same seeds. */
+/** Compares variants of a scenario that run with the same seeds. */
 @Command(name = "experiment", mixinStandardHelpOptions = true,
     description = "Plays variants of a scenario in pairs; runs.csv, summary.md and charts go to a directory.",
     footer = "Exit code 2: the plan can't be used; 3: a rule was broken; 4: only a part was played.")
@@ -28,7 +28,7 @@
   private CommandSpec spec;
 
   @Option(names = "--plan", paramLabel = "FILE", required = true, description = "What to compare, as YAML.")
-  private Path plan;
+  private Path planFile;
 
   @Option(names = "--out", paramLabel = "DIR", required = true, description = "Where results go.")
   private Path out;
@@ -38,23 +38,23 @@
 
   @Option(names = "--longest", paramLabel = "SECONDS", defaultValue = "600",
       description = "After which a run is given up.")
-  private double longest;
+  private double maxSeconds;
 
   @Override
   public Integer call() {
-    Plan read;
+    Plan plan;
     try {
-      read = Plan.read(plan);
+      plan = Plan.read(planFile);
     } catch (InputException e) {
-      LOG.error("bad plan: " + e.getMessage());
+      LOG.error("invalid plan: " + e.getMessage());
       return 2;
     }
     try {
-      Results results = new Experiment(read, BalancerPolicy::new, Math.max(1, threads), longest).run(out);
+      Results results = new Experiment(plan, BalancerPolicy::new, Math.max(1, threads), maxSeconds).run(out);
       spec.commandLine().getOut().println(Files.readString(out.resolve("summary.md")));
       return results.breaks() > 0 ? EmulateCommand.RULE_BROKEN : results.isPartial() ? PARTIAL : 0;
     } catch (IOException e) {
-      LOG.error("results can't be written, what there is stays: " + e);
+      LOG.error("can't write results, those already written are kept: " + e);
       return PARTIAL;
     }
   }
--- a/src/main/java/beampoint/cli/FileChanges.java
+++ b/src/main/java/beampoint/cli/FileChanges.java
@@ -3,7 +3,7 @@
 import beampoint.files.FileStamp;
 import java.nio.file.Path;
 
-/** Tells whether a file has been written or replaced since it was last asked. */
+/** Detects whether a file has been written or replaced since the last check. */
 final class FileChanges {
 
   private final Path file;
@@ -14,7 +14,7 @@
     this.last = FileStamp.of(file);
   }
 
-  /** True once after each change; a file that can't be seen for a moment has not changed. */
+  /** True once after each change. A file whose attributes can't be read at the moment counts as unchanged. */
   boolean changed() {
     FileStamp now = FileStamp.of(file);
     boolean changed = now != null && !now.equals(last);
--- a/src/main/java/beampoint/cli/Main.java
+++ b/src/main/java/beampoint/cli/Main.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line. */
+/** The command line interface. */
 @Command(name = "beampoint", mixinStandardHelpOptions = true, version = "beampoint 0.1.0",
     description = "Spreads keys over cache servers before a slow origin.",
     subcommands = {Main.DrillCommand.class, Main.ServeCommand.class, EmulateCommand.class,
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Guards against a start that is spent on the command line's model, which is a third of it, where the one
-   * word leaves nothing to read.
+   * Runs the command line. A bare {@code serve} skips picocli: building its model of the command line takes a
+   * third of the start time, and there is nothing to parse.
    */
   public static void main(String[] args) {
     int code = args.length == 1 && args[0].equals("serve") ? new ServeCommand().call()
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Hosts instances of the decision module on the bench's wire. */
+  /** Runs instances of the decision module for a simulator, which sends events on standard input. */
   @Command(name = "drill", mixinStandardHelpOptions = true,
       description = "Decides for simulated balancers: batches on standard input, replies on standard output.")
   static final class DrillCommand implements Callable<Integer> {
@@ -56,21 +56,21 @@
         new Drill(System.in, System.out, BalancerPolicy::new).run();
         return 0;
       } catch (InputException e) {
-        LOG.error("bad input: " + e.getMessage());
+        LOG.error("invalid input: " + e.getMessage());
       } catch (IOException e) {
-        LOG.error("input or output broke: " + e.getMessage());
+        LOG.error("input or output failed: " + e.getMessage());
       }
       return 1;
     }
   }
 
-  /** Runs one real proxy until it is told to end. */
+  /** Runs one proxy until it receives a SIGTERM. */
   @Command(name = "serve", mixinStandardHelpOptions = true,
       description = "Runs one proxy on sockets, as its configuration file says, until SIGTERM.")
   static final class ServeCommand implements Callable<Integer> {
 
-    static final int SERVING = -1;
-    private static final long LOOK_MS = 250;
+    static final int SERVING = -1; // not an exit code: the proxy has started and the process goes on
+    private static final long CHECK_INTERVAL_MS = 250;
     private static final Log LOG = Log.of("serve");
 
     @Option(names = "--config", paramLabel = "FILE",
@@ -79,9 +79,9 @@
 
     @Override
     public Integer call() {
-      String told = System.getenv("PROXY_CONFIG");
-      if (config == null && told != null) {
-        config = Path.of(told);
+      String path = System.getenv("PROXY_CONFIG");
+      if (config == null && path != null) {
+        config = Path.of(path);
       }
       if (config == null) {
         LOG.error("no configuration: give --config FILE or set PROXY_CONFIG");
@@ -89,26 +89,30 @@
       }
       Log.captureLibraryLogs();
       try {
-        FileChanges changes = new FileChanges(config); // before it is read: no change is missed
+        FileChanges changes = new FileChanges(config); // taken before the file is read, to miss no change
         Proxy proxy = new Proxy(Config.read(config), BalancerPolicy::new);
-        if (!Hangup.handle(() -> reload(proxy))) {
-          LOG.warn("SIGHUP is ignored since before the start: " + config + " is read again when it changes");
-          Thread watch = new Thread(() -> follow(proxy, changes), "configuration");
-          watch.setDaemon(true);
-          watch.start();
+        if (!SighupHandler.install(() -> reload(proxy))) {
+          LOG.warn("SIGHUP is ignored, as at the start of the process: " + config
+              + " is read again when it changes");
+          Thread watcher = new Thread(() -> reloadOnChange(proxy, changes), "configuration");
+          watcher.setDaemon(true);
+          watcher.start();
         }
         return start(proxy);
       } catch (InputException e) {
-        LOG.error("bad configuration: " + e.getMessage());
+        LOG.error("invalid configuration: " + e.getMessage());
         return 2;
       }
     }
 
-    /** In place of a signal that never comes; a file that was read half written is read again when whole. */
-    private void follow(Proxy proxy, FileChanges changes) {
+    /**
+     * Polls the file, in place of a signal that is never received. A file that was read while it was being
+     * written is read again after the rest has been written.
+     */
+    private void reloadOnChange(Proxy proxy, FileChanges changes) {
       try {
         while (true) {
-          Thread.sleep(LOOK_MS);
+          Thread.sleep(CHECK_INTERVAL_MS);
           if (changes.changed()) {
             reload(proxy);
           }
@@ -118,7 +122,7 @@
       }
     }
 
-    /** Reads the file again, once at a time; one that can't be used leaves all as it was. */
+    /** Reads the file again, one call at a time. A file that can't be used changes nothing. */
     private synchronized void reload(Proxy proxy) {
       try {
         proxy.reload(Config.read(config));
@@ -128,26 +132,26 @@
     }
 
     private static int start(Proxy proxy) {
-      // Set before clients can come: a SIGTERM just after that must be obeyed in order too.
-      Thread end = new Thread(() -> end(proxy), "end");
-      Runtime.getRuntime().addShutdownHook(end);
+      // Registered before clients can connect, so that an early SIGTERM leads to a graceful shutdown too.
+      Thread hook = new Thread(() -> shutDown(proxy), "end");
+      Runtime.getRuntime().addShutdownHook(hook);
       try {
         proxy.startWithWarmUp();
         return SERVING;
       } catch (IOException e) {
-        Runtime.getRuntime().removeShutdownHook(end);
-        LOG.error("can't serve: " + e.getMessage());
+        Runtime.getRuntime().removeShutdownHook(hook);
+        LOG.error("can't start to serve: " + e.getMessage());
         return 2;
       }
     }
 
-    private static void end(Proxy proxy) {
+    private static void shutDown(Proxy proxy) {
       try {
         proxy.drain();
       } catch (InterruptedException e) {
-        LOG.error("the end was cut short", e);
+        LOG.error("the shutdown was interrupted", e);
       }
-      Runtime.getRuntime().halt(0); // after a SIGTERM the machine's own code would not be 0
+      Runtime.getRuntime().halt(0); // the JVM's own exit code after a SIGTERM would not be 0
     }
   }
 }
--- a/src/main/java/beampoint/cli/SighupHandler.java
+++ b/src/main/java/beampoint/cli/SighupHandler.java
@@ -3,31 +3,31 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP, which would end the program if nobody handled it. The Java platform has no public interface to
- * signals; its own is reached by name, as the compiler warns of any other use.
+ * Handles SIGHUP, which would end the process otherwise. The Java platform has no public interface for
+ * signals; its internal one is used by reflection because the compiler warns of any direct use.
  */
-final class Hangup {
+final class SighupHandler {
 
-  private Hangup() {}
+  private SighupHandler() {}
 
   /**
-   * Has a task run at each SIGHUP, on a thread of its own. False where whoever started this process has the
-   * signal ignored, as nohup does: that is inherited, and Java then never hears of one.
+   * Runs a task at each SIGHUP, on a separate thread. Returns false if this process was started with the
+   * signal ignored, as nohup does: a process inherits that, and the JVM then never receives the signal.
    */
-  static boolean handle(Runnable task) {
+  static boolean install(Runnable task) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
-      Object handling = Proxy.newProxyInstance(Hangup.class.getClassLoader(), new Class<?>[] {handler},
-          (self, method, arguments) -> {
+      Object instance = Proxy.newProxyInstance(SighupHandler.class.getClassLoader(), new Class<?>[] {handler},
+          (proxy, method, arguments) -> {
             task.run();
             return null;
           });
-      Object before = signal.getMethod("handle", signal, handler)
-          .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handling);
-      return before != handler.getField("SIG_IGN").get(null);
+      Object previous = signal.getMethod("handle", signal, handler)
+          .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), instance);
+      return previous != handler.getField("SIG_IGN").get(null);
     } catch (ReflectiveOperationException e) {
-      throw new IllegalStateException("SIGHUP can't be handled", e);
+      throw new IllegalStateException("can't install a handler for SIGHUP", e);
     }
   }
 }
