--- a/src/main/java/beampoint/count/Counter.java
+++ b/src/main/java/beampoint/count/Counter.java
@@ -1,6 +1,6 @@
 package beampoint.count;
 
-/** What is counted: taken in, sent, answered, and what should never happen. */
+/** The counters of a proxy, among them those of events that should never occur. Their names are printed. */
 public enum Counter {
   CLIENT_CONNECTIONS, CLIENT_CONNECTIONS_CLOSED_FULL, CLIENT_CONNECTIONS_CLOSED_STALE,
   REQUESTS_TAKEN, REQUESTS_GONE, BAD_COMMANDS,
--- a/src/main/java/beampoint/count/Counters.java
+++ b/src/main/java/beampoint/count/Counters.java
@@ -3,7 +3,7 @@
 import beampoint.log.Log;
 import java.util.concurrent.atomic.AtomicLongArray;
 
-/** The counters of one proxy; any thread may count. */
+/** The values of all counters of one proxy. Thread-safe. */
 public final class Counters {
 
   private static final Log LOG = Log.of("count");
@@ -14,7 +14,7 @@
     values.incrementAndGet(counter.ordinal());
   }
 
-  /** Adds so many at once, as of bytes. */
+  /** Adds a number to a counter, for example of bytes. */
   public void add(Counter counter, long number) {
     values.addAndGet(counter.ordinal(), number);
   }
@@ -23,16 +23,19 @@
     return values.get(counter.ordinal());
   }
 
-  /** What must hold: asserted where assertions are on (debug builds), counted and logged in a release. */
-  public void check(boolean holds, String what) {
-    assert holds : what;
+  /**
+   * Checks an invariant. A violation fails an assertion where assertions are enabled (debug builds), and is
+   * counted and logged in a release.
+   */
+  public void check(boolean holds, String invariant) {
+    assert holds : invariant;
     if (!holds) {
       add(Counter.INVARIANTS_BROKEN);
-      LOG.error("does not hold: " + what);
+      LOG.error("invariant violated: " + invariant);
     }
   }
 
-  /** All counters in one line, for the log. */
+  /** All counters in one line, as name=value, for the log. */
   @Override
   public String toString() {
     StringBuilder text = new StringBuilder();
--- a/src/main/java/beampoint/files/FileStamp.java
+++ b/src/main/java/beampoint/files/FileStamp.java
@@ -6,14 +6,18 @@
 import java.nio.file.attribute.BasicFileAttributes;
 import java.nio.file.attribute.FileTime;
 
-/** Tells one state of a file from the next: written later, of another size, or another file in its place. */
-public record FileStamp(FileTime written, long size, String key) {
+/**
+ * Identifies one state of a file. Another state has another modification time or size, or is another file in
+ * its place.
+ */
+public record FileStamp(FileTime modified, long size, String fileKey) {
 
-  /** The file as it is now, or null where it can't be seen. */
+  /** Returns the present state of a file, or null if its attributes can't be read. */
   public static FileStamp of(Path file) {
     try {
-      BasicFileAttributes seen = Files.readAttributes(file, BasicFileAttributes.class);
-      return new FileStamp(seen.lastModifiedTime(), seen.size(), String.valueOf(seen.fileKey()));
+      BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+      return new FileStamp(attributes.lastModifiedTime(), attributes.size(),
+          String.valueOf(attributes.fileKey()));
     } catch (IOException e) {
       return null;
     }
--- a/src/main/java/beampoint/log/Log.java
+++ b/src/main/java/beampoint/log/Log.java
@@ -7,75 +7,76 @@
 import java.util.logging.LogManager;
 import java.util.logging.LogRecord;
 
-/** Log lines on standard error: time, level, part of the program, text, and the cause's trace. */
+/** Writes log lines to standard error: time, level, component, text, and the stack trace of the cause. */
 public final class Log {
 
-  private static final long REPEAT_NANOS = 1_000_000_000L;
+  private static final long REPEAT_INTERVAL_NANOS = 1_000_000_000L;
 
-  private final String part;
-  private String last; // the text written last, when, and how often it came again since
+  private final String component;
+  private String lastText; // of the last line written, its time, and how often it was suppressed since
   private long lastAt;
   private int repeats;
 
-  private Log(String part) {
-    this.part = part;
+  private Log(String component) {
+    this.component = component;
   }
 
-  /** A logger for one part of the program. */
-  public static Log of(String part) {
-    return new Log(part);
+  /** A logger for one component of the program. */
+  public static Log of(String component) {
+    return new Log(component);
   }
 
   public void info(String text) {
-    line("INFO ", text, null);
+    write("INFO ", text, null);
   }
 
   public void warn(String text) {
-    line("WARN ", text, null);
+    write("WARN ", text, null);
   }
 
   public void error(String text) {
-    line("ERROR", text, null);
+    write("ERROR", text, null);
   }
 
   public void error(String text, Throwable cause) {
-    line("ERROR", text, cause);
+    write("ERROR", text, cause);
   }
 
-  /** Lines are written whole, lest those of two threads mix, and no text can add one. */
-  private void line(String level, String text, Throwable cause) {
+  /** Writes one line at a time, so that the lines of two threads do not mix. */
+  private void write(String level, String text, Throwable cause) {
     synchronized (Log.class) {
       long now = System.nanoTime();
-      // Guards against a log that fills with one line under load: in a second it is written once.
-      if (cause == null && text.equals(last) && now - lastAt < REPEAT_NANOS) {
+      // The same line is written at most once a second, so that it can't flood the log under load.
+      if (cause == null && text.equals(lastText) && now - lastAt < REPEAT_INTERVAL_NANOS) {
         repeats++;
         return;
       }
       if (repeats > 0) {
-        print("INFO ", "the line before came " + repeats + " more times", null);
+        print("INFO ", "the previous line was repeated " + repeats + " times", null);
       }
-      last = text;
+      lastText = text;
       lastAt = now;
       repeats = 0;
       print(level, text, cause);
     }
   }
 
+  /** Line breaks in the text become spaces, so that no text can add a line. */
   private void print(String level, String text, Throwable cause) {
     PrintStream out = System.err;
-    out.println(Instant.now() + " " + level + " " + part + ": " + text.replaceAll("\\v+", " "));
+    out.println(Instant.now() + " " + level + " " + component + ": " + text.replaceAll("\\v+", " "));
     if (cause != null) {
       cause.printStackTrace(out);
     }
   }
 
   /**
-   * Made by the platform in place of its own configuration of logs. Guards against a start that reads one and
-   * drops it again.
+   * Instantiated by java.util.logging in place of reading its default configuration, which the start would
+   * only discard again.
    */
   public static final class NoConfiguration {}
 
-  /** Writes the warnings of libraries, which log by java.util.logging, as lines of this log. */
+  /** Writes the warnings of libraries that use java.util.logging as lines of this log. */
   public static void captureLibraryLogs() {
     Log log = of("library");
     System.setProperty("java.util.logging.config.class", NoConfiguration.class.getName());
@@ -86,13 +87,13 @@
       @Override
       public void publish(LogRecord record) {
         String text = record.getLoggerName() + ": " + record.getMessage();
-        log.line(record.getLevel().intValue() >= Level.SEVERE.intValue() ? "ERROR" : "WARN ", text,
+        log.write(record.getLevel().intValue() >= Level.SEVERE.intValue() ? "ERROR" : "WARN ", text,
             record.getThrown());
       }
 
       @Override
       public void flush() {
-        // nothing is held back
+        // nothing is buffered
       }
 
       @Override
--- a/src/test/java/beampoint/log/LogTest.java
+++ b/src/test/java/beampoint/log/LogTest.java
@@ -33,7 +33,7 @@
       log.info("another");
     });
     assertEquals(3, lines.length);
-    assertTrue(lines[1].endsWith("part: the line before came 99 more times"), lines[1]);
+    assertTrue(lines[1].endsWith("part: the previous line was repeated 99 times"), lines[1]);
   }
 
   @Test
