--- a/src/main/java/beampoint/buffer/Budget.java
+++ b/src/main/java/beampoint/buffer/Budget.java
@@ -5,24 +5,25 @@
 import java.util.Set;
 
 /**
- * The bytes of values that a process may hold: those that come to be held whole, and the windows of streams.
+ * The memory budget for values: the bytes of values that are buffered whole, and the windows of streams.
  * Belongs to the decision thread.
  */
 public final class Budget {
 
-  private static final int SMALLEST_WINDOW = 8 * 1024;
-  private static final int LARGEST_WINDOW = 128 * 1024;
+  private static final int MIN_WINDOW_BYTES = 8 * 1024;
+  private static final int MAX_WINDOW_BYTES = 128 * 1024;
 
-  private long limit;
+  private long limit; // in bytes, as is held
   private long held;
   private int streams;
-  private final Set<Claim> growing = new LinkedHashSet<>(); // the first begun first
+  private final Set<Claim> incomplete = new LinkedHashSet<>(); // the oldest first
 
-  public Budget(long limit) {
-    this.limit = limit;
+  /** A budget with a limit in bytes. */
+  public Budget(long limitBytes) {
+    this.limit = limitBytes;
   }
 
-  /** A value that is held whole. */
+  /** The bytes of one value that is buffered whole. */
   public final class Claim {
     private final Runnable resume;
     private long bytes;
@@ -33,23 +34,24 @@
     }
 
     /**
-     * Counts bytes that have come; false where no more may be read until the call back. Guards against a dead
-     * end, in which all values are begun and none can be finished: the first begun is never held up.
+     * Counts received bytes; returns false if no more may be read until the callback. The oldest incomplete
+     * value is never paused. If all could be paused, they might use up the budget between them so that none
+     * could be completed.
      */
     public boolean add(int count) {
       held += count;
       bytes += count;
-      paused = held > limit && growing.iterator().next() != this;
+      paused = held > limit && incomplete.iterator().next() != this;
       return !paused;
     }
 
-    /** It is whole: its bytes stay counted until they are released. */
+    /** The value is complete. Its bytes stay counted until they are released. */
     public void complete() {
-      growing.remove(this);
-      wake();
+      incomplete.remove(this);
+      resumePaused();
     }
 
-    /** Its bytes are held no more; the second time nothing is done. */
+    /** The bytes are no longer held. A second call has no effect. */
     public void release() {
       held -= bytes;
       bytes = 0;
@@ -57,50 +59,52 @@
     }
   }
 
-  /** Begins to hold a value; the call back tells that more of it may be read. */
+  /** Starts to buffer a value. The callback runs when more of a paused value may be read. */
   public Claim claim(Runnable resume) {
     Claim claim = new Claim(resume);
-    growing.add(claim);
+    incomplete.add(claim);
     return claim;
   }
 
-  private void wake() {
-    boolean first = true;
-    for (Claim claim : new ArrayList<>(growing)) {
-      if (claim.paused && (first || held <= limit)) {
+  /** Resumes paused values: the oldest incomplete one in any case, the others while the limit allows it. */
+  private void resumePaused() {
+    boolean isOldest = true;
+    for (Claim claim : new ArrayList<>(incomplete)) {
+      if (claim.paused && (isOldest || held <= limit)) {
         claim.paused = false;
         claim.resume.run();
       }
-      first = false;
+      isOldest = false;
     }
   }
 
+  /** Sets the limit in bytes. */
   public void limit(long bytes) {
     limit = bytes;
-    wake();
+    resumePaused();
   }
 
-  /** What is held whole, or on its way to that. */
+  /** The bytes of all values that are buffered whole, complete or not. */
   public long held() {
     return held;
   }
 
-  /** How many streams are open. */
+  /** The number of open streams. */
   public int streams() {
     return streams;
   }
 
-  void streamBegins() {
+  void streamOpened() {
     streams++;
   }
 
-  void streamEnds() {
+  void streamClosed() {
     streams--;
   }
 
-  /** How much a stream may hold before it pauses its source. */
+  /** How many bytes a stream may hold before it pauses its source. */
   int window() {
-    long each = (limit - held) / Math.max(1, streams);
-    return (int) Math.max(SMALLEST_WINDOW, Math.min(LARGEST_WINDOW, each));
+    long share = (limit - held) / Math.max(1, streams);
+    return (int) Math.max(MIN_WINDOW_BYTES, Math.min(MAX_WINDOW_BYTES, share));
   }
 }
--- a/src/main/java/beampoint/buffer/Collector.java
+++ b/src/main/java/beampoint/buffer/Collector.java
@@ -6,38 +6,44 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 
 /**
- * Bytes put together as they come, in chunks that grow. Guards against peers that write a byte at a time, of
- * which each would be a buffer, and against those that announce much and send nothing.
+ * Collects the bytes of a message as they arrive, in chunks of growing size. Peers that write one byte at a
+ * time do not cost a buffer for each byte, and peers that announce a long message and send nothing do not
+ * cost the announced memory.
  */
 public final class Collector {
 
-  private static final int FIRST_CHUNK = 512;
-  private static final int LARGEST_CHUNK = 32 * 1024;
+  private static final int FIRST_CHUNK_BYTES = 512;
+  private static final int MAX_CHUNK_BYTES = 32 * 1024;
 
   private final MemoryManager<?> memory;
   private final Budget.Claim claim;
   private final int length;
-  private final BuffersBuffer whole;
+  private final BuffersBuffer message; // of the chunks that are full
   private byte[] chunk = new byte[0];
-  private int used;
+  private int used; // bytes of the current chunk
   private int size;
 
-  /** Collects so many bytes at the most; the claim may be null. */
+  /**
+   * A collector of one message.
+   *
+   * @param length the length of the message in bytes
+   * @param claim counts the bytes in a budget; may be null
+   */
   public Collector(MemoryManager<?> memory, int length, Budget.Claim claim) {
     this.memory = memory;
     this.length = length;
     this.claim = claim;
-    this.whole = BuffersBuffer.create(memory);
+    this.message = BuffersBuffer.create(memory);
   }
 
-  /** Takes what is missing off a buffer; false where no more may be read for now. */
+  /** Takes up to the missing bytes from a buffer; returns false if no more may be read for now. */
   public boolean add(Buffer in) {
     int count = Math.min(length - size, in.remaining());
     size += count;
     for (int left = count; left > 0;) {
       if (used == chunk.length) {
         closeChunk();
-        int next = Math.min(LARGEST_CHUNK, Math.max(FIRST_CHUNK, Math.max(left, 2 * used)));
+        int next = Math.min(MAX_CHUNK_BYTES, Math.max(FIRST_CHUNK_BYTES, Math.max(left, 2 * used)));
         chunk = new byte[Math.min(next, length - size + left)];
         used = 0;
       }
@@ -51,19 +57,21 @@
 
   private void closeChunk() {
     if (used > 0) {
-      whole.append(Buffers.wrap(memory, chunk, 0, used));
+      message.append(Buffers.wrap(memory, chunk, 0, used));
     }
   }
 
+  /** True once all bytes have been collected. */
   public boolean isComplete() {
     return size == length;
   }
 
+  /** The number of bytes collected so far. */
   public int size() {
     return size;
   }
 
-  /** All bytes, once they have come; nothing more may be added. */
+  /** Returns the complete message; nothing may be added after that. */
   public Buffer message() {
     closeChunk();
     used = 0;
@@ -71,15 +79,15 @@
     if (claim != null) {
       claim.complete();
     }
-    return whole;
+    return message;
   }
 
-  /** A copy in one piece, which does not keep what it was cut from. */
+  /** Copies a buffer into a single array, so that the copy does not keep the original reachable. */
   public static Buffer copy(MemoryManager<?> memory, Buffer in) {
-    int at = in.position();
+    int position = in.position();
     byte[] bytes = new byte[in.remaining()];
     in.get(bytes);
-    in.position(at);
+    in.position(position);
     return Buffers.wrap(memory, bytes);
   }
 }
--- a/src/main/java/beampoint/buffer/MessageBuilder.java
+++ b/src/main/java/beampoint/buffer/MessageBuilder.java
@@ -6,7 +6,7 @@
 import org.glassfish.grizzly.memory.BuffersBuffer;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** A message put together of texts and of bytes as they lie, to be written in one gathered write. */
+/** Builds a message from texts and from buffers that are not copied, to be written in one gathering write. */
 public final class MessageBuilder {
 
   private final MemoryManager<?> memory;
@@ -17,17 +17,21 @@
     this.parts = BuffersBuffer.create(memory);
   }
 
+  /** Adds a text in ISO 8859-1. */
   public MessageBuilder text(String text) {
     parts.append(Buffers.wrap(memory, text.getBytes(StandardCharsets.ISO_8859_1)));
     return this;
   }
 
-  /** Adds bytes without copying them, under bounds of their own: writing moves those of what it writes. */
+  /**
+   * Adds the remaining bytes of a buffer without copying them. The message has its own position and limit
+   * for them, because writing a buffer changes its bounds.
+   */
   public MessageBuilder bytes(Buffer buffer) {
     return bytes(buffer, buffer.position(), buffer.limit());
   }
 
-  /** Adds a part of a buffer. */
+  /** Adds a part of a buffer without copying it. */
   public MessageBuilder bytes(Buffer buffer, int from, int to) {
     if (to > from) {
       parts.append(buffer.slice(from, to));
@@ -35,6 +39,7 @@
     return this;
   }
 
+  /** The message with all parts added so far. */
   public Buffer message() {
     return parts;
   }
--- a/src/main/java/beampoint/buffer/Stream.java
+++ b/src/main/java/beampoint/buffer/Stream.java
@@ -5,28 +5,29 @@
 import org.glassfish.grizzly.Buffer;
 
 /**
- * A long value on its way from a source to a sink. It holds a window of bytes: a source is paused when that
- * is full, and goes on when half of it is free. Belongs to the decision thread.
+ * A long value that is passed from a source to a sink with backpressure: the source is paused when a window
+ * of bytes is full, and resumed when half of the window is free. Belongs to the decision thread.
  */
 public final class Stream {
 
   /** Where the bytes come from. */
   public interface Source {
-    /** More may be read. */
+    /** More bytes may be read. */
     void resume();
 
-    /** Nobody wants the rest. */
+    /** The rest of the value is not needed. */
     void cancel();
   }
 
-  /** Where they go. */
+  /** Where the bytes go. */
   public interface Sink {
+    /** The next bytes of the value. */
     void bytes(Buffer bytes);
 
-    /** All bytes have come, and what followed them was right. */
+    /** All bytes have arrived, and the data that followed them was valid. */
     void complete();
 
-    /** The rest will never come. */
+    /** The rest of the value will not arrive. */
     void failed();
   }
 
@@ -37,24 +38,26 @@
   private Sink sink;
   private long unwritten;
   private boolean paused;
-  private boolean whole;
-  private boolean broken;
-  private boolean over;
+  private boolean isComplete;
+  private boolean hasFailed;
+  private boolean isOver;
 
+  /** Opens a stream for a value of this length in bytes. */
   public Stream(long length, Budget budget, Source source) {
     this.length = length;
     this.budget = budget;
     this.source = source;
-    budget.streamBegins();
+    budget.streamOpened();
   }
 
+  /** The length of the value in bytes. */
   public long length() {
     return length;
   }
 
-  /** Takes the next bytes; false where the source must wait until it is told to go on. */
+  /** Takes the next bytes; returns false if the source must wait until it is resumed. */
   public boolean offer(Buffer bytes) {
-    if (over) {
+    if (isOver) {
       return true;
     }
     unwritten += bytes.remaining();
@@ -67,30 +70,32 @@
     return !paused;
   }
 
+  /** All bytes were offered, and the data that followed them was valid. */
   public void finish() {
-    whole = true;
-    tellEnd();
+    isComplete = true;
+    notifyEnd();
   }
 
-  /** The rest will never come. */
+  /** The rest of the value will not arrive. */
   public void fail() {
-    broken = true;
-    tellEnd();
+    hasFailed = true;
+    notifyEnd();
   }
 
-  /** Begins to hand on, what has come already first. */
-  public void attach(Sink to) {
-    sink = to;
+  /** Sets the sink and passes it the bytes that have arrived so far. */
+  public void attach(Sink newSink) {
+    sink = newSink;
     while (!waiting.isEmpty()) {
       sink.bytes(waiting.poll());
     }
-    tellEnd();
+    notifyEnd();
   }
 
-  private void tellEnd() {
-    if (!over && sink != null && (whole || broken)) {
+  /** Tells the sink how the stream has ended, if it has and the sink was not told before. */
+  private void notifyEnd() {
+    if (!isOver && sink != null && (isComplete || hasFailed)) {
       end();
-      if (broken) {
+      if (hasFailed) {
         sink.failed();
       } else {
         sink.complete();
@@ -99,22 +104,22 @@
   }
 
   private void end() {
-    over = true;
-    budget.streamEnds();
+    isOver = true;
+    budget.streamClosed();
   }
 
-  /** The sink has passed so many bytes on. */
+  /** The sink has written a number of bytes. */
   public void written(long count) {
     unwritten -= count;
-    if (paused && !over && unwritten <= budget.window() / 2) {
+    if (paused && !isOver && unwritten <= budget.window() / 2) {
       paused = false;
       source.resume();
     }
   }
 
-  /** The sink is gone. */
+  /** The value is no longer needed. Cancels the source, unless the stream has ended. */
   public void cancel() {
-    if (!over) {
+    if (!isOver) {
       end();
       waiting.clear();
       source.cancel();
