--- a/src/test/java/beampoint/buffer/StreamTest.java
+++ b/src/test/java/beampoint/buffer/StreamTest.java
@@ -11,10 +11,10 @@
 import org.glassfish.grizzly.memory.HeapMemoryManager;
 import org.junit.jupiter.api.Test;
 
-/** Long values on their way: windows, pauses and ends. */
+/** Streams of long values: windows, pauses and ends; and the claims of a budget. */
 class StreamTest {
 
-  private final List<String> told = new ArrayList<>();
+  private final List<String> calls = new ArrayList<>();
   private final Budget budget = new Budget(1024 * 1024);
   private int bytes;
 
@@ -26,12 +26,12 @@
 
     @Override
     public void complete() {
-      told.add("whole");
+      calls.add("whole");
     }
 
     @Override
     public void failed() {
-      told.add("broken");
+      calls.add("broken");
     }
   };
 
@@ -39,12 +39,12 @@
     return new Stream(4 << 20, budget, new Stream.Source() {
       @Override
       public void resume() {
-        told.add("resume");
+        calls.add("resume");
       }
 
       @Override
       public void cancel() {
-        told.add("cancel");
+        calls.add("cancel");
       }
     });
   }
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void aSourceIsPausedWhenTheWindowIsFullAndGoesOnOnceHalfIsFree() {
+  void sourceIsPausedAtAFullWindowAndResumedOnceHalfIsFree() {
     Stream stream = stream();
     stream.attach(sink);
     int offered = 1000;
@@ -63,12 +63,12 @@
     }
     assertTrue(offered > 100_000 && offered < 200_000, "window: " + offered);
     stream.written(1000);
-    assertEquals(List.of(), told);
+    assertEquals(List.of(), calls);
     stream.written(offered / 2);
-    assertEquals(List.of("resume"), told);
+    assertEquals(List.of("resume"), calls);
   }
 
-  /** Guards against slow readers that together hold more than the process may. */
+  /** Many slow readers together must not make the process hold more than the budget. */
   @Test
   void manyStreamsShareTheBudget() {
     long held = 0;
@@ -88,45 +88,45 @@
   }
 
   @Test
-  void whatCameBeforeTheSinkGoesFirstAndTheEndIsToldOnce() {
+  void bytesBeforeTheSinkArePassedFirstAndTheEndIsReportedOnce() {
     Stream stream = stream();
     stream.offer(part(10));
     stream.finish();
-    assertEquals(List.of(), told);
+    assertEquals(List.of(), calls);
     stream.attach(sink);
     assertEquals(10, bytes);
     stream.cancel();
     stream.fail();
-    assertEquals(List.of("whole"), told);
+    assertEquals(List.of("whole"), calls);
     assertEquals(0, budget.streams());
   }
 
   @Test
-  void aStreamThatBreaksOrIsGivenUpEndsOnce() {
-    Stream broken = stream();
-    broken.attach(sink);
-    broken.fail();
-    broken.cancel();
-    Stream left = stream();
-    left.cancel();
-    left.cancel();
-    left.finish();
-    left.attach(sink);
-    assertEquals(List.of("broken", "cancel"), told);
+  void failedOrCancelledStreamEndsOnce() {
+    Stream failed = stream();
+    failed.attach(sink);
+    failed.fail();
+    failed.cancel();
+    Stream cancelled = stream();
+    cancelled.cancel();
+    cancelled.cancel();
+    cancelled.finish();
+    cancelled.attach(sink);
+    assertEquals(List.of("broken", "cancel"), calls);
     assertEquals(0, budget.streams());
   }
 
-  /** A claim alone costs nothing; what has come is counted, once, until it is released. */
+  /** A claim without bytes counts nothing; received bytes are counted once, until they are released. */
   @Test
-  void aClaimCountsWhatHasCome() {
-    Budget.Claim claim = budget.claim(() -> told.add("resume"));
+  void claimCountsReceivedBytes() {
+    Budget.Claim claim = budget.claim(() -> calls.add("resume"));
     assertEquals(0, budget.held());
-    assertTrue(claim.add(2 << 20), "the first is never held up");
-    Budget.Claim next = budget.claim(() -> told.add("next"));
+    assertTrue(claim.add(2 << 20), "the oldest value is never paused");
+    Budget.Claim next = budget.claim(() -> calls.add("next"));
     assertFalse(next.add(10));
     claim.release();
     claim.release();
-    assertEquals(List.of("next"), told);
+    assertEquals(List.of("next"), calls);
     assertEquals(10, budget.held());
   }
 }
--- a/src/test/java/beampoint/cli/MainTest.java
+++ b/src/test/java/beampoint/cli/MainTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The command line's usage errors. */
+/** Exit codes of the command line, and start, reload and end of a process that serves. */
 @Timeout(30)
 class MainTest {
 
-  private static final String IGNORED = "SIGHUP is ignored";
+  private static final String SIGHUP_IGNORED = "SIGHUP is ignored";
 
   private final StringWriter errors = new StringWriter();
 
@@ -30,31 +30,31 @@
   }
 
   @Test
-  void withoutACommandItPrintsItsUsageAndExitsTwo() {
+  void missingCommandPrintsTheUsageAndExitsWithTwo() {
     assertEquals(2, run());
     assertTrue(errors.toString().contains("Usage: beampoint"), errors.toString());
   }
 
   @Test
-  void aWrongCommandOrOptionExitsTwo() {
+  void unknownCommandOrOptionExitsWithTwo() {
     assertEquals(2, run("dril"));
     assertEquals(2, run("drill", "--fast"));
   }
 
   @Test
-  void aConfigurationThatCanNotBeUsedExitsTwo(@TempDir Path dir) throws Exception {
+  void invalidConfigurationExitsWithTwo(@TempDir Path dir) throws Exception {
     assertEquals(2, run("serve", "--config", dir.resolve("none.json").toString()));
     Path bad = Files.writeString(dir.resolve("bad.json"), "{\"name\":\"n0\"}");
     assertEquals(2, run("serve", "--config", bad.toString()));
   }
 
-  /** Guards against a planned restart that counts as a crash: after a SIGTERM the exit code is 0. */
+  /** The exit code after a SIGTERM is 0; any other would make a planned restart count as a crash. */
   @Test
-  void aSigtermEndsTheProgramInOrder(@TempDir Path dir) throws Exception {
+  void sigtermEndsTheProcessGracefully(@TempDir Path dir) throws Exception {
     Process process = serve(writeConfig(dir, Stub.nobody()));
     try (BufferedReader log = process.inputReader()) {
       String line = log.readLine();
-      while (!line.contains("n0 listens on")) { // discovery may be missed sooner than clients are listened to
+      while (!line.contains("n0 listens on")) { // a failed call to discovery may be logged earlier
         line = log.readLine();
       }
       process.toHandle().destroy(); // a SIGTERM
@@ -69,10 +69,10 @@
     }
   }
 
-  /** Nine in ten restarted proxies are to be ready within 10 s, also while discovery is down. */
+  /** Nine of ten restarted proxies must be ready within 10 s, even while discovery is down. */
   @Test
-  void aProcessIsReadyWithinSecondsThoughDiscoveryIsDown(@TempDir Path dir) throws Exception {
-    long begunAt = System.nanoTime();
+  void processIsReadyWithinSecondsWhileDiscoveryIsDown(@TempDir Path dir) throws Exception {
+    long startedAt = System.nanoTime();
     Process process = serve(writeConfig(dir, Stub.nobody()));
     try (BufferedReader log = process.inputReader()) {
       boolean listens = false;
@@ -82,15 +82,15 @@
         listens |= line.contains("n0 listens on");
         warm |= line.contains("n0 is warm");
       }
-      assertTrue((System.nanoTime() - begunAt) / 1e9 < 10);
+      assertTrue((System.nanoTime() - startedAt) / 1e9 < 10);
     } finally {
       process.destroyForcibly();
     }
   }
 
-  /** Guards against a start that is spent on reading one word, or on code that is made to join texts. */
+  /** A start must not spend time on picocli's model or on classes generated for string concatenation. */
   @Test
-  void theOneWordServeStartsWithoutTheCommandLinesModel(@TempDir Path dir) throws Exception {
+  void bareServeCommandStartsWithoutTheCommandLineModel(@TempDir Path dir) throws Exception {
     ProcessBuilder builder = TestProcess.java(Main.class, List.of("-Xlog:class+load"), "serve");
     builder.environment().put("PROXY_CONFIG", writeConfig(dir, Stub.nobody()).toString());
     Process process = builder.start();
@@ -99,29 +99,30 @@
       for (String line = log.readLine(); !line.contains("n0 listens on"); line = log.readLine()) {
         classes += line.contains("[class,load]") ? 1 : 0;
         assertFalse(line.contains("picocli.CommandLine$Model"), line);
-        assertFalse(line.contains("BoundMethodHandle$Species_LLLL"), "joins texts by made code: " + line);
+        assertFalse(line.contains("BoundMethodHandle$Species_LLLL"),
+            "string concatenation by generated classes: " + line);
       }
-      assertTrue(classes > 500, "the classes are told: " + classes);
+      assertTrue(classes > 500, "class loading is logged, classes: " + classes);
     } finally {
       process.destroyForcibly();
     }
   }
 
-  /** Guards against a SIGHUP that ends the program, and a spoilt file that takes its settings away. */
+  /** A SIGHUP must not end the process, and an invalid file must leave the settings in force. */
   @Test
-  void aSighupReadsTheConfigurationAgainAndASpoiltOneChangesNothing(@TempDir Path dir) throws Exception {
+  void sighupReloadsTheConfigurationAndAnInvalidOneChangesNothing(@TempDir Path dir) throws Exception {
     try (Stub first = new Stub(Stub.Peer::beSilent); Stub second = new Stub(Stub.Peer::beSilent)) {
       Path config = writeConfig(dir, first.address());
       Process process = serve(config);
       try (BufferedReader log = process.inputReader()) {
         await(log, "n0 listens on");
         Files.writeString(config, "{\"name\":");
-        hangUp(process);
+        sendSighup(process);
         await(log, "the old one stays");
         writeConfig(dir, second.address());
-        hangUp(process);
+        sendSighup(process);
         await(log, "discovery moves to /" + second.address());
-        hangUp(process);
+        sendSighup(process);
         await(log, "discovery stays at");
         assertTrue(process.isAlive());
         while (second.connections() == 0) {
@@ -133,9 +134,12 @@
     }
   }
 
-  /** Guards against a proxy under nohup that stays with an old discovery, and sends to what drains. */
+  /**
+   * A proxy under nohup receives no SIGHUP. Without another way to reload it would keep an old address of
+   * discovery, and send to hosts that drain.
+   */
   @Test
-  void whereSighupIsIgnoredSinceBeforeTheStartAChangedConfigurationIsReadAgain(@TempDir Path dir)
+  void changedConfigurationIsReloadedIfSighupWasIgnoredBeforeTheStart(@TempDir Path dir)
       throws Exception {
     try (Stub first = new Stub(Stub.Peer::beSilent); Stub second = new Stub(Stub.Peer::beSilent)) {
       ProcessBuilder builder = TestProcess.java(Main.class, List.of(), "serve", "--config",
@@ -143,12 +147,12 @@
       builder.command().addAll(0, List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
       Process process = builder.start();
       try (BufferedReader log = process.inputReader()) {
-        await(log, IGNORED);
+        await(log, SIGHUP_IGNORED);
         await(log, "n0 listens on");
         Files.writeString(dir.resolve("config.json"), "{\"name\":");
         await(log, "the old one stays");
         writeConfig(dir, second.address());
-        hangUp(process); // which goes unheard and must not end it
+        sendSighup(process); // not received, and must not end the process
         await(log, "discovery moves to /" + second.address());
         assertTrue(process.isAlive());
       } finally {
@@ -157,18 +161,18 @@
     }
   }
 
-  private static void hangUp(Process process) throws Exception {
+  private static void sendSighup(Process process) throws Exception {
     assertTrue(TestProcess.signal(process, "HUP"));
   }
 
   /**
-   * Reads on up to the line with this text. Under nohup no SIGHUP would ever be heard: that is told at
-   * once.
+   * Reads the log up to the line with this text. Fails at once if the tests run under nohup, where no SIGHUP
+   * would ever be received.
    */
   private static void await(BufferedReader log, String text) throws Exception {
     String line = log.readLine();
     while (!line.contains(text)) {
-      assertFalse(line.contains(IGNORED), "the tests run where SIGHUP is ignored, as under nohup");
+      assertFalse(line.contains(SIGHUP_IGNORED), "the tests run where SIGHUP is ignored, as under nohup");
       line = log.readLine();
     }
   }
--- a/src/test/java/beampoint/count/CountersTest.java
+++ b/src/test/java/beampoint/count/CountersTest.java
@@ -8,11 +8,11 @@
 import java.net.URLClassLoader;
 import org.junit.jupiter.api.Test;
 
-/** Counting, and what must hold. */
+/** Counting, and the checks of invariants. */
 class CountersTest {
 
   @Test
-  void whatIsCountedIsPrintedUnderItsName() {
+  void countersArePrintedUnderTheirNames() {
     Counters counters = new Counters();
     counters.add(Counter.REQUESTS_TAKEN);
     counters.add(Counter.REQUESTS_TAKEN);
@@ -21,22 +21,22 @@
   }
 
   @Test
-  void whatMustHoldIsAssertedInDebugBuilds() {
+  void violatedInvariantFailsAnAssertionInDebugBuilds() {
     Counters counters = new Counters();
     counters.check(true, "one is one");
     assertThrows(AssertionError.class, () -> counters.check(false, "one is two"));
   }
 
-  /** Guards against a release that dies of what it should only count: its classes run without assertions. */
+  /** A release must not fail on a violated invariant: its classes run without assertions and count it. */
   @Test
-  void whatMustHoldIsCountedInReleases() throws Exception {
+  void violatedInvariantIsCountedInReleases() throws Exception {
     URL classes = Counters.class.getProtectionDomain().getCodeSource().getLocation();
     try (URLClassLoader release = new URLClassLoader(new URL[] {classes}, null)) {
       release.setDefaultAssertionStatus(false);
       Class<?> type = release.loadClass(Counters.class.getName());
       Object counters = type.getConstructor().newInstance();
       type.getMethod("check", boolean.class, String.class)
-          .invoke(counters, false, "one is two, as the test has it");
+          .invoke(counters, false, "one is two, injected by the test");
       assertTrue(counters.toString().endsWith("invariants_broken=1"), counters.toString());
     }
   }
--- a/src/test/java/beampoint/log/LogTest.java
+++ b/src/test/java/beampoint/log/LogTest.java
@@ -8,23 +8,23 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.Test;
 
-/** Log lines. */
+/** The form of log lines, repeated lines, and the log of libraries. */
 class LogTest {
 
   private static String[] written(Runnable task) {
-    PrintStream standard = System.err;
+    PrintStream original = System.err;
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try {
       System.setErr(new PrintStream(bytes, true));
       task.run();
     } finally {
-      System.setErr(standard);
+      System.setErr(original);
     }
     return bytes.toString().split("\n");
   }
 
   @Test
-  void aLineThatComesAgainAtOnceIsOnlyCounted() {
+  void lineRepeatedWithinASecondIsOnlyCounted() {
     Log log = Log.of("part");
     String[] lines = written(() -> {
       for (int i = 0; i < 100; i++) {
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void librariesWriteToTheSameLog() {
+  void warningsOfLibrariesAreWrittenToTheSameLog() {
     String[] lines = written(() -> {
       Log.captureLibraryLogs();
       Logger.getLogger("org.example").warning("it creaks");
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void aLineHasTimeLevelPartAndTextAndNoTextAddsALine() {
+  void lineHasTimeLevelComponentAndTextAndNoTextAddsALine() {
     String[] lines = written(() -> {
       Log.of("part").warn("one\r\ntwo");
       Log.of("part").error("it broke", new IllegalStateException("why"));
