--- a/src/main/java/beampoint/serve/EventLoop.java
+++ b/src/main/java/beampoint/serve/EventLoop.java
@@ -112,12 +112,12 @@
    * connection while the close is still unread.
    */
   private void runDue() {
-    long begun = System.nanoTime();
-    if (passes.mustReadAgain(begun)) {
+    long startedAt = System.nanoTime();
+    if (passes.mustReadAgain(startedAt)) {
       return;
     }
-    runTasks(newTimers, begun + Long.MAX_VALUE / 2);
-    boolean isEmpty = runTasks(tasks, begun + SLICE_NANOS);
+    runTasks(newTimers, startedAt + Long.MAX_VALUE / 2);
+    boolean isEmpty = runTasks(tasks, startedAt + SLICE_NANOS);
     long now = System.nanoTime();
     while (!timers.isEmpty() && timers.peek().dueAt - now <= 0) {
       Timer<?> timer = timers.poll();
@@ -125,7 +125,7 @@
         cancelled--;
       } else if (isEmpty) {
         timer.fire();
-        isEmpty = runTasks(tasks, begun + SLICE_NANOS);
+        isEmpty = runTasks(tasks, startedAt + SLICE_NANOS);
       } else {
         tasks.add(timer::fire); // behind the tasks that are queued already
       }
--- a/src/main/java/beampoint/serve/Operations.java
+++ b/src/main/java/beampoint/serve/Operations.java
@@ -111,19 +111,19 @@
   }
 
   /** Applies a change, then stores it, then answers: the call takes effect even if its answer is lost. */
-  private Outcome change(String node, boolean out) {
+  private Outcome change(String node, boolean detached) {
     if (!proxy.isKnownNode().test(node) && banFile.of(node) == null) {
       return Outcome.UNKNOWN;
     }
-    if (!banFile.change(node, out, proxy.clock().getAsDouble())) {
+    if (!banFile.change(node, detached, proxy.clock().getAsDouble())) {
       return Outcome.TOO_MANY;
     }
     Ban ban = banFile.of(node);
     if (ban != null) {
       apply(ban);
     }
-    proxy.counters().add(out ? Counter.NODES_OUT : Counter.NODES_BACK);
-    LOG.info(node + (out ? " is detached" : " is attached again"));
+    proxy.counters().add(detached ? Counter.NODES_OUT : Counter.NODES_BACK);
+    LOG.info(node + (detached ? " is detached" : " is attached again"));
     try {
       banFile.store().forEach(this::apply);
       return Outcome.DONE;
