--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -245,7 +245,8 @@
   /** Passes an event to the decision module and carries out the actions that it returns. */
   void dispatch(Event event) {
     if (event instanceof BanChanged e && e.out()) {
-      upstreams.drain(e.endpoint()); // a connection may be established only after the grace period
+      // Requests that wait for a connection must not go there: it may come after the grace period.
+      upstreams.drain(e.endpoint());
     }
     List<Action> actions;
     try {
