--- a/src/main/java/beampoint/handover/Presence.java
+++ b/src/main/java/beampoint/handover/ProcessRegistry.java
@@ -12,7 +12,7 @@
  * How many processes of one proxy there are: each holds a lock on a byte of one file, its seat. The system
  * drops locks with their process, however that ends: nothing is left behind that could pass for a process.
  */
-public final class Presence implements Closeable {
+public final class ProcessRegistry implements Closeable {
 
   /**
    * Processes of one proxy that can be told apart: no more can be started by mistake than a machine holds.
@@ -24,7 +24,7 @@
   private final int seat;
   private final FileLock sits;
 
-  public Presence(Path path) throws IOException {
+  public ProcessRegistry(Path path) throws IOException {
     file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.READ,
         StandardOpenOption.WRITE);
     int free = 0;
--- a/src/main/java/beampoint/serve/Operations.java
+++ b/src/main/java/beampoint/serve/Operations.java
@@ -7,7 +7,7 @@
 import beampoint.count.Counters;
 import beampoint.handover.Ban;
 import beampoint.handover.BanFile;
-import beampoint.handover.Presence;
+import beampoint.handover.ProcessRegistry;
 import beampoint.log.Log;
 import beampoint.ops.AdminService;
 import java.io.IOException;
@@ -32,7 +32,7 @@
 
   private final Parts proxy;
   private final BanFile file;
-  private Presence presence; // null where the directory can't be used
+  private ProcessRegistry presence; // null where the directory can't be used
   private int processes = 1;
 
   Operations(Path directory, String name, int port, Parts proxy) {
@@ -40,7 +40,7 @@
     String base = "beampoint-" + name.replaceAll("[^A-Za-z0-9.-]", "_") + "-" + port;
     this.file = new BanFile(directory.resolve(base + ".bans.json"), name);
     try {
-      presence = new Presence(directory.resolve(base + ".processes"));
+      presence = new ProcessRegistry(directory.resolve(base + ".processes"));
     } catch (IOException e) {
       LOG.error("can't tell another process of this proxy by " + directory + ": " + e.getMessage());
     }
--- a/src/test/java/beampoint/handover/PresenceTest.java
+++ b/src/test/java/beampoint/handover/ProcessRegistryTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Processes see one another by locks that end with them. */
-class PresenceTest {
+class ProcessRegistryTest {
 
   /** A process of its own that sits down, says so, and waits to be killed. */
   static final class Sitter {
     public static void main(String[] args) throws Exception {
-      try (Presence presence = new Presence(Path.of(args[0]))) {
+      try (ProcessRegistry presence = new ProcessRegistry(Path.of(args[0]))) {
         System.out.println(presence.count());
         Thread.sleep(60_000);
       }
@@ -32,7 +32,7 @@
   @Test
   void aProcessIsSeenUntilItEndsHoweverItEnds(@TempDir Path directory) throws Exception {
     Path file = directory.resolve("processes");
-    try (Presence own = new Presence(file)) {
+    try (ProcessRegistry own = new ProcessRegistry(file)) {
       assertEquals(1, own.count());
       Process other = sitter(file);
       assertEquals("2", other.inputReader().readLine(), "each sees the other");
@@ -47,22 +47,22 @@
   void asManyProcessesAsThereMayBeAreCountedAndOneMoreIsRefused(@TempDir Path directory)
       throws Exception {
     Path file = directory.resolve("processes");
-    List<Presence> all = new ArrayList<>();
+    List<ProcessRegistry> all = new ArrayList<>();
     try {
-      for (int i = 1; i <= Presence.MAX_PROCESSES; i++) {
-        all.add(new Presence(file));
-        if (i < 10 || i > Presence.MAX_PROCESSES - 2) {
+      for (int i = 1; i <= ProcessRegistry.MAX_PROCESSES; i++) {
+        all.add(new ProcessRegistry(file));
+        if (i < 10 || i > ProcessRegistry.MAX_PROCESSES - 2) {
           assertEquals(i, all.get(0).count());
           assertEquals(i, all.get(i - 1).count());
         }
       }
-      assertThrows(IOException.class, () -> new Presence(file));
+      assertThrows(IOException.class, () -> new ProcessRegistry(file));
       all.remove(511).close();
-      assertEquals(Presence.MAX_PROCESSES - 1, all.get(0).count());
-      all.add(new Presence(file));
-      assertEquals(Presence.MAX_PROCESSES, all.get(600).count(), "a free seat is taken again");
+      assertEquals(ProcessRegistry.MAX_PROCESSES - 1, all.get(0).count());
+      all.add(new ProcessRegistry(file));
+      assertEquals(ProcessRegistry.MAX_PROCESSES, all.get(600).count(), "a free seat is taken again");
     } finally {
-      for (Presence presence : all) {
+      for (ProcessRegistry presence : all) {
         presence.close();
       }
     }
