--- a/src/main/java/beampoint/discovery/HostListWatcher.java
+++ b/src/main/java/beampoint/discovery/HostListWatcher.java
@@ -9,7 +9,7 @@
 import beampoint.http.HttpWriter;
 import beampoint.log.Log;
 import beampoint.settings.Address;
-import beampoint.transport.PeerFilter;
+import beampoint.transport.SocketReadFilter;
 import com.google.gson.JsonParseException;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
@@ -104,7 +104,7 @@
     this.silenceMs = silenceMs;
     this.answerMs = answerMs;
     this.writer = new HttpWriter(transport.getMemoryManager());
-    FilterChainBuilder chain = FilterChainBuilder.stateless().add(new PeerFilter())
+    FilterChainBuilder chain = FilterChainBuilder.stateless().add(new SocketReadFilter())
         .add(new HttpFilter(HttpFilter.Side.ANSWERS)).add(new Events());
     this.connector = TCPNIOConnectorHandler.builder(transport).processor(chain.build()).build();
   }
--- a/src/main/java/beampoint/fleet/transport/Views.java
+++ b/src/main/java/beampoint/fleet/transport/Views.java
@@ -5,7 +5,7 @@
 import beampoint.fleet.message.Codec;
 import beampoint.fleet.message.MalformedMessageException;
 import beampoint.fleet.message.News;
-import beampoint.transport.PeerFilter;
+import beampoint.transport.SocketReadFilter;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
@@ -139,7 +139,7 @@
   }
 
   private FilterChain chain(boolean answers) {
-    return FilterChainBuilder.stateless().add(new PeerFilter()).add(new Side(answers)).build();
+    return FilterChainBuilder.stateless().add(new SocketReadFilter()).add(new Side(answers)).build();
   }
 
   /** Listens to those that ask; returns the address, with the port that the system picks where it is 0. */
--- a/src/main/java/beampoint/ops/AdminServer.java
+++ b/src/main/java/beampoint/ops/AdminServer.java
@@ -8,7 +8,7 @@
 import beampoint.http.HttpRequest;
 import beampoint.http.HttpWriter;
 import beampoint.transport.LingeringClose;
-import beampoint.transport.PeerFilter;
+import beampoint.transport.SocketReadFilter;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
@@ -79,7 +79,7 @@
 
   /** Listens on this address only; returns it with the port that the system picks where it is 0. */
   public InetSocketAddress listen(SocketAddress address) throws IOException {
-    FilterChainBuilder chain = FilterChainBuilder.stateless().add(new PeerFilter())
+    FilterChainBuilder chain = FilterChainBuilder.stateless().add(new SocketReadFilter())
         .add(new HttpFilter(HttpFilter.Side.REQUESTS)).add(new Events());
     listener = TCPNIOBindingHandler.builder(transport).processor(chain.build()).build().bind(address);
     return (InetSocketAddress) listener.getLocalAddress();
--- a/src/main/java/beampoint/transport/ReadAheadFilter.java
+++ b/src/main/java/beampoint/transport/ReadAheadFilter.java
@@ -17,7 +17,7 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * The socket's end of a filter chain. Unlike {@link PeerFilter}, it reads all that a peer has sent, and hands
+ * The socket's end of a filter chain. Unlike {@link SocketReadFilter}, it reads all that a peer has sent, and hands
  * on one read buffer of it in each pass of the selector. So the end of a peer that has sent much is seen in
  * the next pass, and not only once all that it has sent is handled.
  */
@@ -83,12 +83,12 @@
 
   /** Reads once, and if that fills the read buffer, until there is no more or no room for it. */
   private void readAll(NIOConnection connection, Ahead ahead) throws IOException {
-    Buffer message = PeerFilter.read(connection);
+    Buffer message = SocketReadFilter.read(connection);
     boolean isFull = message != null && message.remaining() == connection.getReadBufferSize();
     while (message != null) {
       ahead.chunks.add(new Chunk(message, arrivedAt.applyAsDouble(connection)));
       bytes += message.remaining();
-      message = isFull && bytes < MAX_BYTES ? PeerFilter.read(connection) : null;
+      message = isFull && bytes < MAX_BYTES ? SocketReadFilter.read(connection) : null;
     }
   }
 
--- a/src/main/java/beampoint/transport/PeerFilter.java
+++ b/src/main/java/beampoint/transport/SocketReadFilter.java
@@ -16,7 +16,7 @@
  * end, and costs as much as a fault: the library words a log line for it, and throws that away. It reads by
  * itself, as the library tells an orderly close and a reset alike.
  */
-public final class PeerFilter extends TransportFilter {
+public final class SocketReadFilter extends TransportFilter {
 
   @Override
   public NextAction handleRead(FilterChainContext ctx) {
--- a/src/main/java/beampoint/upstream/ConnectionPools.java
+++ b/src/main/java/beampoint/upstream/ConnectionPools.java
@@ -5,7 +5,7 @@
 import beampoint.http.HttpFilter;
 import beampoint.memcache.ReplyFilter;
 import beampoint.transport.PeerEnd;
-import beampoint.transport.PeerFilter;
+import beampoint.transport.SocketReadFilter;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.util.List;
@@ -79,7 +79,7 @@
   }
 
   private TCPNIOConnectorHandler connector(Filter codec) {
-    FilterChainBuilder chain = FilterChainBuilder.stateless().add(new PeerFilter()).add(new Unasked())
+    FilterChainBuilder chain = FilterChainBuilder.stateless().add(new SocketReadFilter()).add(new Unasked())
         .add(codec).add(new Events());
     return TCPNIOConnectorHandler.builder(transport).processor(chain.build()).build();
   }
--- a/src/test/java/beampoint/client/ClientListenerTest.java
+++ b/src/test/java/beampoint/client/ClientListenerTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beampoint.transport.Arrivals;
-import beampoint.transport.PeerFilter;
+import beampoint.transport.SocketReadFilter;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -62,7 +62,7 @@
     listener.limit(100);
     transport.start();
     address = listener.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
-        FilterChainBuilder.stateless().add(new PeerFilter()).add(new BaseFilter() {
+        FilterChainBuilder.stateless().add(new SocketReadFilter()).add(new BaseFilter() {
           @Override
           public NextAction handleAccept(FilterChainContext ctx) {
             listener.accepted(ctx.getConnection());
