--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -21,7 +21,7 @@
 import beampoint.exchange.Intake;
 import beampoint.log.Log;
 import beampoint.memcache.Command;
-import beampoint.upstream.Reports;
+import beampoint.upstream.AttemptListener;
 import beampoint.upstream.Upstreams;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -39,7 +39,7 @@
  * Tells the decision module what happens and carries out what it decides, for every request that is open. It
  * picks, repeats and refuses nothing itself. Belongs to the decision thread.
  */
-final class Decisions implements Intake, Reports {
+final class Decisions implements Intake, AttemptListener {
 
   private static final Log LOG = Log.of("serve");
   private static final double LATE_MS = 15; // that the module has to answer what it was told of
@@ -220,7 +220,7 @@
   }
 
   @Override
-  public void ended(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
+  public void attemptEnded(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
       Answer answer, String load) {
     exchange.endAttempt();
     exchange.told(clock.getAsDouble());
@@ -233,7 +233,7 @@
   }
 
   @Override
-  public void probed(String endpoint, double elapsed, Result result) {
+  public void probeEnded(String endpoint, double elapsed, Result result) {
     give(new ProbeEnded(endpoint, result, elapsed));
   }
 
@@ -302,7 +302,7 @@
       gone(exchange);
     }
     if (exchange.isOver() || now >= last || attempt >= exchange.maxAttempts()) {
-      loop.execute(() -> ended(exchange, attempt, a.endpoint(), 0, Result.NOT_SENT, null, null));
+      loop.execute(() -> attemptEnded(exchange, attempt, a.endpoint(), 0, Result.NOT_SENT, null, null));
     } else {
       upstreams.send(exchange, attempt, a.endpoint(), a.limit() > 0 ? Math.min(last, now + a.limit()) : last,
           a.startBy());
--- a/src/main/java/beampoint/serve/WarmUp.java
+++ b/src/main/java/beampoint/serve/WarmUp.java
@@ -14,7 +14,7 @@
 import beampoint.count.Counters;
 import beampoint.exchange.Answer;
 import beampoint.exchange.Exchange;
-import beampoint.upstream.Reports;
+import beampoint.upstream.AttemptListener;
 import beampoint.upstream.Upstreams;
 import java.net.InetSocketAddress;
 import java.util.concurrent.ScheduledExecutorService;
@@ -28,7 +28,7 @@
  * that of the operators. It is short on purpose: where most proxies restart at once, nobody serves while they
  * warm up.
  */
-final class WarmUp implements Reports {
+final class WarmUp implements AttemptListener {
 
   private static final String SELF = "self";
   private static final int EVENTS = 50;
@@ -79,7 +79,7 @@
   }
 
   @Override
-  public void probed(String endpoint, double elapsed, Result result) {
+  public void probeEnded(String endpoint, double elapsed, Result result) {
     if (++asked < QUESTIONS && clock.getAsDouble() < endsAt) {
       upstreams.probe(SELF);
     } else {
@@ -89,7 +89,7 @@
   }
 
   @Override
-  public void ended(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
+  public void attemptEnded(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
       Answer answer, String load) {
     throw new IllegalStateException("no attempt is made here");
   }
--- a/src/main/java/beampoint/upstream/Reports.java
+++ b/src/main/java/beampoint/upstream/AttemptListener.java
@@ -8,14 +8,14 @@
  * Told how attempts and probes ended: on the decision thread, and never before the call that began them has
  * returned.
  */
-public interface Reports {
+public interface AttemptListener {
 
   /**
    * An attempt's one outcome; the answer is null unless the request was served, the load, as it was worded,
    * unless one was reported.
    */
-  void ended(Exchange exchange, int attempt, String endpoint, double elapsed, Result result, Answer answer,
-      String load);
+  void attemptEnded(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
+      Answer answer, String load);
 
-  void probed(String endpoint, double elapsed, Result result);
+  void probeEnded(String endpoint, double elapsed, Result result);
 }
--- a/src/main/java/beampoint/upstream/Upstreams.java
+++ b/src/main/java/beampoint/upstream/Upstreams.java
@@ -44,7 +44,7 @@
 
   private final ScheduledExecutorService loop;
   private final DoubleSupplier clock;
-  private final Reports reports;
+  private final AttemptListener listener;
   private final Counters counters;
   private final Writer writer;
   private final HttpWriter httpWriter;
@@ -54,10 +54,10 @@
   private final Future<?> tidying; // of connections that have stood idle, or stand still
 
   public Upstreams(TCPNIOTransport transport, ScheduledExecutorService loop, DoubleSupplier clock,
-      Reports reports, Counters counters, Budget budget, double connectTimeout, double idleTime) {
+      AttemptListener listener, Counters counters, Budget budget, double connectTimeout, double idleTime) {
     this.loop = loop;
     this.clock = clock;
-    this.reports = reports;
+    this.listener = listener;
     this.counters = counters;
     this.writer = new Writer(transport.getMemoryManager());
     this.httpWriter = new HttpWriter(transport.getMemoryManager());
@@ -285,7 +285,7 @@
     double elapsed = clock.getAsDouble() - flight.startedAt;
     // Told by a task of its own: what starts an attempt must not hear its end before it has returned.
     if (flight.isProbe()) {
-      loop.execute(() -> reports.probed(flight.endpoint, elapsed, result));
+      loop.execute(() -> listener.probeEnded(flight.endpoint, elapsed, result));
       return;
     }
     Map<Integer, InFlight> own = flights.get(flight.exchange.id());
@@ -294,8 +294,8 @@
       flights.remove(flight.exchange.id());
     }
     counters.add(COUNTERS.get(result));
-    loop.execute(() -> reports.ended(flight.exchange, flight.number, flight.endpoint, elapsed, result, answer,
-        flight.load));
+    loop.execute(() -> listener.attemptEnded(flight.exchange, flight.number, flight.endpoint, elapsed, result,
+        answer, flight.load));
   }
 
   private Future<?> at(double time, Runnable task) {
