--- a/src/main/java/beampoint/client/Session.java
+++ b/src/main/java/beampoint/client/Session.java
@@ -151,7 +151,7 @@
       return answer(command);
     }
     String problem = problem(command);
-    return problem != null ? problem : AnswerText.errorLine(sessions.intake().refuse(command));
+    return problem != null ? problem : AnswerText.errorLine(sessions.requestHandler().refuse(command));
   }
 
   /** Begins what waits, as far as there is room. */
@@ -201,7 +201,7 @@
   /** The answer to what is no request. */
   private String answer(Command command) {
     return switch (command.kind()) {
-      case READY -> sessions.intake().isReady() ? "MN" : "SERVER_ERROR not ready";
+      case READY -> sessions.requestHandler().isReady() ? "MN" : "SERVER_ERROR not ready";
       case STATS -> AnswerText.stats(sessions.counters());
       case VERSION -> "VERSION beampoint";
       default -> {
@@ -213,7 +213,7 @@
 
   /** What is wrong with a request that is not taken, worded for its client, or null. */
   private String problem(Command command) {
-    String problem = sessions.intake().problem(command);
+    String problem = sessions.requestHandler().rejectionReason(command);
     if (problem == null) {
       return null;
     }
@@ -229,7 +229,7 @@
       return;
     }
     slot.command = command;
-    slot.exchange = sessions.intake().take(command, readAt, () -> left, answer -> {
+    slot.exchange = sessions.requestHandler().accept(command, readAt, () -> left, answer -> {
       slot.stream = answer.stream();
       slot.answer = slot.stream == null ? AnswerText.message(sessions.writer(), command, answer) : null;
       if (closed && slot.stream != null) {
@@ -377,7 +377,7 @@
     dropBacklog();
     for (AnswerSlot slot : slots) {
       if (slot.exchange != null) {
-        sessions.intake().gone(slot.exchange);
+        sessions.requestHandler().clientGone(slot.exchange);
       }
       if (slot.stream != null) {
         slot.stream.cancel();
--- a/src/main/java/beampoint/client/Sessions.java
+++ b/src/main/java/beampoint/client/Sessions.java
@@ -3,7 +3,7 @@
 import beampoint.buffer.Budget;
 import beampoint.count.Counter;
 import beampoint.count.Counters;
-import beampoint.exchange.Intake;
+import beampoint.exchange.RequestHandler;
 import beampoint.log.Log;
 import beampoint.memcache.Command;
 import beampoint.memcache.CommandFilter;
@@ -54,7 +54,7 @@
   private final DoubleSupplier clock;
   private final Arrivals arrivals;
   private final ClientListener listener;
-  private final Intake intake;
+  private final RequestHandler requestHandler;
   private final Counters counters;
   private int manyConnections = 1; // from which on idle ones make room
   private final Writer writer;
@@ -68,13 +68,13 @@
   private boolean refusesWaiting;
 
   public Sessions(TCPNIOTransport transport, ScheduledExecutorService loop, DoubleSupplier clock,
-      Arrivals arrivals, Intake intake, Counters counters, Budget budget) {
+      Arrivals arrivals, RequestHandler requestHandler, Counters counters, Budget budget) {
     this.transport = transport;
     this.loop = loop;
     this.clock = clock;
     this.arrivals = arrivals;
     this.listener = new ClientListener(transport, loop, arrivals);
-    this.intake = intake;
+    this.requestHandler = requestHandler;
     this.counters = counters;
     this.writer = new Writer(transport.getMemoryManager());
     this.readAhead = new ReadAheadFilter(arrivals, listener::arrivedAt);
@@ -325,8 +325,8 @@
     return writer;
   }
 
-  Intake intake() {
-    return intake;
+  RequestHandler requestHandler() {
+    return requestHandler;
   }
 
   Counters counters() {
--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -18,7 +18,7 @@
 import beampoint.discovery.HostListWatcher;
 import beampoint.exchange.Answer;
 import beampoint.exchange.Exchange;
-import beampoint.exchange.Intake;
+import beampoint.exchange.RequestHandler;
 import beampoint.log.Log;
 import beampoint.memcache.Command;
 import beampoint.upstream.AttemptListener;
@@ -39,7 +39,7 @@
  * Tells the decision module what happens and carries out what it decides, for every request that is open. It
  * picks, repeats and refuses nothing itself. Belongs to the decision thread.
  */
-final class Decisions implements Intake, AttemptListener {
+final class Decisions implements RequestHandler, AttemptListener {
 
   private static final Log LOG = Log.of("serve");
   private static final double LATE_MS = 15; // that the module has to answer what it was told of
@@ -113,7 +113,7 @@
 
   /** Guards against an id that stands for two requests at once: an answer names its request by it. */
   @Override
-  public String problem(Command command) {
+  public String rejectionReason(Command command) {
     return directory.requestClass(command) < 0 ? "unknown class"
         : !directory.knowsTenant(command) ? "unknown tenant"
         : idsInUse.contains(id(command)) ? "id in use" : null;
@@ -124,7 +124,7 @@
   }
 
   @Override
-  public Exchange take(Command command, double readAt, BooleanSupplier left, Consumer<Answer> client) {
+  public Exchange accept(Command command, double readAt, BooleanSupplier left, Consumer<Answer> client) {
     int requestClass = directory.requestClass(command);
     Exchange exchange = open(command, readAt + command.waitMs(), left, client);
     double notAfter = exchange.notAfter();
@@ -210,7 +210,7 @@
   }
 
   @Override
-  public void gone(Exchange exchange) {
+  public void clientGone(Exchange exchange) {
     if (exchange.abandon()) {
       counters.add(Counter.REQUESTS_GONE);
       forget(exchange);
@@ -299,7 +299,7 @@
     checkInUse(a.endpoint());
     int attempt = exchange.beginAttempt();
     if (!exchange.isWanted()) {
-      gone(exchange);
+      clientGone(exchange);
     }
     if (exchange.isOver() || now >= last || attempt >= exchange.maxAttempts()) {
       loop.execute(() -> attemptEnded(exchange, attempt, a.endpoint(), 0, Result.NOT_SENT, null, null));
