--- a/src/main/java/beampoint/exchange/Exchange.java
+++ b/src/main/java/beampoint/exchange/Exchange.java
@@ -14,21 +14,21 @@
 
   private final long id;
   private final Command command;
-  private final double notAfter;
+  private final double deadline;
   private final int maxAttempts;
   private final BooleanSupplier left;
   private final Consumer<Answer> client;
   private final Counters counters;
   private boolean over;
   private int attempts;
-  private int attemptsOut;
-  private double toldAt;
+  private int attemptsInFlight;
+  private double lastEventAt;
 
-  public Exchange(long id, Command command, double notAfter, int maxAttempts, BooleanSupplier left,
+  public Exchange(long id, Command command, double deadline, int maxAttempts, BooleanSupplier left,
       Consumer<Answer> client, Counters counters) {
     this.id = id;
     this.command = command;
-    this.notAfter = notAfter;
+    this.deadline = deadline;
     this.maxAttempts = maxAttempts;
     this.left = left;
     this.client = client;
@@ -45,8 +45,8 @@
   }
 
   /** When the client stops waiting, in ms on the proxy's clock. */
-  public double notAfter() {
-    return notAfter;
+  public double deadline() {
+    return deadline;
   }
 
   /** How many attempts may be made for it, by the rules with which it was taken. */
@@ -60,22 +60,22 @@
   }
 
   /** False once it is over, or its client's connection has ended though that is not told yet. */
-  public boolean isWanted() {
+  public boolean isClientWaiting() {
     return !over && !left.getAsBoolean();
   }
 
-  public int attemptsOut() {
-    return attemptsOut;
+  public int attemptsInFlight() {
+    return attemptsInFlight;
   }
 
   /** The decision module is told something of it now, in ms on the proxy's clock. */
-  public void told(double now) {
-    toldAt = now;
+  public void setLastEventAt(double now) {
+    lastEventAt = now;
   }
 
   /** When the decision module was last told something of it, in ms on the proxy's clock; 0 if never. */
-  public double toldAt() {
-    return toldAt;
+  public double lastEventAt() {
+    return lastEventAt;
   }
 
   /** Gives the client its final answer; false, and nothing done, where the request is over. */
@@ -106,12 +106,12 @@
 
   /** Counts one more attempt and returns its number. */
   public int beginAttempt() {
-    attemptsOut++;
+    attemptsInFlight++;
     return attempts++;
   }
 
   public void endAttempt() {
-    counters.check(attemptsOut > 0, "an attempt ends that was out");
-    attemptsOut--;
+    counters.check(attemptsInFlight > 0, "an attempt ends that was out");
+    attemptsInFlight--;
   }
 }
--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -127,7 +127,7 @@
   public Exchange accept(Command command, double readAt, BooleanSupplier left, Consumer<Answer> client) {
     int requestClass = directory.requestClass(command);
     Exchange exchange = open(command, readAt + command.waitMs(), left, client);
-    double notAfter = exchange.notAfter();
+    double notAfter = exchange.deadline();
     // Queued, as its place in the order of answers must stand before the module may answer.
     loop.execute(() -> {
       failLateAfter(notAfter + LATE_MS - clock.getAsDouble(), exchange, notAfter);
@@ -159,15 +159,15 @@
   }
 
   private void begin(Exchange exchange, int requestClass) {
-    if (exchange.isWanted()) { // else the module would hear of its leaving first, and of it after that
+    if (exchange.isClientWaiting()) { // else the module would hear of its leaving first, and of it after that
       tell(exchange, requestClass, false);
     }
   }
 
   private void tell(Exchange exchange, int requestClass, boolean overflow) {
     Command command = exchange.command();
-    exchange.told(clock.getAsDouble());
-    give(new RequestReceived(exchange.id(), Math.min(exchange.notAfter(), endsBy), directory.tenant(command),
+    exchange.setLastEventAt(clock.getAsDouble());
+    give(new RequestReceived(exchange.id(), Math.min(exchange.deadline(), endsBy), directory.tenant(command),
         requestClass, Directory.key(command.key()), command.kind() == Command.Kind.WRITE, command.again(),
         overflow));
   }
@@ -196,15 +196,15 @@
       return;
     }
     double now = clock.getAsDouble();
-    boolean isToldMore = exchange.attemptsOut() > 0 || exchange.toldAt() >= since;
+    boolean isToldMore = exchange.attemptsInFlight() > 0 || exchange.lastEventAt() >= since;
     if (isToldMore && extensions > 0) {
       loop.after(LATE_MS, () -> failLate(id, now, extensions - 1));
       return;
     }
     counters.add(Counter.ANSWERS_OVERDUE);
-    LOG.error("no answer in time for request " + id + ": " + Math.round(now - exchange.notAfter())
-        + " ms over its time, " + exchange.attemptsOut() + " attempts out, the module was told "
-        + Math.round(now - exchange.toldAt()) + " ms ago");
+    LOG.error("no answer in time for request " + id + ": " + Math.round(now - exchange.deadline())
+        + " ms over its time, " + exchange.attemptsInFlight() + " attempts out, the module was told "
+        + Math.round(now - exchange.lastEventAt()) + " ms ago");
     close(exchange, Answer.FAILED);
     give(new RequestGone(id));
   }
@@ -223,7 +223,7 @@
   public void attemptEnded(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
       Answer answer, String load) {
     exchange.endAttempt();
-    exchange.told(clock.getAsDouble());
+    exchange.setLastEventAt(clock.getAsDouble());
     if (answer != null) {
       close(exchange, answer);
     }
@@ -293,12 +293,12 @@
       return;
     }
     double now = clock.getAsDouble();
-    double last = Math.min(exchange.notAfter(), endsBy);
-    counters.check(settings.limits().secondCopies() || exchange.attemptsOut() == 0,
+    double last = Math.min(exchange.deadline(), endsBy);
+    counters.check(settings.limits().secondCopies() || exchange.attemptsInFlight() == 0,
         "one attempt is out at a time");
     checkInUse(a.endpoint());
     int attempt = exchange.beginAttempt();
-    if (!exchange.isWanted()) {
+    if (!exchange.isClientWaiting()) {
       clientGone(exchange);
     }
     if (exchange.isOver() || now >= last || attempt >= exchange.maxAttempts()) {
@@ -320,7 +320,7 @@
   }
 
   private void forget(Exchange exchange) {
-    if (exchange.isOver() && exchange.attemptsOut() == 0) {
+    if (exchange.isOver() && exchange.attemptsInFlight() == 0) {
       exchange.command().release();
       exchanges.remove(exchange.id());
       idsInUse.remove(id(exchange.command()));
--- a/src/main/java/beampoint/upstream/Upstreams.java
+++ b/src/main/java/beampoint/upstream/Upstreams.java
@@ -219,7 +219,7 @@
     Pool pool = link.pool;
     double now = clock.getAsDouble();
     long timeLeft = (long) Math.floor(flight.endsAt - now);
-    if (!flight.isProbe() && (!flight.exchange.isWanted() || now >= flight.startBy || timeLeft < 1)) {
+    if (!flight.isProbe() && (!flight.exchange.isClientWaiting() || now >= flight.startBy || timeLeft < 1)) {
       pools.release(link, false);
       complete(flight, Result.NOT_SENT, null);
       return;
