--- a/src/main/java/beampoint/client/Session.java
+++ b/src/main/java/beampoint/client/Session.java
@@ -130,11 +130,11 @@
   }
 
   /** Answers at once what waits behind others, some at a time for the other connections' sake. */
-  void refuseWaiting() {
+  void refuseQueuedRequests() {
     sessions.countBacklog(-backlog.answer(REFUSED_AT_ONCE, this::answerAtOnce));
     beginWaiting();
     if (backlog.hasRequests()) {
-      sessions.loop().execute(this::refuseWaiting);
+      sessions.loop().execute(this::refuseQueuedRequests);
     }
   }
 
--- a/src/main/java/beampoint/client/Sessions.java
+++ b/src/main/java/beampoint/client/Sessions.java
@@ -83,7 +83,7 @@
   }
 
   /** Sets how many connections there may be; beyond many, those unused longest are closed now. */
-  public void resize(int most, int many) {
+  public void setConnectionLimits(int most, int many) {
     listener.limit(most);
     manyConnections = many;
     makeRoom(null);
@@ -267,9 +267,9 @@
   }
 
   /** From here on no request waits behind others: those that do, and those to come, are answered at once. */
-  public void refuseWaiting() {
+  public void refuseQueuedRequests() {
     refusesWaiting = true;
-    open.values().forEach(Session::refuseWaiting);
+    open.values().forEach(Session::refuseQueuedRequests);
   }
 
   /** True while an answer to what was read is not written whole. */
--- a/src/main/java/beampoint/handover/BanFile.java
+++ b/src/main/java/beampoint/handover/BanFile.java
@@ -64,12 +64,12 @@
   }
 
   /** The ban on a node, or null where it was never out, or came back long ago. */
-  public Ban of(String node) {
+  public Ban get(String node) {
     return bans.get(node);
   }
 
   /** Calls a node out or back; false, and nothing done, where too many are out. Only memory is changed. */
-  public boolean change(String node, boolean out, double now) {
+  public boolean setBanned(String node, boolean out, double now) {
     bans.values().removeIf(b -> !b.isOut() && now - b.until() > KEPT_MS);
     Ban ban = bans.get(node);
     if (out && (ban == null || !ban.isOut())) {
--- a/src/main/java/beampoint/memcache/Command.java
+++ b/src/main/java/beampoint/memcache/Command.java
@@ -8,10 +8,10 @@
 
 /**
  * One command of a client. The buffers are slices of what was read; {@code waitMs} is for how long the client
- * waits, {@code again}: the client marked it as asked before.
+ * waits, {@code isRetry}: the client marked it as asked before.
  */
 public record Command(Kind kind, Buffer key, Buffer id, ParameterList parameters, Buffer value,
-    String requestClass, String tenant, int waitMs, boolean again, String problem, Budget.Claim claim) {
+    String requestClass, String tenant, int waitMs, boolean isRetry, String problem, Budget.Claim claim) {
 
   /** What a client asks; BAD is answered with the problem, FATAL also ends the connection. */
   public enum Kind {
@@ -29,13 +29,13 @@
 
   /** The same command with its value, which came after it. */
   Command with(Buffer whole, Budget.Claim held) {
-    return new Command(kind, key, id, parameters, whole, requestClass, tenant, waitMs, again, problem, held);
+    return new Command(kind, key, id, parameters, whole, requestClass, tenant, waitMs, isRetry, problem, held);
   }
 
   /** The same command in buffers of its own, so that it does not keep those in which it came. */
   public Command apart(MemoryManager<?> memory) {
     return key == null ? this : new Command(kind, Collector.copy(memory, key), Collector.copy(memory, id),
-        parameters.copy(memory), value, requestClass, tenant, waitMs, again, problem, claim);
+        parameters.copy(memory), value, requestClass, tenant, waitMs, isRetry, problem, claim);
   }
 
   /** The bytes that it holds. */
--- a/src/main/java/beampoint/memcache/CommandReader.java
+++ b/src/main/java/beampoint/memcache/CommandReader.java
@@ -194,7 +194,7 @@
     String tenant = null;
     int waitFrom = 0;
     int waitTo = 0;
-    boolean again = false;
+    boolean isRetry = false;
     boolean good = true;
     int from = list.position();
     while (good && from <= list.limit()) {
@@ -210,7 +210,7 @@
         waitFrom = equals + 1;
         waitTo = to;
       } else if (good && name.equals("r")) {
-        again = LineScanner.text(list, equals + 1, to).equals("1");
+        isRetry = LineScanner.text(list, equals + 1, to).equals("1");
       }
       from = to + 1;
     }
@@ -219,7 +219,7 @@
       return Command.of(Kind.BAD, "CLIENT_ERROR class or time to wait missing");
     }
     return new Command(kind, key, id, new ParameterList(list, waitFrom, waitTo), null, requestClass, tenant,
-        wait, again, null, null);
+        wait, isRetry, null, null);
   }
 
   private static int find(Buffer in, char sought, int from, int to) {
--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -168,7 +168,7 @@
     Command command = exchange.command();
     exchange.setLastEventAt(clock.getAsDouble());
     give(new RequestReceived(exchange.id(), Math.min(exchange.deadline(), endsBy), directory.tenant(command),
-        requestClass, Directory.key(command.key()), command.kind() == Command.Kind.WRITE, command.again(),
+        requestClass, Directory.key(command.key()), command.kind() == Command.Kind.WRITE, command.isRetry(),
         overflow));
   }
 
--- a/src/main/java/beampoint/serve/GracefulShutdown.java
+++ b/src/main/java/beampoint/serve/GracefulShutdown.java
@@ -51,7 +51,7 @@
       endsBy = clock.getAsDouble() + killed - END_MS;
       decisions.endBy(endsBy);
       loop.after(FRONT_LEAVES_MS, this::endSessions);
-      loop.after(killed - END_MS - REFUSE_MS, sessions::refuseWaiting);
+      loop.after(killed - END_MS - REFUSE_MS, sessions::refuseQueuedRequests);
       loop.after(killed - END_MS, this::endAll);
     });
     drained.await((long) (killed + KILL_MS), TimeUnit.MILLISECONDS);
--- a/src/main/java/beampoint/serve/HostListReceiver.java
+++ b/src/main/java/beampoint/serve/HostListReceiver.java
@@ -94,7 +94,7 @@
     if (endpoint.state() == EndpointState.GONE) {
       upstreams.remove(endpoint.id());
     } else if (host.dial() != null) { // else it drains, and what is out there ends as it may
-      upstreams.place(endpoint.id(), host.dial(), isOrigin, endpoint.startedAt());
+      upstreams.putEndpoint(endpoint.id(), host.dial(), isOrigin, endpoint.startedAt());
     }
     if (endpoint.state() == EndpointState.DRAINING) {
       upstreams.drain(endpoint.id());
--- a/src/main/java/beampoint/serve/Operations.java
+++ b/src/main/java/beampoint/serve/Operations.java
@@ -70,7 +70,7 @@
 
   /** True while a node is taken out. */
   boolean isOut(String node) {
-    Ban ban = file.of(node);
+    Ban ban = file.get(node);
     return ban != null && ban.isOut();
   }
 
@@ -102,13 +102,13 @@
 
   /** In force first, then stored, then answered: the call binds though its answer may never arrive. */
   private Outcome change(String node, boolean out) {
-    if (!proxy.knows().test(node) && file.of(node) == null) {
+    if (!proxy.knows().test(node) && file.get(node) == null) {
       return Outcome.UNKNOWN;
     }
-    if (!file.change(node, out, proxy.clock().getAsDouble())) {
+    if (!file.setBanned(node, out, proxy.clock().getAsDouble())) {
       return Outcome.TOO_MANY;
     }
-    Ban ban = file.of(node);
+    Ban ban = file.get(node);
     if (ban != null) {
       tell(ban);
     }
--- a/src/main/java/beampoint/serve/Proxy.java
+++ b/src/main/java/beampoint/serve/Proxy.java
@@ -134,8 +134,8 @@
     int own = Math.max(MIN_DESCRIPTORS, (config.sockets() - processes * reserved) / processes);
     budget.limit(config.memoryMb() * 1024L * 1024 / BUDGET_SHARE / processes);
     int clients = processes == 1 ? own / 2 : own * 2 / 3;
-    upstreams.resize(own - clients);
-    sessions.resize(clients, Math.min(clients * 9 / 10, config.sockets() / CLIENT_SHARE));
+    upstreams.setMaxConnections(own - clients);
+    sessions.setConnectionLimits(clients, Math.min(clients * 9 / 10, config.sockets() / CLIENT_SHARE));
   }
 
   /**
--- a/src/main/java/beampoint/serve/WarmUp.java
+++ b/src/main/java/beampoint/serve/WarmUp.java
@@ -54,7 +54,7 @@
   void start(Balancer module, Settings settings, ListReceived known, InetSocketAddress self, boolean http) {
     endsAt = clock.getAsDouble() + MAX_MS;
     rehearse(module, settings, known);
-    upstreams.place(SELF, self, http, 0);
+    upstreams.putEndpoint(SELF, self, http, 0);
     upstreams.probe(SELF);
   }
 
--- a/src/main/java/beampoint/upstream/ConnectionPools.java
+++ b/src/main/java/beampoint/upstream/ConnectionPools.java
@@ -136,7 +136,7 @@
   }
 
   /** Sets how many connections there may be; idle ones beyond that are closed. */
-  void resize(int most) {
+  void setMaxConnections(int most) {
     maxConnections = most;
     // Guards against caches whose silence holds all connections: misses and writes need the origin.
     maxToCaches = most - Math.max(1, most / 8);
@@ -146,7 +146,7 @@
   }
 
   /** Takes an endpoint's address; a new address or a new start makes its old connections worthless. */
-  void place(String endpoint, InetSocketAddress dial, boolean origin, double startedAt) {
+  void putEndpoint(String endpoint, InetSocketAddress dial, boolean origin, double startedAt) {
     Pool pool = byEndpoint.get(endpoint);
     if (pool == null || !dial.equals(pool.dial) || startedAt != pool.startedAt) {
       remove(endpoint);
--- a/src/main/java/beampoint/upstream/Upstreams.java
+++ b/src/main/java/beampoint/upstream/Upstreams.java
@@ -113,13 +113,13 @@
   }
 
   /** Sets how many connections there may be; idle ones beyond that are closed. */
-  public void resize(int most) {
-    pools.resize(most);
+  public void setMaxConnections(int most) {
+    pools.setMaxConnections(most);
   }
 
   /** Takes an endpoint's address; a new address or a new start makes its old connections worthless. */
-  public void place(String endpoint, InetSocketAddress dial, boolean origin, double startedAt) {
-    pools.place(endpoint, dial, origin, startedAt);
+  public void putEndpoint(String endpoint, InetSocketAddress dial, boolean origin, double startedAt) {
+    pools.putEndpoint(endpoint, dial, origin, startedAt);
   }
 
   /** Forgets an endpoint that is gone; the connections still in use are closed once they are free. */
--- a/src/test/java/beampoint/handover/BanFileTest.java
+++ b/src/test/java/beampoint/handover/BanFileTest.java
@@ -31,7 +31,7 @@
   }
 
   private static BanFile with(BanFile file, String node, boolean out, double at) throws IOException {
-    assertTrue(file.change(node, out, at));
+    assertTrue(file.setBanned(node, out, at));
     file.store();
     return file;
   }
@@ -41,7 +41,7 @@
     with(open(), "a", true, 10);
     BanFile next = open();
     assertEquals(List.of(new Ban("a", 10, Double.POSITIVE_INFINITY)), next.refresh());
-    assertTrue(next.of("a").isOut());
+    assertTrue(next.get("a").isOut());
   }
 
   @Test
@@ -50,7 +50,7 @@
     with(file, "a", false, 30);
     assertEquals(List.of(new Ban("a", 10, 30)), open().refresh());
     with(file, "b", false, 40);
-    assertNull(file.of("b"), "a call back of what was never out leaves nothing");
+    assertNull(file.get("b"), "a call back of what was never out leaves nothing");
   }
 
   @Test
@@ -63,8 +63,8 @@
     with(next, "a", false, 20);
     with(next, "b", true, 21);
     assertEquals(2, old.refresh().size());
-    assertFalse(old.of("a").isOut());
-    assertTrue(old.of("b").isOut());
+    assertFalse(old.get("a").isOut());
+    assertTrue(old.get("b").isOut());
   }
 
   /** Guards against a process that overwrites what the other has stored since it last looked. */
@@ -75,7 +75,7 @@
     with(old, "a", true, 10);
     with(next, "b", true, 11);
     assertEquals(2, open().refresh().size());
-    assertTrue(next.of("a").isOut(), "storing takes over what it finds");
+    assertTrue(next.get("a").isOut(), "storing takes over what it finds");
   }
 
   @Test
@@ -84,10 +84,10 @@
         "{\"version\":1,\"proxy\":\"n1\",\"bans\":[]}",
         "{\"version\":2,\"proxy\":\"n0\",\"bans\":[]}", "{\"version\":1,\"proxy\":\"n0\",\"bans\":[{}]}")) {
       BanFile file = open();
-      file.change("a", true, 10);
+      file.setBanned("a", true, 10);
       Files.writeString(path, text);
       assertEquals(List.of(), file.refresh(), text);
-      assertTrue(file.of("a").isOut(), text);
+      assertTrue(file.get("a").isOut(), text);
       file.store();
       assertEquals(1, open().refresh().size(), text);
     }
@@ -107,22 +107,22 @@
   @Test
   void aFileThatCanNotBeWrittenIsToldAndTheBanHoldsHere() {
     BanFile file = new BanFile(directory.resolve("none/bans.json"), "n0");
-    file.change("a", true, 10);
+    file.setBanned("a", true, 10);
     assertThrows(IOException.class, file::store);
     assertEquals(List.of(), file.refresh());
-    assertTrue(file.of("a").isOut());
+    assertTrue(file.get("a").isOut());
   }
 
   @Test
   void bansAreBoundedAndThoseLongOverAreForgotten() {
     BanFile file = open();
     for (int i = 0; i < BanFile.MAX_BANS; i++) {
-      assertTrue(file.change("n" + i, true, i), "the ban of number " + i);
+      assertTrue(file.setBanned("n" + i, true, i), "the ban of number " + i);
     }
-    assertFalse(file.change("one more", true, 5000));
-    assertTrue(file.change("n0", true, 5000), "one that is out already takes no room");
-    assertTrue(file.change("n0", false, 5000));
-    assertTrue(file.change("one more", true, 5000 + 3_600_000));
+    assertFalse(file.setBanned("one more", true, 5000));
+    assertTrue(file.setBanned("n0", true, 5000), "one that is out already takes no room");
+    assertTrue(file.setBanned("n0", false, 5000));
+    assertTrue(file.setBanned("one more", true, 5000 + 3_600_000));
   }
 
   /** Guards against a limit under which a whole list can't be out, or be known to the next process. */
@@ -133,8 +133,8 @@
       int taken = 0;
       for (int i = 0; i < bans; i++) {
         String longestOfDns = "x".repeat(253 - 5) + (10_000 + i);
-        taken += file.change(longestOfDns, true, 1.7646e12 + i) ? 1 : 0;
-        file.change(longestOfDns, false, 1.7647e12 + i);
+        taken += file.setBanned(longestOfDns, true, 1.7646e12 + i) ? 1 : 0;
+        file.setBanned(longestOfDns, false, 1.7647e12 + i);
       }
       assertEquals(Math.min(bans, BanFile.MAX_BANS), taken);
       file.store();
@@ -155,7 +155,7 @@
       assertEquals(1, open().refresh().size());
     }
     BanFile tooLong = open();
-    assertTrue(tooLong.change("a".repeat(BanFile.MAX_FILE_BYTES + 1 - rest), true, 10));
+    assertTrue(tooLong.setBanned("a".repeat(BanFile.MAX_FILE_BYTES + 1 - rest), true, 10));
     assertThrows(IOException.class, tooLong::store);
     assertEquals(1, open().refresh().size(), "what was stored before stands");
   }
--- a/src/test/java/beampoint/memcache/CommandFilterTest.java
+++ b/src/test/java/beampoint/memcache/CommandFilterTest.java
@@ -61,10 +61,10 @@
 
   @Test
   void aClientMayMarkWhatItAsksAgain() {
-    assertFalse(parse(READ).again());
-    assertTrue(parse(READ.replace("d=480", "d=480,r=1")).again());
-    assertFalse(parse(READ.replace("d=480", "d=480,r=0")).again());
-    assertTrue(parse(WRITE.replace("k=", "r=1,k=")).again());
+    assertFalse(parse(READ).isRetry());
+    assertTrue(parse(READ.replace("d=480", "d=480,r=1")).isRetry());
+    assertFalse(parse(READ.replace("d=480", "d=480,r=0")).isRetry());
+    assertTrue(parse(WRITE.replace("k=", "r=1,k=")).isRetry());
   }
 
   @Test
