--- a/src/main/java/beampoint/transport/PeerEnd.java
+++ b/src/main/java/beampoint/transport/PeerClose.java
@@ -4,12 +4,12 @@
 import org.glassfish.grizzly.CloseReason;
 import org.glassfish.grizzly.Connection;
 
-/** How a peer has ended its connection. */
-public final class PeerEnd {
+/** Tells whether a peer closed its connection or reset it. */
+public final class PeerClose {
 
-  private PeerEnd() {}
+  private PeerClose() {}
 
-  /** True where the peer closed it in order; a reset is no end of what it was sending. */
+  /** True if the peer closed the connection with a FIN; after a reset, what it was sending may be cut off. */
   public static boolean isOrderly(Connection<?> connection) {
     CloseReason reason = connection.getCloseReason();
     return reason != null && reason.getCause() instanceof EOFException;
--- a/src/main/java/beampoint/upstream/AttemptListener.java
+++ b/src/main/java/beampoint/upstream/AttemptListener.java
@@ -5,17 +5,21 @@
 import beampoint.exchange.Exchange;
 
 /**
- * Told how attempts and probes ended: on the decision thread, and never before the call that began them has
- * returned.
+ * Receives the outcomes of attempts and probes: on the decision thread, and never before the call that
+ * started the attempt or probe has returned.
  */
 public interface AttemptListener {
 
   /**
-   * An attempt's one outcome; the answer is null unless the request was served, the load, as it was worded,
-   * unless one was reported.
+   * An attempt has ended; called once for each attempt.
+   *
+   * @param elapsed since the attempt started, in ms
+   * @param answer null unless the request was served
+   * @param load the text of the server's load report, or null if there was none
    */
   void attemptEnded(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
       Answer answer, String load);
 
+  /** A probe has ended, after so many ms. */
   void probeEnded(String endpoint, double elapsed, Result result);
 }
--- a/src/main/java/beampoint/upstream/ConnectionPools.java
+++ b/src/main/java/beampoint/upstream/ConnectionPools.java
@@ -4,7 +4,7 @@
 import beampoint.count.Counters;
 import beampoint.http.HttpFilter;
 import beampoint.memcache.ReplyFilter;
-import beampoint.transport.PeerEnd;
+import beampoint.transport.PeerClose;
 import beampoint.transport.SocketReadFilter;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
@@ -28,72 +28,77 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * The connections to endpoints: makes them, keeps idle ones for the next request, and closes what is too old,
- * too many or worthless. Belongs to the decision thread.
+ * The connection pools of all endpoints: opens connections, keeps idle ones for later requests, and closes
+ * those that are idle for too long, beyond the limit or stale. Confined to the decision thread.
  */
 final class ConnectionPools {
 
-  /** Who asks over the connections. */
-  interface User {
+  /** Receives the events of the pooled connections. */
+  interface Listener {
 
-    /** A connection stands, and its flight may be written. */
-    void made(PooledConnection link);
+    /** A connection is established, and its request may be written. */
+    void connected(PooledConnection pooled);
 
-    /** Something has come. */
-    void read(PooledConnection link, Object message);
+    /** A message was read. */
+    void received(PooledConnection pooled, Object message);
 
-    /** The connection has ended or was never made; orderly: the peer has closed it, and not reset. */
-    void lost(PooledConnection link, boolean orderly);
+    /**
+     * The connection has ended or could not be established.
+     *
+     * @param orderly true if the peer closed it with a FIN, false after a reset or a failed connect
+     */
+    void closed(PooledConnection pooled, boolean orderly);
 
-    /** The connection's flight, of which nothing was written, can't go there any more. */
-    void unreachable(InFlight flight);
+    /** A request of which nothing was written can't be sent to its endpoint any more. */
+    void unreachable(InFlight inFlight);
   }
 
-  private static final double SETTLE_MS = 8; // after an answer, in which a second one may come
+  /** The time between an answer and the connection's reuse, in which a late second answer would show up. */
+  private static final double MIN_REST_MS = 8;
 
   private final TCPNIOTransport transport;
   private final ScheduledExecutorService loop;
   private final DoubleSupplier clock;
   private final Counters counters;
-  private final User user;
-  private double connectTimeout;
-  private double idleTime;
+  private final Listener listener;
+  private double connectTimeoutMs;
+  private double maxIdleMs;
   private int maxConnections = 2;
-  private int maxToCaches = 1;
-  private final TCPNIOConnectorHandler toCaches;
-  private final TCPNIOConnectorHandler toOrigin;
+  private int maxCacheConnections = 1;
+  private final TCPNIOConnectorHandler cacheConnector;
+  private final TCPNIOConnectorHandler originConnector;
   private final Map<String, Pool> byEndpoint = new TreeMap<>();
-  private final Attribute<PooledConnection> linkOf =
+  private final Attribute<PooledConnection> pooledOf =
       Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("pooled-connection");
-  private int connections;
+  private int openConnections;
 
   ConnectionPools(TCPNIOTransport transport, ScheduledExecutorService loop, DoubleSupplier clock,
-      Counters counters, User user) {
+      Counters counters, Listener listener) {
     this.transport = transport;
     this.loop = loop;
     this.clock = clock;
     this.counters = counters;
-    this.user = user;
-    this.toCaches = connector(new ReplyFilter(transport.getMemoryManager()));
-    this.toOrigin = connector(new HttpFilter(HttpFilter.Side.ANSWERS));
+    this.listener = listener;
+    this.cacheConnector = connector(new ReplyFilter(transport.getMemoryManager()));
+    this.originConnector = connector(new HttpFilter(HttpFilter.Side.ANSWERS));
   }
 
   private TCPNIOConnectorHandler connector(Filter codec) {
-    FilterChainBuilder chain = FilterChainBuilder.stateless().add(new SocketReadFilter()).add(new Unasked())
-        .add(codec).add(new Events());
+    FilterChainBuilder chain = FilterChainBuilder.stateless().add(new SocketReadFilter())
+        .add(new UnsolicitedDataFilter()).add(codec).add(new EventFilter());
     return TCPNIOConnectorHandler.builder(transport).processor(chain.build()).build();
   }
 
   /**
-   * Ends a connection on which bytes come while nothing is asked on it. Guards against half a line that is
-   * kept, and stands before the answer to the next request.
+   * Closes a connection that receives bytes while no request is in flight on it. Otherwise the codec could
+   * buffer an incomplete line and prepend it to the answer to the next request.
    */
-  private final class Unasked extends BaseFilter {
+  private final class UnsolicitedDataFilter extends BaseFilter {
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-      PooledConnection link = linkOf.get(ctx.getConnection());
-      if (link != null && link.flight == null && link.stream == null) {
+      PooledConnection pooled = pooledOf.get(ctx.getConnection());
+      if (pooled != null && pooled.inFlight == null && pooled.valueStream == null) {
         counters.add(Counter.UPSTREAM_BAD_REPLIES);
         ctx.getConnection().terminateSilently();
         return ctx.getStopAction();
@@ -102,83 +107,90 @@
     }
   }
 
-  /** Hands on what was read, as tasks that run once all that is ready has been read. */
-  private final class Events extends BaseFilter {
+  /** Passes messages on as tasks, which run once the selector has read all ready connections. */
+  private final class EventFilter extends BaseFilter {
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
-      PooledConnection link = linkOf.get(ctx.getConnection());
+      PooledConnection pooled = pooledOf.get(ctx.getConnection());
       Object message = ctx.getMessage();
-      loop.execute(() -> user.read(link, message));
+      loop.execute(() -> listener.received(pooled, message));
       return ctx.getStopAction();
     }
 
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
-      PooledConnection link = linkOf.get(ctx.getConnection());
-      if (link != null) {
-        boolean orderly = PeerEnd.isOrderly(ctx.getConnection());
-        loop.execute(() -> user.lost(link, orderly));
+      PooledConnection pooled = pooledOf.get(ctx.getConnection());
+      if (pooled != null) {
+        boolean orderly = PeerClose.isOrderly(ctx.getConnection());
+        loop.execute(() -> listener.closed(pooled, orderly));
       }
       return ctx.getInvokeAction();
     }
   }
 
-  /** Sets how long a connection may take to be made, and after how long peers close an idle one. */
+  /**
+   * Sets the timeouts, in ms.
+   *
+   * @param connect the connect timeout
+   * @param idle the time after which peers close an idle connection
+   */
   void setTimeouts(double connect, double idle) {
-    connectTimeout = connect;
-    // Guards against a request that crosses the cache node's own closing of an idle connection.
-    idleTime = idle - Math.min(idle / 2, Math.max(idle / 10, 2 * connect));
+    connectTimeoutMs = connect;
+    // Idle connections are closed before the peer does, so that no request crosses with the peer's close.
+    maxIdleMs = idle - Math.min(idle / 2, Math.max(idle / 10, 2 * connect));
   }
 
-  double connectTimeout() {
-    return connectTimeout;
+  double connectTimeoutMs() {
+    return connectTimeoutMs;
   }
 
-  /** Sets how many connections there may be; idle ones beyond that are closed. */
-  void setMaxConnections(int most) {
-    maxConnections = most;
-    // Guards against caches whose silence holds all connections: misses and writes need the origin.
-    maxToCaches = most - Math.max(1, most / 8);
-    while (connections > maxConnections && closeLongestIdle()) {
-      // one less
+  /** Sets the maximum number of connections; idle ones beyond it are closed. */
+  void setMaxConnections(int max) {
+    maxConnections = max;
+    // Part is reserved for the origin: unresponsive caches must not use up the connections that misses and
+    // writes need.
+    maxCacheConnections = max - Math.max(1, max / 8);
+    while (openConnections > maxConnections && closeLongestIdle()) {
+      // continue until the limit is met
     }
   }
 
-  /** Takes an endpoint's address; a new address or a new start makes its old connections worthless. */
-  void putEndpoint(String endpoint, InetSocketAddress dial, boolean origin, double startedAt) {
+  /** Adds or updates an endpoint; after a new address or a restart its old connections are not reused. */
+  void putEndpoint(String endpoint, InetSocketAddress address, boolean isOrigin, double startedAt) {
     Pool pool = byEndpoint.get(endpoint);
-    if (pool == null || !dial.equals(pool.dial) || startedAt != pool.startedAt) {
+    if (pool == null || !address.equals(pool.address) || startedAt != pool.startedAt) {
       remove(endpoint);
-      pool = new Pool(endpoint, dial, startedAt);
+      pool = new Pool(endpoint, address, startedAt);
       byEndpoint.put(endpoint, pool);
     }
-    pool.origin = origin;
+    pool.isOrigin = isOrigin;
   }
 
-  /** Forgets an endpoint that is gone; the connections still in use are closed once they are free. */
+  /** Removes an endpoint; connections in use are closed once their request has ended. */
   void remove(String endpoint) {
     closeIdle(endpoint);
-    bar(endpoint);
+    failConnecting(endpoint);
     byEndpoint.remove(endpoint);
   }
 
   /**
-   * Guards against a request that waits for its connection while its endpoint is told to drain, is gone or
-   * has started anew: the connection may come up long after the grace, and would carry it there.
+   * Fails the requests that wait for a connection to an endpoint, which drains, was removed or has restarted:
+   * the connection may be established long after the grace period, and the request would be sent to it then.
    */
-  void bar(String endpoint) {
+  void failConnecting(String endpoint) {
     Pool pool = byEndpoint.get(endpoint);
-    for (PooledConnection link : pool == null ? List.<PooledConnection>of() : List.copyOf(pool.connecting)) {
-      InFlight flight = link.flight;
-      link.flight = null; // the connection may still be made
-      if (flight != null) {
-        user.unreachable(flight);
+    for (PooledConnection pooled : pool == null ? List.<PooledConnection>of()
+        : List.copyOf(pool.connecting)) {
+      InFlight inFlight = pooled.inFlight;
+      pooled.inFlight = null; // the connection may still be established and kept
+      if (inFlight != null) {
+        listener.unreachable(inFlight);
       }
     }
   }
 
-  /** Forgets all endpoints but these. */
+  /** Removes all endpoints but these. */
   void retain(Set<String> endpoints) {
     List.copyOf(byEndpoint.keySet()).stream().filter(e -> !endpoints.contains(e)).forEach(this::remove);
   }
@@ -191,123 +203,132 @@
     }
   }
 
-  /** Where an endpoint is reached, or null. */
+  /** The pool of an endpoint, or null if it is not known. */
   Pool pool(String endpoint) {
     return byEndpoint.get(endpoint);
   }
 
   /**
-   * An idle connection for the next request, or null: the last used that has rested a while. Guards against a
-   * second answer that comes late, and would be taken for the next one's; the origin's has no id that tells.
-   * What has stood idle for too long is closed first: the sweep may not have met it.
+   * Takes an idle connection for the next request, or returns null: prefers the most recently used of those
+   * that have been idle for {@link #MIN_REST_MS}. On a connection that is reused sooner, a late second answer
+   * would pass for the answer to the next request; answers of the origin carry no request id that shows the
+   * difference. Without such a connection, null is returned for the origin if a new one may be opened, else
+   * the most recently used one. Connections that are idle for too long are closed first, as the periodic
+   * check may not have seen them yet.
    */
-  PooledConnection idle(Pool pool) {
-    closeOld(pool);
-    double settled = clock.getAsDouble() - SETTLE_MS;
-    for (PooledConnection link : pool.idle) {
-      if (link.idleSince <= settled) {
-        pool.idle.remove(link);
-        return link;
+  PooledConnection takeIdle(Pool pool) {
+    closeExpiredIdle(pool);
+    double restedSince = clock.getAsDouble() - MIN_REST_MS;
+    for (PooledConnection pooled : pool.idle) {
+      if (pooled.idleSince <= restedSince) {
+        pool.idle.remove(pooled);
+        return pooled;
       }
     }
-    return pool.origin && hasRoom(pool) ? null : pool.idle.poll();
+    return pool.isOrigin && ensureRoom(pool) ? null : pool.idle.poll();
   }
 
-  /** True where one more connection to an endpoint may be made, if need be in place of an idle one. */
-  boolean hasRoom(Pool pool) {
-    return connections < (pool.origin ? maxConnections : maxToCaches) || closeLongestIdle();
+  /**
+   * Returns whether one more connection to an endpoint may be opened; if necessary, closes the one that has
+   * been idle for longest to make room.
+   */
+  boolean ensureRoom(Pool pool) {
+    return openConnections < (pool.isOrigin ? maxConnections : maxCacheConnections) || closeLongestIdle();
   }
 
-  int connections() {
-    return connections;
+  int openConnections() {
+    return openConnections;
   }
 
-  /** Makes a connection for a flight. */
-  void connect(PooledConnection link) {
-    connections++;
+  /** Opens a connection for its request. */
+  void connect(PooledConnection pooled) {
+    openConnections++;
     counters.add(Counter.UPSTREAM_CONNECTIONS);
-    link.flight.link = link;
-    link.pool.connecting.add(link);
-    link.begunAt = clock.getAsDouble();
-    var made = (link.pool.origin ? toOrigin : toCaches).connect(link.pool.dial);
-    link.connectTimer = loop.schedule(() -> {
-      if (link.connection == null) {
-        made.cancel(true); // closes the socket
-        user.lost(link, false);
+    pooled.inFlight.pooled = pooled;
+    pooled.pool.connecting.add(pooled);
+    pooled.connectStartedAt = clock.getAsDouble();
+    var connecting = (pooled.pool.isOrigin ? originConnector : cacheConnector).connect(pooled.pool.address);
+    pooled.connectTimer = loop.schedule(() -> {
+      if (pooled.connection == null) {
+        connecting.cancel(true); // closes the socket
+        listener.closed(pooled, false);
       }
-    }, (long) (Math.max(0, connectTimeout) * 1000), TimeUnit.MICROSECONDS);
-    made.addCompletionHandler(new EmptyCompletionHandler<>() {
+    }, (long) (Math.max(0, connectTimeoutMs) * 1000), TimeUnit.MICROSECONDS);
+    connecting.addCompletionHandler(new EmptyCompletionHandler<>() {
       @Override
       public void completed(@SuppressWarnings("rawtypes") Connection connection) {
-        linkOf.set(connection, link);
-        loop.execute(() -> connected(link, connection));
+        pooledOf.set(connection, pooled);
+        loop.execute(() -> connected(pooled, connection));
       }
 
       @Override
       public void failed(Throwable cause) {
-        loop.execute(() -> user.lost(link, false));
+        loop.execute(() -> listener.closed(pooled, false));
       }
     });
   }
 
   @SuppressWarnings("unchecked") // all connections of a TCP transport have socket addresses
-  private void connected(PooledConnection link, Connection<?> connection) {
-    link.connection = (Connection<SocketAddress>) connection;
-    link.pool.connecting.remove(link);
-    link.connectTimer.cancel(false);
-    if (link.closed) {
+  private void connected(PooledConnection pooled, Connection<?> connection) {
+    pooled.connection = (Connection<SocketAddress>) connection;
+    pooled.pool.connecting.remove(pooled);
+    pooled.connectTimer.cancel(false);
+    if (pooled.closed) {
       connection.terminateSilently();
-    } else if (link.flight == null) {
-      release(link, false);
-      link.idleSince = link.begunAt; // for the peer it is as old
+    } else if (pooled.inFlight == null) {
+      release(pooled, false);
+      pooled.idleSince = pooled.connectStartedAt; // the peer has counted its idle time since then
     } else {
-      user.made(link);
+      listener.connected(pooled);
     }
   }
 
   /**
-   * Guards against a connection used again though more stands on it than its answer, or though its endpoint
-   * is gone, has moved or has started anew.
+   * Makes a connection idle after its request, or closes it if its endpoint was removed, has moved or has
+   * restarted.
+   *
+   * @param unusable closes it in any case, for example as bytes were read beyond the end of the answer
    */
-  void release(PooledConnection link, boolean spent) {
-    if (spent || byEndpoint.get(link.pool.endpoint) != link.pool) {
-      close(link);
+  void release(PooledConnection pooled, boolean unusable) {
+    if (unusable || byEndpoint.get(pooled.pool.endpoint) != pooled.pool) {
+      close(pooled);
     } else {
-      rest(link);
+      markIdle(pooled);
     }
   }
 
-  private void rest(PooledConnection link) {
-    link.flight = null;
-    link.written = false;
-    link.idleSince = clock.getAsDouble();
-    link.pool.idle.push(link);
+  private void markIdle(PooledConnection pooled) {
+    pooled.inFlight = null;
+    pooled.requestWritten = false;
+    pooled.idleSince = clock.getAsDouble();
+    pooled.pool.idle.push(pooled);
   }
 
-  void close(PooledConnection link) {
-    if (!link.closed) {
-      link.close();
-      connections--;
-      counters.check(connections >= 0, "no more connections end than were begun");
-      link.flight = null;
-      link.pool.idle.remove(link);
-      link.pool.connecting.remove(link);
+  /** Closes a connection, and removes it from its pool. */
+  void close(PooledConnection pooled) {
+    if (!pooled.closed) {
+      pooled.close();
+      openConnections--;
+      counters.check(openConnections >= 0, "the number of upstream connections is not negative");
+      pooled.inFlight = null;
+      pooled.pool.idle.remove(pooled);
+      pooled.pool.connecting.remove(pooled);
     }
   }
 
-  /** Closes connections that have stood idle for too long. */
-  void closeOld() {
-    byEndpoint.values().forEach(this::closeOld);
+  /** Closes connections that have been idle for too long. */
+  void closeExpiredIdle() {
+    byEndpoint.values().forEach(this::closeExpiredIdle);
   }
 
-  private void closeOld(Pool pool) {
-    double before = clock.getAsDouble() - idleTime;
+  private void closeExpiredIdle(Pool pool) {
+    double before = clock.getAsDouble() - maxIdleMs;
     while (!pool.idle.isEmpty() && pool.idle.peekLast().idleSince < before) {
       close(pool.idle.peekLast());
     }
   }
 
-  /** Guards against running out of descriptors while idle connections hold them. */
+  /** Closes the connection that has been idle for longest, to free its descriptor; false if none is idle. */
   private boolean closeLongestIdle() {
     PooledConnection oldest = null;
     for (Pool pool : byEndpoint.values()) {
--- a/src/main/java/beampoint/upstream/InFlight.java
+++ b/src/main/java/beampoint/upstream/InFlight.java
@@ -3,29 +3,29 @@
 import beampoint.exchange.Exchange;
 import java.util.concurrent.Future;
 
-/** One attempt or, without an exchange, one probe that is out. Belongs to the decision thread. */
+/** One attempt or, if it has no exchange, one probe that is in flight. Confined to the decision thread. */
 final class InFlight {
 
   final Exchange exchange;
-  final int number;
+  final int attempt;
   final String endpoint;
   final double startedAt;
-  final double endsAt;
-  final double startBy; // after which its first byte must not be written
-  PooledConnection link;
+  final double timeoutAt;
+  final double startBy; // the request must not be written later
+  PooledConnection pooled;
   Future<?> timer;
-  boolean over;
-  /** The report of load that came with its answer, or null. */
-  String load;
+  boolean finished;
+  /** The load report in its answer, or null. */
+  String loadReport;
 
-  InFlight(Exchange exchange, int number, String endpoint, double startedAt, double endsAt,
+  InFlight(Exchange exchange, int attempt, String endpoint, double startedAt, double timeoutAt,
       double startBy) {
     this.exchange = exchange;
-    this.number = number;
+    this.attempt = attempt;
     this.endpoint = endpoint;
     this.startedAt = startedAt;
-    this.endsAt = endsAt;
-    this.startBy = Math.min(startBy, endsAt);
+    this.timeoutAt = timeoutAt;
+    this.startBy = Math.min(startBy, timeoutAt);
   }
 
   boolean isProbe() {
--- a/src/main/java/beampoint/upstream/Pool.java
+++ b/src/main/java/beampoint/upstream/Pool.java
@@ -8,23 +8,23 @@
 import java.util.Set;
 
 /**
- * An endpoint's address and its idle connections, the last used first, and those that are being made. Belongs
- * to the decision thread.
+ * The connection pool of one endpoint: its idle connections, most recently used first, and those that are
+ * being established. Confined to the decision thread.
  */
 final class Pool {
 
   final String endpoint;
   final Deque<PooledConnection> idle = new ArrayDeque<>();
   final Set<PooledConnection> connecting = new LinkedHashSet<>();
-  final InetSocketAddress dial;
-  final String host; // the address as HTTP names it
+  final InetSocketAddress address;
+  final String hostHeader; // the address as in HTTP's Host header
   final double startedAt;
-  boolean origin;
+  boolean isOrigin;
 
-  Pool(String endpoint, InetSocketAddress dial, double startedAt) {
+  Pool(String endpoint, InetSocketAddress address, double startedAt) {
     this.endpoint = endpoint;
-    this.dial = dial;
-    this.host = Address.text(dial);
+    this.address = address;
+    this.hostHeader = Address.text(address);
     this.startedAt = startedAt;
   }
 }
--- a/src/main/java/beampoint/upstream/PooledConnection.java
+++ b/src/main/java/beampoint/upstream/PooledConnection.java
@@ -9,36 +9,36 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * One connection to an endpoint, with at most one request out: to give that up is to close the connection,
- * and no other request hangs on it. Belongs to the decision thread.
+ * One connection to an endpoint, with at most one request in flight, so that a request can be abandoned by
+ * closing its connection without affecting others. Confined to the decision thread.
  */
 final class PooledConnection {
 
   final Pool pool;
-  Connection<SocketAddress> connection; // null while it is being made
-  InFlight flight;
+  Connection<SocketAddress> connection; // null while it is being established
+  InFlight inFlight;
   Future<?> connectTimer;
-  double begunAt; // when its connection was asked for
+  double connectStartedAt;
   double idleSince;
-  HttpHead head;
-  Collector body; // of an answer that is held until it is whole
-  Budget.Claim claim; // for that
-  Stream stream; // a long value on its way to the client
-  double movedAt; // when bytes of it last came, or it was let go on
-  boolean paused; // until the client has taken more
+  HttpHead httpHead;
+  Collector bodyCollector; // of an answer that is buffered until it is complete
+  Budget.Claim bodyClaim; // the memory budget for bodyCollector
+  Stream valueStream; // a long value that is passed on to the client as it is read
+  double lastProgressAt; // when bytes were last read, or reading was paused or resumed
+  boolean readingPaused; // until the client has taken more of the value
   boolean closed;
-  /** True once the last byte of the request was written: from then on it may have run. */
-  boolean written;
+  /** True once the last byte of the request was written: from then on the server may have executed it. */
+  boolean requestWritten;
 
-  PooledConnection(Pool pool, InFlight flight) {
+  PooledConnection(Pool pool, InFlight inFlight) {
     this.pool = pool;
-    this.flight = flight;
+    this.inFlight = inFlight;
   }
 
   void close() {
     closed = true;
-    if (claim != null) {
-      claim.release();
+    if (bodyClaim != null) {
+      bodyClaim.release();
     }
     if (connection != null) {
       connection.terminateSilently();
--- a/src/main/java/beampoint/upstream/Replies.java
+++ b/src/main/java/beampoint/upstream/Replies.java
@@ -25,228 +25,232 @@
 import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** Reads what endpoints answer, and tells how the flight has ended. Belongs to the decision thread. */
+/** Handles the answers of endpoints, and determines the results. Confined to the decision thread. */
 final class Replies {
 
-  /** Who is told. */
-  interface Outcomes {
+  /** Receives the results. */
+  interface ResultListener {
 
-    /** A flight has ended; the answer is null where there is none. */
-    void complete(InFlight flight, Result result, Answer answer);
+    /** An attempt or probe has ended; the answer is null if there is none. */
+    void complete(InFlight inFlight, Result result, Answer answer);
 
-    /** A connection is of no use any more; its flight ends like this if it was written whole. */
-    void end(PooledConnection link, Result afterWriting);
+    /** A connection can't be used any more; its request, if written completely, ends with this result. */
+    void end(PooledConnection pooled, Result resultIfWritten);
   }
 
   private static final Log LOG = Log.of("upstream");
   private static final int MAX_BODY = ReplyFilter.MAX_VALUE;
-  private static final double STALL_MS = 10_000; // after which a value that has begun is given up
+  private static final double STALL_TIMEOUT_MS = 10_000; // without any bytes of a value that has begun
 
   private final ConnectionPools pools;
   private final MemoryManager<?> memory;
   private final DoubleSupplier clock;
   private final Counters counters;
   private final Budget budget;
-  private final Outcomes outcomes;
+  private final ResultListener listener;
   private final Set<PooledConnection> streaming = new LinkedHashSet<>();
 
   Replies(ConnectionPools pools, MemoryManager<?> memory, DoubleSupplier clock, Counters counters,
-      Budget budget, Outcomes outcomes) {
+      Budget budget, ResultListener listener) {
     this.pools = pools;
     this.memory = memory;
     this.clock = clock;
     this.counters = counters;
     this.budget = budget;
-    this.outcomes = outcomes;
+    this.listener = listener;
   }
 
-  /** Something has come on a connection. */
-  void read(PooledConnection link, Object message) {
-    InFlight flight = link.flight;
-    if (link.closed) {
+  /** Handles a message that was read on a connection. */
+  void handle(PooledConnection pooled, Object message) {
+    InFlight inFlight = pooled.inFlight;
+    if (pooled.closed) {
       return;
     }
-    link.movedAt = clock.getAsDouble();
-    if (link.stream != null) {
-      goOn(link, message);
-    } else if (flight == null || !link.written) {
-      bad(link, "an answer that nothing was asked for");
+    pooled.lastProgressAt = clock.getAsDouble();
+    if (pooled.valueStream != null) {
+      continueStream(pooled, message);
+    } else if (inFlight == null || !pooled.requestWritten) {
+      protocolError(pooled, "unsolicited answer");
     } else if (message instanceof Reply reply) {
-      answered(link, flight, reply);
+      handleReply(pooled, inFlight, reply);
     } else if (message instanceof HttpFault fault) {
-      bad(link, fault.problem());
+      protocolError(pooled, fault.problem());
     } else if (message instanceof HttpHead head) {
-      link.head = head;
+      pooled.httpHead = head;
       if (head.whole()) {
-        content(link, flight, new HttpContent(Buffers.EMPTY_BUFFER, true, head.surplus()));
+        handleContent(pooled, inFlight, new HttpContent(Buffers.EMPTY_BUFFER, true, head.surplus()));
       }
     } else if (message instanceof HttpContent content) {
-      content(link, flight, content);
+      handleContent(pooled, inFlight, content);
     }
   }
 
-  /** The peer has closed the connection in order; true where that was the end of the answer on it. */
-  boolean ended(PooledConnection link) {
-    InFlight flight = link.flight;
-    if (link.closed || flight == null || link.head == null || !link.head.untilClose()) {
+  /** The peer has closed the connection with a FIN; returns true if that was the end of an answer on it. */
+  boolean completeByClose(PooledConnection pooled) {
+    InFlight inFlight = pooled.inFlight;
+    if (pooled.closed || inFlight == null || pooled.httpHead == null || !pooled.httpHead.untilClose()) {
       return false;
     }
-    content(link, flight, new HttpContent(Buffers.EMPTY_BUFFER, true, false));
+    handleContent(pooled, inFlight, new HttpContent(Buffers.EMPTY_BUFFER, true, false));
     return true;
   }
 
-  /** The next bytes of a long value. */
-  private void goOn(PooledConnection link, Object message) {
+  /** Passes on the next bytes of a streamed value. */
+  private void continueStream(PooledConnection pooled, Object message) {
     if (message instanceof ReplyPart part && part.last()) {
-      streamed(link, part.surplus());
+      finishStream(pooled, part.surplus());
     } else if (message instanceof ReplyPart part) {
-      pass(link, part.bytes());
+      forward(pooled, part.bytes());
     } else if (message instanceof HttpContent content) {
-      pass(link, content.bytes());
+      forward(pooled, content.bytes());
       if (content.last()) {
-        streamed(link, link.head.closes() || content.surplus());
+        finishStream(pooled, pooled.httpHead.closes() || content.surplus());
       }
     } else {
-      bad(link, "a long value that does not end as it should");
+      protocolError(pooled, "streamed value is not terminated as the protocol demands");
     }
   }
 
-  private void pass(PooledConnection link, Buffer bytes) {
-    if (bytes.hasRemaining() && !link.stream.offer(bytes)) {
-      setReading(link, false);
+  private void forward(PooledConnection pooled, Buffer bytes) {
+    if (bytes.hasRemaining() && !pooled.valueStream.offer(bytes)) {
+      setReading(pooled, false);
     }
   }
 
-  /** A long value has come to its end. */
-  private void streamed(PooledConnection link, boolean spent) {
-    Stream stream = link.stream;
-    link.stream = null;
-    streaming.remove(link);
-    setReading(link, true);
+  /** A streamed value is complete. */
+  private void finishStream(PooledConnection pooled, boolean unusable) {
+    Stream stream = pooled.valueStream;
+    pooled.valueStream = null;
+    streaming.remove(pooled);
+    setReading(pooled, true);
     stream.finish();
-    pools.release(link, spent);
+    pools.release(pooled, unusable);
   }
 
-  /** The value is the client's from its first bytes on: the attempt has ended well, and is not repeated. */
-  private void stream(PooledConnection link, InFlight flight, long length) {
+  /**
+   * Starts to stream a value. As the client gets its first bytes at once, the attempt counts as successful
+   * and is not retried.
+   */
+  private void startStream(PooledConnection pooled, InFlight inFlight, long length) {
     counters.add(Counter.VALUES_STREAMED);
-    link.flight = null;
-    streaming.add(link);
-    link.stream = new Stream(length, budget, new Stream.Source() {
+    pooled.inFlight = null;
+    streaming.add(pooled);
+    pooled.valueStream = new Stream(length, budget, new Stream.Source() {
       @Override
       public void resume() {
-        setReading(link, true);
+        setReading(pooled, true);
       }
 
       @Override
       public void cancel() {
-        link.stream = null;
-        pools.close(link);
+        pooled.valueStream = null;
+        pools.close(pooled);
       }
     });
-    outcomes.complete(flight, Result.OK, Answer.streamed(link.stream));
+    listener.complete(inFlight, Result.OK, Answer.streamed(pooled.valueStream));
   }
 
-  private void setReading(PooledConnection link, boolean on) {
-    link.movedAt = clock.getAsDouble();
-    link.paused = !on;
-    if (link.closed) {
+  private void setReading(PooledConnection pooled, boolean on) {
+    pooled.lastProgressAt = clock.getAsDouble();
+    pooled.readingPaused = !on;
+    if (pooled.closed) {
       return;
     }
     try {
       if (on) {
-        link.connection.enableIOEvent(IOEvent.READ);
+        pooled.connection.enableIOEvent(IOEvent.READ);
       } else {
-        link.connection.disableIOEvent(IOEvent.READ);
+        pooled.connection.disableIOEvent(IOEvent.READ);
       }
     } catch (IOException e) {
-      outcomes.end(link, Result.RESET);
+      listener.end(pooled, Result.RESET);
     }
   }
 
-  private void answered(PooledConnection link, InFlight flight, Reply reply) {
-    Command command = flight.isProbe() ? null : flight.exchange.command();
-    boolean own = command != null && reply.id() != null && reply.id().equals(command.id());
+  private void handleReply(PooledConnection pooled, InFlight inFlight, Reply reply) {
+    Command command = inFlight.isProbe() ? null : inFlight.exchange.command();
+    boolean idMatches = command != null && reply.id() != null && reply.id().equals(command.id());
     boolean write = command != null && command.kind() == Command.Kind.WRITE;
     Result result = switch (reply.kind()) {
-      case VALUE -> own && !write ? Result.OK : null;
-      case RECEIPT -> own && reply.body() != null && write ? Result.OK : null;
-      case MISS -> own ? Result.MISS : null;
-      case ALIVE -> flight.isProbe() ? Result.OK : null;
+      case VALUE -> idMatches && !write ? Result.OK : null;
+      case RECEIPT -> idMatches && reply.body() != null && write ? Result.OK : null;
+      case MISS -> idMatches ? Result.MISS : null;
+      case ALIVE -> inFlight.isProbe() ? Result.OK : null;
       case BUSY -> Result.FULL;
       case FAILED -> Result.ERROR;
       case BAD -> null;
     };
     if (result == null) {
-      bad(link, "an answer that does not fit: " + reply.kind());
+      protocolError(pooled, "answer does not match the request: " + reply.kind());
       return;
     }
-    flight.load = reply.load();
+    inFlight.loadReport = reply.load();
     if (reply.isStreamed()) {
-      stream(link, flight, reply.length());
+      startStream(pooled, inFlight, reply.length());
       return;
     }
-    pools.release(link, reply.surplus());
-    boolean served = result == Result.OK && !flight.isProbe();
+    pools.release(pooled, reply.surplus());
+    boolean served = result == Result.OK && !inFlight.isProbe();
     Answer.Kind kind = reply.kind() == Reply.Kind.VALUE ? Answer.Kind.VALUE : Answer.Kind.RECEIPT;
-    outcomes.complete(flight, result, served ? Answer.whole(kind, reply.body()) : null);
+    listener.complete(inFlight, result, served ? Answer.whole(kind, reply.body()) : null);
   }
 
-  private void content(PooledConnection link, InFlight flight, HttpContent content) {
-    boolean read = !flight.isProbe() && flight.exchange.command().kind() == Command.Kind.READ;
-    boolean isLong = read && link.head.status() == 200 && link.head.length() > ReplyFilter.WHOLE_VALUE;
-    if (isLong && link.body == null) {
-      if (link.head.length() > MAX_BODY) {
-        bad(link, "a body that is longer than any value");
+  private void handleContent(PooledConnection pooled, InFlight inFlight, HttpContent content) {
+    boolean read = !inFlight.isProbe() && inFlight.exchange.command().kind() == Command.Kind.READ;
+    boolean isLong = read && pooled.httpHead.status() == 200
+        && pooled.httpHead.length() > ReplyFilter.WHOLE_VALUE;
+    if (isLong && pooled.bodyCollector == null) {
+      if (pooled.httpHead.length() > MAX_BODY) {
+        protocolError(pooled, "body of " + pooled.httpHead.length() + " bytes exceeds the limit of " + MAX_BODY);
         return;
       }
-      stream(link, flight, link.head.length());
-      goOn(link, content);
+      startStream(pooled, inFlight, pooled.httpHead.length());
+      continueStream(pooled, content);
       return;
     }
-    if (link.body == null) {
-      link.claim = budget.claim(() -> setReading(link, true));
-      link.body = new Collector(memory, MAX_BODY, link.claim);
+    if (pooled.bodyCollector == null) {
+      pooled.bodyClaim = budget.claim(() -> setReading(pooled, true));
+      pooled.bodyCollector = new Collector(memory, MAX_BODY, pooled.bodyClaim);
     }
-    if (!link.body.add(content.bytes())) {
-      setReading(link, false);
+    if (!pooled.bodyCollector.add(content.bytes())) {
+      setReading(pooled, false);
     }
     if (content.bytes().hasRemaining()) {
-      bad(link, "a body that is longer than any value");
+      protocolError(pooled, "body exceeds the limit of " + MAX_BODY + " bytes");
       return;
     }
     if (!content.last()) {
       return;
     }
-    HttpHead head = link.head;
-    Buffer body = link.body.message();
-    link.claim.release();
-    pools.release(link, head.closes() || content.surplus());
+    HttpHead head = pooled.httpHead;
+    Buffer body = pooled.bodyCollector.message();
+    pooled.bodyClaim.release();
+    pools.release(pooled, head.closes() || content.surplus());
     if (head.status() == 200) {
-      boolean write = !flight.isProbe() && flight.exchange.command().kind() == Command.Kind.WRITE;
+      boolean write = !inFlight.isProbe() && inFlight.exchange.command().kind() == Command.Kind.WRITE;
       Answer.Kind kind = write ? Answer.Kind.RECEIPT : Answer.Kind.VALUE;
-      outcomes.complete(flight, Result.OK, flight.isProbe() ? null : Answer.whole(kind, body));
+      listener.complete(inFlight, Result.OK, inFlight.isProbe() ? null : Answer.whole(kind, body));
     } else {
-      boolean neverRan = head.declined() && (head.status() == 503 || head.status() == 504);
-      outcomes.complete(flight, neverRan ? Result.FULL : Result.ERROR, null);
+      boolean notExecuted = head.declined() && (head.status() == 503 || head.status() == 504);
+      listener.complete(inFlight, notExecuted ? Result.FULL : Result.ERROR, null);
     }
   }
 
   /**
-   * After what can't be understood nothing more is read. The peer lives, and the request may have run: that
-   * is an error, and no reason to take the peer for broken as after a reset.
+   * Logs a protocol violation and ends the connection, as nothing after it can be interpreted. The result is
+   * an error and not a reset: the endpoint is alive, and the request may have been executed.
    */
-  private void bad(PooledConnection link, String what) {
+  private void protocolError(PooledConnection pooled, String problem) {
     counters.add(Counter.UPSTREAM_BAD_REPLIES);
-    LOG.warn(what + ", from " + link.pool.endpoint);
-    outcomes.end(link, Result.ERROR);
+    LOG.warn(problem + ", from " + pooled.pool.endpoint);
+    listener.end(pooled, Result.ERROR);
   }
 
-  /** Gives up long values that have come to a standstill. */
+  /** Ends the connections whose streamed values have not made progress for too long. */
   void endStalled() {
-    double before = clock.getAsDouble() - STALL_MS;
-    streaming.removeIf(link -> link.closed);
-    List.copyOf(streaming).stream().filter(link -> !link.paused && link.movedAt < before)
-        .forEach(link -> bad(link, "a long value that stands still"));
+    double before = clock.getAsDouble() - STALL_TIMEOUT_MS;
+    streaming.removeIf(pooled -> pooled.closed);
+    List.copyOf(streaming).stream().filter(pooled -> !pooled.readingPaused && pooled.lastProgressAt < before)
+        .forEach(pooled -> protocolError(pooled, "no bytes of a value for " + (long) STALL_TIMEOUT_MS + " ms"));
   }
 }
--- a/src/main/java/beampoint/upstream/Upstreams.java
+++ b/src/main/java/beampoint/upstream/Upstreams.java
@@ -28,8 +28,8 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * The upstream side: makes the attempts and probes it is told to make, on connections of its own, and tells
- * how each ended. It sends nothing twice and picks nothing. Belongs to the decision thread.
+ * The upstream side: sends attempts and probes to endpoints, over its own connection pools, and reports the
+ * outcome of each. It neither retries nor chooses endpoints. Confined to the decision thread.
  */
 public final class Upstreams {
 
@@ -50,8 +50,9 @@
   private final HttpWriter httpWriter;
   private final ConnectionPools pools;
   private final Replies replies;
-  private final Map<Long, Map<Integer, InFlight>> flights = new HashMap<>(); // by request, then by attempt
-  private final Future<?> tidying; // of connections that have stood idle, or stand still
+  /** By the request's id, then by the attempt's number. */
+  private final Map<Long, Map<Integer, InFlight>> inFlightAttempts = new HashMap<>();
+  private final Future<?> connectionCheck; // closes connections that are idle for too long or stalled
 
   public Upstreams(TCPNIOTransport transport, ScheduledExecutorService loop, DoubleSupplier clock,
       AttemptListener listener, Counters counters, Budget budget, double connectTimeout, double idleTime) {
@@ -61,244 +62,261 @@
     this.counters = counters;
     this.writer = new Writer(transport.getMemoryManager());
     this.httpWriter = new HttpWriter(transport.getMemoryManager());
-    Heard heard = new Heard();
-    this.pools = new ConnectionPools(transport, loop, clock, counters, heard);
-    this.replies = new Replies(pools, transport.getMemoryManager(), clock, counters, budget, heard);
+    Events events = new Events();
+    this.pools = new ConnectionPools(transport, loop, clock, counters, events);
+    this.replies = new Replies(pools, transport.getMemoryManager(), clock, counters, budget, events);
     pools.setTimeouts(connectTimeout, idleTime);
-    this.tidying = loop.scheduleWithFixedDelay(() -> {
+    this.connectionCheck = loop.scheduleWithFixedDelay(() -> {
       replies.endStalled();
-      pools.closeOld();
+      pools.closeExpiredIdle();
     }, 1, 1, TimeUnit.SECONDS);
   }
 
-  /** What connections and replies tell. */
-  private final class Heard implements ConnectionPools.User, Replies.Outcomes {
+  /** Receives the events of connections and the results of answers. */
+  private final class Events implements ConnectionPools.Listener, Replies.ResultListener {
 
     @Override
-    public void made(PooledConnection link) {
-      write(link);
+    public void connected(PooledConnection pooled) {
+      write(pooled);
     }
 
     @Override
-    public void read(PooledConnection link, Object message) {
-      replies.read(link, message);
+    public void received(PooledConnection pooled, Object message) {
+      replies.handle(pooled, message);
     }
 
     @Override
-    public void lost(PooledConnection link, boolean orderly) {
-      if (!orderly || !replies.ended(link)) {
-        Upstreams.this.end(link, Result.RESET);
+    public void closed(PooledConnection pooled, boolean orderly) {
+      if (!orderly || !replies.completeByClose(pooled)) {
+        Upstreams.this.end(pooled, Result.RESET);
       }
     }
 
     @Override
-    public void unreachable(InFlight flight) {
-      Upstreams.this.complete(flight, Result.CONNECT_FAILED, null);
+    public void unreachable(InFlight inFlight) {
+      Upstreams.this.complete(inFlight, Result.CONNECT_FAILED, null);
     }
 
     @Override
-    public void complete(InFlight flight, Result result, Answer answer) {
-      Upstreams.this.complete(flight, result, answer);
+    public void complete(InFlight inFlight, Result result, Answer answer) {
+      Upstreams.this.complete(inFlight, result, answer);
     }
 
     @Override
-    public void end(PooledConnection link, Result afterWriting) {
-      Upstreams.this.end(link, afterWriting);
+    public void end(PooledConnection pooled, Result resultIfWritten) {
+      Upstreams.this.end(pooled, resultIfWritten);
     }
   }
 
-  /** Sets how long a connection may take to be made, and after how long peers close an idle one. */
+  /**
+   * Sets the timeouts, in ms.
+   *
+   * @param connect the connect timeout
+   * @param idle the time after which peers close an idle connection
+   */
   public void setTimeouts(double connect, double idle) {
     pools.setTimeouts(connect, idle);
   }
 
-  /** Sets how many connections there may be; idle ones beyond that are closed. */
-  public void setMaxConnections(int most) {
-    pools.setMaxConnections(most);
+  /** Sets the maximum number of connections; idle ones beyond it are closed. */
+  public void setMaxConnections(int max) {
+    pools.setMaxConnections(max);
   }
 
-  /** Takes an endpoint's address; a new address or a new start makes its old connections worthless. */
-  public void putEndpoint(String endpoint, InetSocketAddress dial, boolean origin, double startedAt) {
-    pools.putEndpoint(endpoint, dial, origin, startedAt);
+  /** Adds or updates an endpoint; after a new address or a restart its old connections are not reused. */
+  public void putEndpoint(String endpoint, InetSocketAddress address, boolean isOrigin, double startedAt) {
+    pools.putEndpoint(endpoint, address, isOrigin, startedAt);
   }
 
-  /** Forgets an endpoint that is gone; the connections still in use are closed once they are free. */
+  /** Removes an endpoint; connections in use are closed once their request has ended. */
   public void remove(String endpoint) {
     pools.remove(endpoint);
   }
 
-  /** An endpoint drains: what waits for a connection to it does not go there any more. */
+  /** An endpoint drains: requests that wait for a connection to it fail and are not sent to it. */
   public void drain(String endpoint) {
-    pools.bar(endpoint);
+    pools.failConnecting(endpoint);
   }
 
-  /** Forgets all endpoints but these. */
+  /** Removes all endpoints but these. */
   public void retain(Set<String> endpoints) {
     pools.retain(endpoints);
   }
 
+  /** Closes the idle connections to an endpoint. */
   public void closeIdle(String endpoint) {
     pools.closeIdle(endpoint);
   }
 
-  /** Forgets all endpoints: nothing will be sent any more. */
+  /** Removes all endpoints; nothing can be sent from here on. */
   public void close() {
-    tidying.cancel(false);
+    connectionCheck.cancel(false);
     retain(Set.of());
   }
 
-  /** Starts an attempt that is given up at the given time, and must not begin after another. */
-  public void send(Exchange exchange, int number, String endpoint, double endsAt, double startBy) {
-    InFlight flight = new InFlight(exchange, number, endpoint, clock.getAsDouble(), endsAt, startBy);
-    flights.computeIfAbsent(exchange.id(), id -> new HashMap<>()).put(number, flight);
+  /**
+   * Starts an attempt. Its outcome is reported to the {@link AttemptListener}.
+   *
+   * @param timeoutAt when the attempt times out, in ms on the proxy's clock
+   * @param startBy the latest time at which the request may be written, in ms on the proxy's clock
+   */
+  public void send(Exchange exchange, int attempt, String endpoint, double timeoutAt, double startBy) {
+    InFlight inFlight = new InFlight(exchange, attempt, endpoint, clock.getAsDouble(), timeoutAt, startBy);
+    inFlightAttempts.computeIfAbsent(exchange.id(), id -> new HashMap<>()).put(attempt, inFlight);
     counters.add(Counter.ATTEMPTS_SENT);
-    start(flight);
+    start(inFlight);
   }
 
-  /** Asks an endpoint for a sign of life; to connect and to answer it may take a connect time-out each. */
+  /** Sends a probe to an endpoint; it may take one connect timeout to connect and one to answer. */
   public void probe(String endpoint) {
     double now = clock.getAsDouble();
     counters.add(Counter.PROBES_SENT);
-    start(new InFlight(null, 0, endpoint, now, now + 2 * pools.connectTimeout(),
+    start(new InFlight(null, 0, endpoint, now, now + 2 * pools.connectTimeoutMs(),
         Double.POSITIVE_INFINITY));
   }
 
-  /** Gives up one attempt. */
-  public void cancel(long id, int number) {
-    InFlight flight = flights.getOrDefault(id, Map.of()).get(number);
-    if (flight != null) {
-      giveUp(flight, Result.CANCELLED);
+  /** Cancels one attempt of a request. */
+  public void cancel(long id, int attempt) {
+    InFlight inFlight = inFlightAttempts.getOrDefault(id, Map.of()).get(attempt);
+    if (inFlight != null) {
+      abort(inFlight, Result.CANCELLED);
     }
   }
 
-  /** The client of a request has gone: what of its attempts is not written whole must not run. */
+  /** The client of a request has disconnected: cancels the attempts that were not written completely. */
   public void abandon(long id) {
-    for (InFlight flight : List.copyOf(flights.getOrDefault(id, Map.of()).values())) {
-      if (!flight.link.written) {
-        giveUp(flight, Result.CANCELLED);
+    for (InFlight inFlight : List.copyOf(inFlightAttempts.getOrDefault(id, Map.of()).values())) {
+      if (!inFlight.pooled.requestWritten) {
+        abort(inFlight, Result.CANCELLED);
       }
     }
   }
 
-  /** Ends the time of all attempts of a request. */
+  /** Times out all attempts of a request. */
   public void expire(long id) {
-    for (InFlight flight : List.copyOf(flights.getOrDefault(id, Map.of()).values())) {
-      giveUp(flight, Result.TIMEOUT);
+    for (InFlight inFlight : List.copyOf(inFlightAttempts.getOrDefault(id, Map.of()).values())) {
+      abort(inFlight, Result.TIMEOUT);
     }
   }
 
-  private void start(InFlight flight) {
-    Pool pool = pools.pool(flight.endpoint);
-    flight.timer = at(flight.endsAt, () -> giveUp(flight, Result.TIMEOUT));
+  private void start(InFlight inFlight) {
+    Pool pool = pools.pool(inFlight.endpoint);
+    inFlight.timer = schedule(inFlight.timeoutAt, () -> abort(inFlight, Result.TIMEOUT));
     if (pool == null) {
-      complete(flight, Result.CONNECT_FAILED, null);
+      complete(inFlight, Result.CONNECT_FAILED, null);
       return;
     }
-    PooledConnection link = pools.idle(pool);
-    if (link != null) {
-      counters.check(link.flight == null && !link.closed, "an idle connection is open and has nothing out");
-      link.flight = flight;
-      flight.link = link;
-      write(link);
-    } else if (pools.hasRoom(pool)) {
-      pools.connect(new PooledConnection(pool, flight));
+    PooledConnection pooled = pools.takeIdle(pool);
+    if (pooled != null) {
+      counters.check(pooled.inFlight == null && !pooled.closed,
+          "an idle connection is open and has no request in flight");
+      pooled.inFlight = inFlight;
+      inFlight.pooled = pooled;
+      write(pooled);
+    } else if (pools.ensureRoom(pool)) {
+      pools.connect(new PooledConnection(pool, inFlight));
     } else {
-      // Guards against a cache that is blamed, and skipped, for this proxy's own shortage.
-      LOG.warn("all upstream connections are in use: " + pools.connections());
-      complete(flight, Result.NOT_SENT, null);
+      // Not a failed connect: the shortage is this proxy's, and the cache node must not be ejected for it.
+      LOG.warn("all upstream connections are in use: " + pools.openConnections());
+      complete(inFlight, Result.NOT_SENT, null);
     }
   }
 
   /**
-   * The one place where a request leaves. Guards against one that waited for its connection, while its client
-   * went away, its own time or that in which its repeat is dropped ended. The server is told the time that is
-   * left now: never more than the client waits, nor than this proxy does.
+   * Writes a request; the only place that does. It is not sent if, while it waited for its connection, its
+   * client has disconnected, it has timed out, or the dedup window in which servers drop a repeated request
+   * has ended. The server gets the time that is left now, which never exceeds what the client or this proxy
+   * still waits.
    */
-  private void write(PooledConnection link) {
-    InFlight flight = link.flight;
-    Pool pool = link.pool;
+  private void write(PooledConnection pooled) {
+    InFlight inFlight = pooled.inFlight;
+    Pool pool = pooled.pool;
     double now = clock.getAsDouble();
-    long timeLeft = (long) Math.floor(flight.endsAt - now);
-    if (!flight.isProbe() && (!flight.exchange.isClientWaiting() || now >= flight.startBy || timeLeft < 1)) {
-      pools.release(link, false);
-      complete(flight, Result.NOT_SENT, null);
+    long timeLeft = (long) Math.floor(inFlight.timeoutAt - now);
+    if (!inFlight.isProbe()
+        && (!inFlight.exchange.isClientWaiting() || now >= inFlight.startBy || timeLeft < 1)) {
+      pools.release(pooled, false);
+      complete(inFlight, Result.NOT_SENT, null);
       return;
     }
-    link.written = false;
-    link.head = null;
-    link.body = null;
+    pooled.requestWritten = false;
+    pooled.httpHead = null;
+    pooled.bodyCollector = null;
     Buffer request;
-    if (flight.isProbe()) {
-      request = pool.origin ? httpWriter.get("/alive", pool.host) : writer.line("mn");
+    if (inFlight.isProbe()) {
+      request = pool.isOrigin ? httpWriter.get("/alive", pool.hostHeader) : writer.line("mn");
     } else {
-      Command command = flight.exchange.command();
-      request = pool.origin
-          ? httpWriter.request(pool.host, command.key(), command.id(), command.parameters(), timeLeft,
+      Command command = inFlight.exchange.command();
+      request = pool.isOrigin
+          ? httpWriter.request(pool.hostHeader, command.key(), command.id(), command.parameters(), timeLeft,
               command.value())
           : writer.command(command, timeLeft);
     }
-    link.connection.write(request, new EmptyCompletionHandler<>() {
+    pooled.connection.write(request, new EmptyCompletionHandler<>() {
       @Override
       public void completed(WriteResult<Buffer, SocketAddress> result) {
-        link.written = true;
+        pooled.requestWritten = true;
       }
     });
   }
 
-  private void end(PooledConnection link, Result afterWriting) {
-    InFlight flight = link.flight;
-    Stream stream = link.stream;
-    link.stream = null;
-    boolean written = link.written;
-    pools.close(link);
+  private void end(PooledConnection pooled, Result resultIfWritten) {
+    InFlight inFlight = pooled.inFlight;
+    Stream stream = pooled.valueStream;
+    pooled.valueStream = null;
+    boolean written = pooled.requestWritten;
+    pools.close(pooled);
     if (stream != null) {
       counters.add(Counter.VALUES_CUT_OFF);
       stream.fail();
     }
-    if (flight != null) {
-      // Before the request's last byte was written it can't have run: a cache node begins it only then.
-      complete(flight, written ? afterWriting : Result.CONNECT_FAILED, null);
+    if (inFlight != null) {
+      // A server executes a request only after its last byte, so one not written completely never ran.
+      complete(inFlight, written ? resultIfWritten : Result.CONNECT_FAILED, null);
     }
   }
 
-  /** Stops waiting. What was never written whole never ran, and so the time can't have run out there. */
-  private void giveUp(InFlight flight, Result result) {
-    if (flight.over) {
+  /**
+   * Ends an attempt or probe without an answer. An attempt that was not written completely was never
+   * executed, and is reported as not sent: the endpoint did not cause a timeout.
+   */
+  private void abort(InFlight inFlight, Result result) {
+    if (inFlight.finished) {
       return;
     }
-    PooledConnection link = flight.link;
-    boolean written = link != null && link.written;
-    if (link != null && link.connection == null) {
-      link.flight = null; // the connection may still be made, and serve the next
-    } else if (link != null) {
-      pools.close(link);
+    PooledConnection pooled = inFlight.pooled;
+    boolean written = pooled != null && pooled.requestWritten;
+    if (pooled != null && pooled.connection == null) {
+      pooled.inFlight = null; // the connection may still be established, for a later request
+    } else if (pooled != null) {
+      pools.close(pooled);
     }
-    complete(flight, written ? result : flight.isProbe() ? Result.TIMEOUT : Result.NOT_SENT, null);
+    complete(inFlight, written ? result : inFlight.isProbe() ? Result.TIMEOUT : Result.NOT_SENT, null);
   }
 
-  private void complete(InFlight flight, Result result, Answer answer) {
-    if (flight.over) {
+  private void complete(InFlight inFlight, Result result, Answer answer) {
+    if (inFlight.finished) {
       return;
     }
-    flight.over = true;
-    flight.timer.cancel(false);
-    double elapsed = clock.getAsDouble() - flight.startedAt;
-    // Told by a task of its own: what starts an attempt must not hear its end before it has returned.
-    if (flight.isProbe()) {
-      loop.execute(() -> listener.probeEnded(flight.endpoint, elapsed, result));
+    inFlight.finished = true;
+    inFlight.timer.cancel(false);
+    double elapsed = clock.getAsDouble() - inFlight.startedAt;
+    // Reported by a separate task: the caller that starts an attempt must return before it ends.
+    if (inFlight.isProbe()) {
+      loop.execute(() -> listener.probeEnded(inFlight.endpoint, elapsed, result));
       return;
     }
-    Map<Integer, InFlight> own = flights.get(flight.exchange.id());
-    own.remove(flight.number);
-    if (own.isEmpty()) {
-      flights.remove(flight.exchange.id());
+    Map<Integer, InFlight> ofRequest = inFlightAttempts.get(inFlight.exchange.id());
+    ofRequest.remove(inFlight.attempt);
+    if (ofRequest.isEmpty()) {
+      inFlightAttempts.remove(inFlight.exchange.id());
     }
     counters.add(COUNTERS.get(result));
-    loop.execute(() -> listener.attemptEnded(flight.exchange, flight.number, flight.endpoint, elapsed, result,
-        answer, flight.load));
+    loop.execute(() -> listener.attemptEnded(inFlight.exchange, inFlight.attempt, inFlight.endpoint, elapsed,
+        result, answer, inFlight.loadReport));
   }
 
-  private Future<?> at(double time, Runnable task) {
+  private Future<?> schedule(double time, Runnable task) {
     long delay = (long) Math.max(0, (time - clock.getAsDouble()) * 1000);
     return loop.schedule(task, delay, TimeUnit.MICROSECONDS);
   }
