--- a/src/main/java/beampoint/client/AnswerText.java
+++ b/src/main/java/beampoint/client/AnswerText.java
@@ -26,7 +26,7 @@
     if (answer.kind() == Answer.Kind.FAILED) {
       return "SERVER_ERROR failed";
     }
-    return answer.waitMs() > 0 ? "SERVER_ERROR busy " + answer.waitMs() : "SERVER_ERROR busy";
+    return answer.retryAfterMs() > 0 ? "SERVER_ERROR busy " + answer.retryAfterMs() : "SERVER_ERROR busy";
   }
 
   /** All counters, a line each. */
--- a/src/main/java/beampoint/exchange/Exchange.java
+++ b/src/main/java/beampoint/exchange/Exchange.java
@@ -7,8 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * One request: what the client sent, how many attempts were made for it, and its one final answer. Client
- * side and upstream side know each other only through it. Belongs to the decision thread.
+ * One request: the client's command, the number of attempts made for it, and its final answer, of which there
+ * is exactly one. It is the only link between the client side and the upstream side. Confined to the decision
+ * thread.
  */
 public final class Exchange {
 
@@ -16,26 +17,33 @@
   private final Command command;
   private final double deadline;
   private final int maxAttempts;
-  private final BooleanSupplier left;
-  private final Consumer<Answer> client;
+  private final BooleanSupplier clientGone;
+  private final Consumer<Answer> onAnswer;
   private final Counters counters;
   private boolean over;
   private int attempts;
   private int attemptsInFlight;
   private double lastEventAt;
 
-  public Exchange(long id, Command command, double deadline, int maxAttempts, BooleanSupplier left,
-      Consumer<Answer> client, Counters counters) {
+  /**
+   * A request that has no attempts yet.
+   *
+   * @param deadline when the client stops waiting, in ms on the proxy's clock
+   * @param clientGone returns true once the client's connection has ended
+   * @param onAnswer receives the final answer
+   */
+  public Exchange(long id, Command command, double deadline, int maxAttempts, BooleanSupplier clientGone,
+      Consumer<Answer> onAnswer, Counters counters) {
     this.id = id;
     this.command = command;
     this.deadline = deadline;
     this.maxAttempts = maxAttempts;
-    this.left = left;
-    this.client = client;
+    this.clientGone = clientGone;
+    this.onAnswer = onAnswer;
     this.counters = counters;
   }
 
-  /** The number under which the decision module knows it. */
+  /** The id of the request in the decision module's events and actions. */
   public long id() {
     return id;
   }
@@ -49,40 +57,41 @@
     return deadline;
   }
 
-  /** How many attempts may be made for it, by the rules with which it was taken. */
+  /** The maximum number of attempts, by the settings that were in force when the request was received. */
   public int maxAttempts() {
     return maxAttempts;
   }
 
-  /** True once it has had its final answer or its client has left. */
+  /** True once the final answer was given or the client has disconnected. */
   public boolean isOver() {
     return over;
   }
 
-  /** False once it is over, or its client's connection has ended though that is not told yet. */
+  /** False once it is over, or the client's connection has ended even if that event is not handled yet. */
   public boolean isClientWaiting() {
-    return !over && !left.getAsBoolean();
+    return !over && !clientGone.getAsBoolean();
   }
 
+  /** How many attempts have started and not ended. */
   public int attemptsInFlight() {
     return attemptsInFlight;
   }
 
-  /** The decision module is told something of it now, in ms on the proxy's clock. */
+  /** Notes that the decision module gets an event of this request now, in ms on the proxy's clock. */
   public void setLastEventAt(double now) {
     lastEventAt = now;
   }
 
-  /** When the decision module was last told something of it, in ms on the proxy's clock; 0 if never. */
+  /** When the decision module last got an event of this request, in ms on the proxy's clock; 0 if never. */
   public double lastEventAt() {
     return lastEventAt;
   }
 
-  /** Gives the client its final answer; false, and nothing done, where the request is over. */
+  /** Gives the client its final answer; returns false, and has no effect, if the request is over. */
   public boolean answer(Answer answer) {
     if (over) {
       if (answer.stream() != null) {
-        answer.stream().cancel(); // guards against a long value that waits for a client that has left
+        answer.stream().cancel(); // else the value would wait for a client that has gone
       }
       return false;
     }
@@ -93,11 +102,11 @@
       case FAILED -> Counter.ANSWERED_FAILED;
     };
     counters.add(counter);
-    client.accept(answer);
+    onAnswer.accept(answer);
     return true;
   }
 
-  /** The client has left: nothing more is owed. False where the request was over before. */
+  /** The client has disconnected and needs no answer. Returns false if the request was over before. */
   public boolean abandon() {
     boolean wasOpen = !over;
     over = true;
@@ -110,8 +119,9 @@
     return attempts++;
   }
 
+  /** Counts one attempt in flight less. */
   public void endAttempt() {
-    counters.check(attemptsInFlight > 0, "an attempt ends that was out");
+    counters.check(attemptsInFlight > 0, "an attempt that ends was in flight");
     attemptsInFlight--;
   }
 }
--- a/src/main/java/beampoint/exchange/RequestHandler.java
+++ b/src/main/java/beampoint/exchange/RequestHandler.java
@@ -4,21 +4,27 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** Where the client side hands in what it has read; called on the decision thread. */
+/** Handles the requests that the client side has read; called on the decision thread. */
 public interface RequestHandler {
 
-  /** True once requests can be decided. */
+  /** True once the proxy is ready to serve requests. */
   boolean isReady();
 
-  /** What is wrong with a request that can't be taken, or null. */
+  /** Why a request is invalid and can't be accepted, worded for the client; null if it is valid. */
   String rejectionReason(Command command);
 
-  /** Takes a request that had come whole at the given time; left tells that its client has gone. */
-  Exchange accept(Command command, double readAt, BooleanSupplier left, Consumer<Answer> client);
+  /**
+   * Accepts a valid request.
+   *
+   * @param arrivedAt the earliest time at which it can have arrived completely, in ms on the proxy's clock
+   * @param clientGone returns true once the client's connection has ended
+   * @param onAnswer receives the final answer
+   */
+  Exchange accept(Command command, double arrivedAt, BooleanSupplier clientGone, Consumer<Answer> onAnswer);
 
-  /** Answers a request at once for which there is no place, and which so can only be refused. */
+  /** Answers at once a request that can't be queued, and so can only be refused or failed. */
   Answer refuse(Command command);
 
-  /** The client of a request has left. */
+  /** The client of a request has disconnected. */
   void clientGone(Exchange exchange);
 }
--- a/src/main/java/beampoint/upstream/Replies.java
+++ b/src/main/java/beampoint/upstream/Replies.java
@@ -201,7 +201,8 @@
         && pooled.httpHead.length() > ReplyFilter.WHOLE_VALUE;
     if (isLong && pooled.bodyCollector == null) {
       if (pooled.httpHead.length() > MAX_BODY) {
-        protocolError(pooled, "body of " + pooled.httpHead.length() + " bytes exceeds the limit of " + MAX_BODY);
+        protocolError(pooled,
+            "body of " + pooled.httpHead.length() + " bytes exceeds the limit of " + MAX_BODY);
         return;
       }
       startStream(pooled, inFlight, pooled.httpHead.length());
@@ -251,6 +252,7 @@
     double before = clock.getAsDouble() - STALL_TIMEOUT_MS;
     streaming.removeIf(pooled -> pooled.closed);
     List.copyOf(streaming).stream().filter(pooled -> !pooled.readingPaused && pooled.lastProgressAt < before)
-        .forEach(pooled -> protocolError(pooled, "no bytes of a value for " + (long) STALL_TIMEOUT_MS + " ms"));
+        .forEach(
+            pooled -> protocolError(pooled, "no bytes of a value for " + (long) STALL_TIMEOUT_MS + " ms"));
   }
 }
