--- a/src/main/java/beampoint/client/AnswerSlot.java
+++ b/src/main/java/beampoint/client/AnswerSlot.java
@@ -5,12 +5,12 @@
 import beampoint.memcache.Command;
 import org.glassfish.grizzly.Buffer;
 
-/** The place of one command's answer among those of its connection. */
+/** The slot of one command's answer in the order of answers on its connection. */
 final class AnswerSlot {
   Exchange exchange;
   Command command;
   Buffer answer;
-  Stream stream; // in place of an answer, or of its rest
-  boolean streams;
-  boolean ends; // the connection, once this answer is written
+  Stream stream; // of a long value, whose bytes are written as they are received
+  boolean streamStarted;
+  boolean closesConnection; // once this answer is written
 }
--- a/src/main/java/beampoint/client/AnswerText.java
+++ b/src/main/java/beampoint/client/AnswerText.java
@@ -7,12 +7,12 @@
 import beampoint.memcache.Writer;
 import org.glassfish.grizzly.Buffer;
 
-/** The text of answers to clients. */
+/** Formats answers to clients. */
 final class AnswerText {
 
   private AnswerText() {}
 
-  /** A whole answer to a request. */
+  /** The complete answer to a request. */
   static Buffer message(Writer writer, Command command, Answer answer) {
     return switch (answer.kind()) {
       case VALUE -> writer.value(command.id(), answer.body());
@@ -21,7 +21,7 @@
     };
   }
 
-  /** The line of an answer without a value or a receipt. */
+  /** The line of a refusal or failure. */
   static String errorLine(Answer answer) {
     if (answer.kind() == Answer.Kind.FAILED) {
       return "SERVER_ERROR failed";
@@ -29,7 +29,7 @@
     return answer.retryAfterMs() > 0 ? "SERVER_ERROR busy " + answer.retryAfterMs() : "SERVER_ERROR busy";
   }
 
-  /** All counters, a line each. */
+  /** The answer to the stats command: all counters, one per line. */
   static String stats(Counters counters) {
     StringBuilder text = new StringBuilder();
     for (Counter counter : Counter.values()) {
--- a/src/main/java/beampoint/client/ClientListener.java
+++ b/src/main/java/beampoint/client/ClientListener.java
@@ -19,26 +19,26 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * The listener at the clients' address: accepts as long as there is room, and knows since when those whom it
- * accepts can have waited. Belongs to the decision thread.
+ * The listener at the clients' address: accepts connections up to a limit, and tracks how long each may have
+ * waited to be accepted. Confined to the decision thread.
  */
 final class ClientListener {
 
   private static final Log LOG = Log.of("client");
 
-  /** In which pass a connection was accepted, and since when it can have waited for that, in ms. */
-  private record Accepted(long pass, double since) {}
+  /** In which selector pass a connection was accepted, and the earliest time it can have connected, in ms. */
+  private record Acceptance(long pass, double connectedSince) {}
 
   private final TCPNIOTransport transport;
   private final ScheduledExecutorService loop;
   private final Arrivals arrivals;
   private final AtomicInteger connections = new AtomicInteger();
-  private final Attribute<Accepted> acceptance =
+  private final Attribute<Acceptance> acceptance =
       Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("acceptance");
   private volatile int maxConnections = 1;
   private volatile boolean full;
-  private double backlogSince = Double.NaN; // who waits came no sooner, in ms; NaN where nobody waits
-  private boolean acceptsMore; // in a task that is queued
+  private double pendingSince = Double.NaN; // earliest connect of those to be accepted, in ms; NaN: none
+  private boolean acceptScheduled;
   private TCPNIOServerConnection listener;
 
   ClientListener(TCPNIOTransport transport, ScheduledExecutorService loop, Arrivals arrivals) {
@@ -47,16 +47,16 @@
     this.arrivals = arrivals;
   }
 
-  /** Sets how many connections there may be; those beyond wait to be accepted. */
-  void limit(int most) {
-    maxConnections = most;
+  /** Sets the maximum number of connections; further ones wait to be accepted. */
+  void setMaxConnections(int max) {
+    maxConnections = max;
   }
 
-  int limit() {
+  int maxConnections() {
     return maxConnections;
   }
 
-  /** Listens on this address only; returns it with the port that the system picks where it is 0. */
+  /** Listens on this address only; returns it with the actual port, which the system picks if it is 0. */
   InetSocketAddress listen(SocketAddress address, Processor<?> chain) throws IOException {
     listener = TCPNIOBindingHandler.builder(transport).processor(chain).build().bind(address);
     return (InetSocketAddress) listener.getLocalAddress();
@@ -67,57 +67,58 @@
   }
 
   /**
-   * A connection was accepted; those that wait besides are accepted in this pass too, while there is room.
+   * A connection was accepted; other pending ones are accepted in this selector pass too, up to the limit.
    */
   void accepted(Connection<?> connection) {
-    if (Double.isNaN(backlogSince)) {
-      backlogSince = arrivals.earliest();
+    if (Double.isNaN(pendingSince)) {
+      pendingSince = arrivals.earliest();
     }
-    acceptance.set(connection, new Accepted(arrivals.pass(), backlogSince));
+    acceptance.set(connection, new Acceptance(arrivals.pass(), pendingSince));
     if (connections.incrementAndGet() >= maxConnections) {
       full = true;
       setAccepting(false);
-    } else if (!acceptsMore) {
-      acceptsMore = true;
+    } else if (!acceptScheduled) {
+      acceptScheduled = true;
       loop.execute(this::acceptMore);
     }
   }
 
   /** A connection has ended. */
-  void ended() {
+  void connectionClosed() {
     connections.decrementAndGet();
   }
 
   /**
-   * When what is read on a connection can have come, in ms. Guards against a request that counts as fresh
-   * though it came while its client waited to be accepted: its first bytes may be as old as that wait.
+   * The earliest time at which the bytes that are read on a connection can have arrived, in ms. The first
+   * bytes of a connection may have arrived while it waited to be accepted, and count as old as that wait.
    */
   double arrivedAt(Connection<?> connection) {
-    Accepted own = acceptance.get(connection);
-    boolean isFirst = own != null && arrivals.pass() <= own.pass + 1;
-    return isFirst ? Math.min(own.since, arrivals.earliest()) : arrivals.earliest();
+    Acceptance accepted = acceptance.get(connection);
+    boolean isFirst = accepted != null && arrivals.pass() <= accepted.pass + 1;
+    return isFirst ? Math.min(accepted.connectedSince, arrivals.earliest()) : arrivals.earliest();
   }
 
-  /** The last of many would wait for as many passes of the selector, if each pass took one. */
+  /** Accepts the pending connections at once; otherwise the selector would accept one per pass. */
   private void acceptMore() {
-    acceptsMore = false;
-    acceptWaiting(() -> !full);
-    backlogSince = full ? backlogSince : Double.NaN;
+    acceptScheduled = false;
+    acceptPending(() -> !full);
+    pendingSince = full ? pendingSince : Double.NaN;
   }
 
-  /** Accepts those that wait as long as a condition holds. */
-  private void acceptWaiting(BooleanSupplier goesOn) {
+  /** Accepts pending connections as long as a condition holds. */
+  private void acceptPending(BooleanSupplier condition) {
     try {
-      for (int before = -1; listener != null && goesOn.getAsBoolean() && connections.get() > before;) {
+      for (int before = -1; listener != null && condition.getAsBoolean() && connections.get() > before;) {
         before = connections.get();
         listener.onAccept();
       }
     } catch (IOException e) {
-      LOG.error("can't accept those that wait", e);
+      LOG.error("failed to accept pending connections", e);
     }
   }
 
-  void acceptWhileThereIsRoom() {
+  /** Accepts connections again if the limit was reached and no longer is. */
+  void resumeAccepting() {
     if (full && listener != null && connections.get() < maxConnections) {
       full = false;
       setAccepting(true);
@@ -132,44 +133,46 @@
         listener.disableIOEvent(IOEvent.SERVER_ACCEPT);
       }
     } catch (IOException e) {
-      LOG.error("can't " + (on ? "resume" : "pause") + " accepting", e);
+      LOG.error("failed to " + (on ? "resume" : "pause") + " accepting connections", e);
     }
   }
 
   /**
-   * Takes no more connections, and then runs a task. As long as the selector knows the listener, closing
-   * takes effect only with the next selection, and who connects until then would be reset. So it is taken
-   * from the selector first, then all that wait are accepted, and right after that it is closed.
+   * Closes the listener, and then runs a task. While the listener is registered with the selector, its close
+   * takes effect only in the next selection, and clients that connect until then would be reset. So it is
+   * deregistered first, then all pending connections are accepted, and immediately after that it is closed.
    */
-  void close(Runnable then) {
+  void close(Runnable onClosed) {
     if (listener == null) {
-      then.run();
+      onClosed.run();
       return;
     }
-    leaveSelector();
+    deregister();
     loop.schedule(() -> {
-      acceptRest();
+      acceptAllPending();
       closeChannel();
-      then.run();
+      onClosed.run();
     }, 1, TimeUnit.MILLISECONDS);
   }
 
-  /** From the next selection on nobody is accepted by it. */
-  void leaveSelector() {
+  /** Deregisters the listener: from the next selection on, the selector accepts no connections. */
+  void deregister() {
     listener.getSelectionKey().cancel();
   }
 
-  /** Accepts all that wait, also beyond the limit. */
-  void acceptRest() {
-    acceptWaiting(() -> true);
+  /** Accepts all pending connections, even beyond the limit. */
+  void acceptAllPending() {
+    acceptPending(() -> true);
   }
 
-  /** Who connects between the last accept and this is reset, with nothing read. */
+  /**
+   * Closes the socket. A client that has connected since the last accept is reset, and nothing of it is read.
+   */
   void closeChannel() {
     try {
       listener.getChannel().close();
     } catch (IOException e) {
-      LOG.error("can't close the listener", e);
+      LOG.error("failed to close the listener", e);
     }
     listener.closeSilently();
     listener = null;
--- a/src/main/java/beampoint/client/CommandBacklog.java
+++ b/src/main/java/beampoint/client/CommandBacklog.java
@@ -6,34 +6,35 @@
 import java.util.function.Function;
 
 /**
- * What came on one connection before there was room to begin it, in its order. Reading goes on meanwhile, as
- * a client's end stands behind all that it has sent. Belongs to the decision thread.
+ * The commands of one connection that were read while too many were open, in their order. Reading is not
+ * paused meanwhile, as the end of a client's connection is seen only after all that it has sent. Confined to
+ * the decision thread.
  */
 final class CommandBacklog {
 
-  /** What stands next. */
-  sealed interface Entry permits Waiting, Answered {
+  /** An entry of the queue. */
+  sealed interface Entry permits QueuedCommand, QueuedAnswers {
 
-    /** The memory that it takes, in bytes. */
+    /** The memory that the entry takes, in bytes. */
     int bytes();
   }
 
-  /** A command to begin, and when it can have come, in ms. */
-  record Waiting(Command command, double readAt) implements Entry {
+  /** A command to start, and the earliest time at which it can have arrived, in ms. */
+  record QueuedCommand(Command command, double arrivedAt) implements Entry {
 
     @Override
     public int bytes() {
-      return ENTRY_BYTES + command.size();
+      return ENTRY_OVERHEAD_BYTES + command.size();
     }
   }
 
-  /** Commands in a row that were answered with the same line; it is written once their turn has come. */
-  static final class Answered implements Entry {
+  /** Consecutive commands that got the same answer, a line that is written for each in its turn. */
+  static final class QueuedAnswers implements Entry {
 
     private final String line;
     private int count = 1;
 
-    Answered(String line) {
+    QueuedAnswers(String line) {
       this.line = line;
     }
 
@@ -43,11 +44,11 @@
 
     @Override
     public int bytes() {
-      return ENTRY_BYTES + 2 * line.length();
+      return ENTRY_OVERHEAD_BYTES + 2 * line.length();
     }
   }
 
-  private static final int ENTRY_BYTES = 512; // of an entry beside its texts
+  private static final int ENTRY_OVERHEAD_BYTES = 512; // beside its texts
 
   private final Deque<Entry> entries = new ArrayDeque<>();
 
@@ -55,62 +56,65 @@
     return entries.isEmpty();
   }
 
-  /** Adds a command that has buffers of its own; returns the bytes that it takes. */
-  int add(Command command, double readAt) {
-    Waiting waiting = new Waiting(command, readAt);
-    entries.add(waiting);
-    return waiting.bytes();
+  /** Adds a command, which must have buffers of its own; returns the memory that it takes, in bytes. */
+  int add(Command command, double arrivedAt) {
+    QueuedCommand queued = new QueuedCommand(command, arrivedAt);
+    entries.add(queued);
+    return queued.bytes();
   }
 
-  /** True where a request waits that is not answered yet. */
+  /** True if it holds a request that is not answered yet. */
   boolean hasRequests() {
     return entries.stream().anyMatch(CommandBacklog::isRequest);
   }
 
   private static boolean isRequest(Entry entry) {
-    return entry instanceof Waiting waiting && waiting.command().isRequest();
+    return entry instanceof QueuedCommand queued && queued.command().isRequest();
   }
 
-  /** Adds the place of an answer; returns the bytes that it takes, 0 behind another with the same line. */
-  int addAnswered(String line) {
-    if (entries.peekLast() instanceof Answered last && last.line.equals(line)) {
+  /**
+   * Adds an answer in the place of its command; returns the memory that it takes, in bytes: 0 directly behind
+   * an equal answer.
+   */
+  int addAnswer(String line) {
+    if (entries.peekLast() instanceof QueuedAnswers last && last.line.equals(line)) {
       last.count++;
       return 0;
     }
-    Answered answered = new Answered(line);
-    entries.add(answered);
-    return answered.bytes();
+    QueuedAnswers answers = new QueuedAnswers(line);
+    entries.add(answers);
+    return answers.bytes();
   }
 
-  /** Takes what stands next, one command at a time. */
+  /** Takes the entry of the next command; one of several equal answers stays until its last command. */
   Entry poll() {
     Entry next = entries.peek();
-    if (!(next instanceof Answered answered) || --answered.count == 0) {
+    if (!(next instanceof QueuedAnswers answers) || --answers.count == 0) {
       entries.poll();
     }
     return next;
   }
 
-  /** The bytes that a polled entry has freed: those of a run only with its last answer. */
+  /** The bytes that were freed by polling an entry: for equal answers, only with the last of them. */
   int freedBy(Entry polled) {
     return polled == entries.peek() ? 0 : polled.bytes();
   }
 
   /**
-   * Answers the first of the requests that wait; returns by how many bytes less is taken.
+   * Replaces the first queued requests by their answers; returns how many bytes that frees.
    *
-   * @param most how many are answered
-   * @param answers the line with which a request is answered at once
+   * @param max how many requests are answered at most
+   * @param answers gives the answer line of a request
    */
-  int answer(int most, Function<Command, String> answers) {
+  int answerRequests(int max, Function<Command, String> answers) {
     Deque<Entry> all = new ArrayDeque<>(entries);
     entries.clear();
     int freed = 0;
-    int left = most;
+    int left = max;
     for (Entry entry : all) {
       if (left > 0 && isRequest(entry)) {
         left--;
-        freed += entry.bytes() - addAnswered(answers.apply(((Waiting) entry).command()));
+        freed += entry.bytes() - addAnswer(answers.apply(((QueuedCommand) entry).command()));
       } else {
         entries.add(entry);
       }
@@ -118,13 +122,13 @@
     return freed;
   }
 
-  /** Lets all go; returns the bytes that it took. */
+  /** Discards all entries; returns how many bytes that frees. */
   int clear() {
     int freed = 0;
     for (Entry entry : entries) {
       freed += entry.bytes();
-      if (entry instanceof Waiting waiting) {
-        waiting.command().release();
+      if (entry instanceof QueuedCommand queued) {
+        queued.command().release();
       }
     }
     entries.clear();
--- a/src/main/java/beampoint/client/Session.java
+++ b/src/main/java/beampoint/client/Session.java
@@ -15,19 +15,19 @@
 import org.glassfish.grizzly.WriteResult;
 
 /**
- * One client connection: its commands are begun as they come and answered in their order. Belongs to the
- * decision thread.
+ * One client connection: its commands are started as they arrive and answered in their order (pipelining).
+ * Confined to the decision thread.
  */
 final class Session {
 
-  private static final int MAX_OPEN = 32; // commands begun and not answered
-  private static final int REFUSED_AT_ONCE = 200; // requests
+  private static final int MAX_PIPELINED = 32; // commands started and not answered
+  private static final int REFUSALS_PER_TASK = 200;
 
   private final Connection<SocketAddress> connection;
   private final Sessions sessions;
   private final Deque<AnswerSlot> slots = new ArrayDeque<>();
   private final CommandBacklog backlog = new CommandBacklog();
-  private final CompletionHandler<WriteResult<Buffer, SocketAddress>> written =
+  private final CompletionHandler<WriteResult<Buffer, SocketAddress>> onAnswerWritten =
       new EmptyCompletionHandler<>() {
         @Override
         public void completed(WriteResult<Buffer, SocketAddress> result) {
@@ -35,30 +35,30 @@
         }
       };
   private final double openedAt;
-  private double restsSince; // without a whole command, a half one once it has been seen
-  private boolean spoke;
-  private boolean half;
-  private int unwritten; // answers
-  private int unfinished; // writes
-  private double movedAt; // when the last of them ended
-  private int valueBytes; // of a value on its way from the client
-  private boolean ended; // no command that comes after can be read
+  private double inactiveSince; // without a complete command, or since an incomplete one was first seen
+  private boolean hasReadCommand;
+  private boolean hadPartialCommand; // at the last check
+  private int answersBeingWritten;
+  private int writesInProgress;
+  private double lastWriteProgressAt; // when the last write ended, or the first of those in progress began
+  private int partialValueBytes; // read of an incomplete value, at the last check
+  private boolean inputEnded; // after a fatal error: what follows can't be parsed
   private boolean closing;
   private boolean closed;
-  private boolean left; // the connection has ended, which may not be told yet
-  private boolean lingers;
-  private double lingersSince;
-  private boolean makesRoom; // it is closed for others to come
+  private boolean clientGone; // the connection has ended; the task that handles that may still be queued
+  private boolean lingering;
+  private double lingeringSince;
+  private boolean evicted; // closed to make room for other connections
 
   @SuppressWarnings("unchecked") // all connections of a TCP transport have socket addresses
   Session(Connection<?> connection, Sessions sessions, double openedAt) {
     this.connection = (Connection<SocketAddress>) connection;
     this.sessions = sessions;
     this.openedAt = openedAt;
-    this.restsSince = openedAt;
+    this.inactiveSince = openedAt;
   }
 
-  /** True where nothing that was read is unanswered, also what waits as a task. */
+  /** True if all that was read is answered, including commands in tasks that are still queued. */
   private boolean isIdle() {
     return sessions.pending(connection) == 0;
   }
@@ -71,135 +71,143 @@
     return !closing && isIdle();
   }
 
-  /** True where no command has ever come that could be read. */
-  boolean isSilent() {
-    return !spoke;
+  /** True if no valid command was ever read. */
+  boolean hasSentNoCommand() {
+    return !hasReadCommand;
   }
 
   double openedAt() {
     return openedAt;
   }
 
-  /** Since when it has been without a whole command. */
-  double restsSince() {
-    return restsSince;
+  /** Since when the client has not sent a complete command. */
+  double inactiveSince() {
+    return inactiveSince;
   }
 
-  /** Closes the connection where nobody will use it: it says nothing, or half a command and no more. */
-  void closeWhenStale(double now, boolean hasHalf, int bytes, double silence, double idle) {
-    boolean moves = bytes != valueBytes;
-    valueBytes = bytes;
-    if (closing || !isIdle() || moves) {
-      restsSince = now;
-      half = hasHalf;
+  /**
+   * Closes the connection if it is inactive for too long. Called periodically.
+   *
+   * @param hasPartialCommand true if the beginning of a command was read
+   * @param valueBytes how many bytes were read of an incomplete value
+   * @param commandTimeout the limit before the first command and within a command, in ms
+   * @param idleTimeout the limit between commands, in ms
+   */
+  void closeIfStale(double now, boolean hasPartialCommand, int valueBytes, double commandTimeout,
+      double idleTimeout) {
+    boolean valueProgressed = valueBytes != partialValueBytes;
+    partialValueBytes = valueBytes;
+    if (closing || !isIdle() || valueProgressed) {
+      inactiveSince = now;
+      hadPartialCommand = hasPartialCommand;
       return;
     }
-    if (hasHalf && !half && spoke) {
-      restsSince = now;
+    if (hasPartialCommand && !hadPartialCommand && hasReadCommand) {
+      inactiveSince = now;
     }
-    half = hasHalf;
-    if (now - restsSince >= (spoke && !half ? idle : silence)) {
+    hadPartialCommand = hasPartialCommand;
+    if (now - inactiveSince >= (hasReadCommand && !hadPartialCommand ? idleTimeout : commandTimeout)) {
       sessions.counters().add(Counter.CLIENT_CONNECTIONS_CLOSED_STALE);
       closeWhenIdle();
     }
   }
 
   /**
-   * Takes a command that was read. Beyond a number that is open it waits for its turn, and is dropped with
-   * the connection's end; where too much waits already it is answered at once.
+   * Handles a command that was read. With {@link #MAX_PIPELINED} commands open it is queued, and discarded if
+   * the connection ends before its turn; if the backlogs are full it is answered at once.
    */
-  void command(Command command, double readAt) {
-    if (closed || ended || left) {
+  void handleCommand(Command command, double arrivedAt) {
+    if (closed || inputEnded || clientGone) {
       command.release();
       return;
     }
-    spoke |= command.problem() == null;
-    restsSince = readAt;
+    hasReadCommand |= command.problem() == null;
+    inactiveSince = arrivedAt;
     if (backlog.isEmpty() && hasRoom()) {
-      begin(command, readAt);
+      start(command, arrivedAt);
       return;
     }
-    boolean ends = command.kind() == Kind.QUIT || command.kind() == Kind.FATAL;
-    sessions.countBacklog(sessions.mayNotWait() && !ends ? backlog.addAnswered(answerAtOnce(command))
-        : backlog.add(command.apart(sessions.memory()), readAt));
-    endWhereTooMuchWaits();
+    boolean closes = command.kind() == Kind.QUIT || command.kind() == Kind.FATAL;
+    sessions.countBacklog(sessions.mustAnswerAtOnce() && !closes ? backlog.addAnswer(immediateAnswer(command))
+        : backlog.add(command.copy(sessions.memory()), arrivedAt));
+    closeIfBacklogsOverLimit();
   }
 
   private boolean hasRoom() {
-    return slots.size() + unwritten < MAX_OPEN;
+    return slots.size() + answersBeingWritten < MAX_PIPELINED;
   }
 
-  /** Answers at once what waits behind others, some at a time for the other connections' sake. */
+  /** Answers the queued requests at once; a limited number per task, to let other connections run between. */
   void refuseQueuedRequests() {
-    sessions.countBacklog(-backlog.answer(REFUSED_AT_ONCE, this::answerAtOnce));
-    beginWaiting();
+    sessions.countBacklog(-backlog.answerRequests(REFUSALS_PER_TASK, this::immediateAnswer));
+    startQueued();
     if (backlog.hasRequests()) {
       sessions.loop().execute(this::refuseQueuedRequests);
     }
   }
 
-  /** Answers that wait take memory too, unless they are alike. */
-  private void endWhereTooMuchWaits() {
-    if (sessions.backlogsAreOverfull()) {
-      sessions.drop(connection);
+  /** Closes the connection if the backlogs exceed their limit: answers take memory too, unless equal. */
+  private void closeIfBacklogsOverLimit() {
+    if (sessions.areBacklogsOverLimit()) {
+      sessions.discardInput(connection);
       sessions.countBacklog(backlog.add(Command.fatal("SERVER_ERROR too many commands"), sessions.now()));
     }
   }
 
-  private String answerAtOnce(Command command) {
+  private String immediateAnswer(Command command) {
     if (!command.isRequest()) {
-      return answer(command);
+      return localAnswer(command);
     }
-    String problem = problem(command);
+    String problem = rejectionLine(command);
     return problem != null ? problem : AnswerText.errorLine(sessions.requestHandler().refuse(command));
   }
 
-  /** Begins what waits, as far as there is room. */
-  private void beginWaiting() {
-    while (!closed && !left && !backlog.isEmpty() && hasRoom()) {
+  /** Starts queued commands until as many are open as may be. */
+  private void startQueued() {
+    while (!closed && !clientGone && !backlog.isEmpty() && hasRoom()) {
       CommandBacklog.Entry next = backlog.poll();
       sessions.countBacklog(-backlog.freedBy(next));
-      if (next instanceof CommandBacklog.Waiting waiting && ended) {
-        waiting.command().release();
-      } else if (next instanceof CommandBacklog.Waiting waiting) {
-        begin(waiting.command(), waiting.readAt());
-      } else if (next instanceof CommandBacklog.Answered answered && !ended) {
-        add(answered.line());
+      if (next instanceof CommandBacklog.QueuedCommand queued && inputEnded) {
+        queued.command().release();
+      } else if (next instanceof CommandBacklog.QueuedCommand queued) {
+        start(queued.command(), queued.arrivedAt());
+      } else if (next instanceof CommandBacklog.QueuedAnswers answers && !inputEnded) {
+        addAnswer(answers.line());
       }
     }
   }
 
-  private void begin(Command command, double readAt) {
+  private void start(Command command, double arrivedAt) {
     switch (command.kind()) {
       case READ, WRITE -> {
         AnswerSlot slot = new AnswerSlot();
         slots.add(slot);
-        request(slot, command, readAt);
+        startRequest(slot, command, arrivedAt);
         flush();
       }
       case QUIT -> {
-        sessions.answered(connection);
+        sessions.countAnswered(connection);
         closing = true;
         flush();
       }
       default -> {
-        ended = command.kind() == Kind.FATAL;
-        add(answer(command));
+        inputEnded = command.kind() == Kind.FATAL;
+        addAnswer(localAnswer(command));
       }
     }
   }
 
-  /** Adds an answer to those that are written in the order of the commands. */
-  private void add(String line) {
+  /** Adds an answer that is written in the order of the commands. */
+  private void addAnswer(String line) {
     AnswerSlot slot = new AnswerSlot();
     slot.answer = sessions.writer().line(line);
-    slot.ends = ended;
+    slot.closesConnection = inputEnded;
     slots.add(slot);
     flush();
   }
 
-  /** The answer to what is no request. */
-  private String answer(Command command) {
+  /** The answer to a command that is not a request. */
+  private String localAnswer(Command command) {
     return switch (command.kind()) {
       case READY -> sessions.requestHandler().isReady() ? "MN" : "SERVER_ERROR not ready";
       case STATS -> AnswerText.stats(sessions.counters());
@@ -211,8 +219,8 @@
     };
   }
 
-  /** What is wrong with a request that is not taken, worded for its client, or null. */
-  private String problem(Command command) {
+  /** The error line for an invalid request, which is released and counted, or null if it is valid. */
+  private String rejectionLine(Command command) {
     String problem = sessions.requestHandler().rejectionReason(command);
     if (problem == null) {
       return null;
@@ -222,14 +230,14 @@
     return "CLIENT_ERROR " + problem;
   }
 
-  private void request(AnswerSlot slot, Command command, double readAt) {
-    String problem = problem(command);
+  private void startRequest(AnswerSlot slot, Command command, double arrivedAt) {
+    String problem = rejectionLine(command);
     if (problem != null) {
       slot.answer = sessions.writer().line(problem);
       return;
     }
     slot.command = command;
-    slot.exchange = sessions.requestHandler().accept(command, readAt, () -> left, answer -> {
+    slot.exchange = sessions.requestHandler().accept(command, arrivedAt, () -> clientGone, answer -> {
       slot.stream = answer.stream();
       slot.answer = slot.stream == null ? AnswerText.message(sessions.writer(), command, answer) : null;
       if (closed && slot.stream != null) {
@@ -239,28 +247,30 @@
     });
   }
 
-  /** Writes the answers that are next in the order of the commands. */
+  /** Writes the answers that are next in the order of the commands; closes the connection after the last. */
   private void flush() {
     while (!slots.isEmpty() && slots.peek().answer != null) {
       AnswerSlot slot = slots.poll();
-      closing |= slot.ends;
-      unwritten++;
-      write(slot.answer, written);
+      closing |= slot.closesConnection;
+      answersBeingWritten++;
+      write(slot.answer, onAnswerWritten);
     }
     AnswerSlot next = slots.peek();
-    if (next != null && next.stream != null && !next.streams) {
-      next.streams = true;
+    if (next != null && next.stream != null && !next.streamStarted) {
+      next.streamStarted = true;
       write(sessions.writer().valueHead(next.command.id(), next.stream.length()), null);
-      next.stream.attach(new Rest(next));
+      next.stream.attach(new ValueSink(next));
     }
-    // Guards against closing on a command that was read and is about to come: it would be lost or, as the
-    // client sends it again elsewhere, carried out twice. What comes after the close is not begun.
-    if (closing && !closed && slots.isEmpty() && (ended || sessions.pending(connection) == unwritten)) {
+    // Not closed while a command that was read waits in a task: it would be lost or, as the client repeats it
+    // elsewhere, executed twice. Commands that arrive after the close are not started.
+    if (closing && !closed && slots.isEmpty()
+        && (inputEnded || sessions.pending(connection) == answersBeingWritten)) {
       closed = true;
-      dropBacklog();
-      sessions.drop(connection);
-      if (makesRoom && unfinished == 0 && sessions.now() - movedAt > LingeringClose.LINGER_MS) {
-        connection.terminateSilently(); // no answer is on its way that a reset could take with it
+      discardBacklog();
+      sessions.discardInput(connection);
+      if (evicted && writesInProgress == 0
+          && sessions.now() - lastWriteProgressAt > LingeringClose.LINGER_MS) {
+        connection.terminateSilently(); // no answer is in transit that a reset could destroy
       } else {
         lingerOnceWritten();
       }
@@ -268,31 +278,31 @@
   }
 
   private void lingerOnceWritten() {
-    if (closed && !lingers && unfinished == 0) {
-      lingers = true;
-      lingersSince = sessions.now();
+    if (closed && !lingering && writesInProgress == 0) {
+      lingering = true;
+      lingeringSince = sessions.now();
       LingeringClose.begin(connection, sessions.loop());
     }
   }
 
-  /** True where it is over, and only lingers for the peer to see that, since so many ms. */
-  boolean lingersFor(double time) {
-    return closed && lingers && sessions.now() - lingersSince >= time;
+  /** True if the connection has been in its lingering close for at least so many ms. */
+  boolean isLingeringFor(double time) {
+    return closed && lingering && sessions.now() - lingeringSince >= time;
   }
 
-  private void dropBacklog() {
+  private void discardBacklog() {
     sessions.countBacklog(-backlog.clear());
   }
 
   private void write(Buffer message, CompletionHandler<WriteResult<Buffer, SocketAddress>> handler) {
-    if (unfinished++ == 0) {
-      movedAt = sessions.now();
+    if (writesInProgress++ == 0) {
+      lastWriteProgressAt = sessions.now();
     }
     connection.write(message, new EmptyCompletionHandler<>() {
       @Override
       public void completed(WriteResult<Buffer, SocketAddress> result) {
-        unfinished--;
-        movedAt = sessions.now();
+        writesInProgress--;
+        lastWriteProgressAt = sessions.now();
         if (handler != null) {
           handler.completed(result);
         }
@@ -301,12 +311,12 @@
     });
   }
 
-  /** The bytes of a long value, which go on as they come. */
-  private final class Rest implements Stream.Sink {
+  /** Writes the bytes of a long value as they are received. */
+  private final class ValueSink implements Stream.Sink {
     private final AnswerSlot slot;
-    private final Stream stream; // the slot lets it go at its end, before its last bytes are written
+    private final Stream stream; // the slot's is cleared at the end, before the last bytes are written
 
-    Rest(AnswerSlot slot) {
+    ValueSink(AnswerSlot slot) {
       this.slot = slot;
       this.stream = slot.stream;
     }
@@ -329,7 +339,7 @@
       flush();
     }
 
-    /** Guards against a value that was cut off and looks whole: the connection ends before its end. */
+    /** Ends the connection before the value's end, so that a truncated value does not look complete. */
     @Override
     public void broken() {
       closed = true;
@@ -337,20 +347,20 @@
     }
   }
 
-  /** True where what was written has not moved for so long: the client does not read. */
-  boolean isStalled(double now, double longest) {
-    return unfinished > 0 && now - movedAt > longest;
+  /** True if a write has made no progress for longer than the timeout, as the client does not read. */
+  boolean isStalled(double now, double timeout) {
+    return writesInProgress > 0 && now - lastWriteProgressAt > timeout;
   }
 
-  /** Ends a connection that can't be of use any more. */
+  /** Ends the connection without flushing or lingering. */
   void terminate() {
     connection.terminateSilently();
   }
 
   private void answerWritten() {
-    unwritten--;
-    sessions.answered(connection);
-    beginWaiting();
+    answersBeingWritten--;
+    sessions.countAnswered(connection);
+    startQueued();
   }
 
   /** Closes the connection once all commands that were read are answered. */
@@ -359,22 +369,22 @@
     flush();
   }
 
-  /** The same for others to come: without lingering, unless an answer may be on its way. */
-  void makeRoom() {
-    makesRoom = true;
+  /** Closes it to make room for others: without lingering, unless an answer may still be in transit. */
+  void evict() {
+    evicted = true;
     closeWhenIdle();
   }
 
-  /** The connection has ended; what follows of that comes as a task, behind others that are to know. */
-  void leaves() {
-    left = true;
+  /** Notes that the connection has ended, for tasks that run before {@link #connectionClosed()}. */
+  void markClientGone() {
+    clientGone = true;
   }
 
-  /** The connection has ended: the client has gone away. */
-  void closed() {
+  /** The connection has ended: cancels its open requests and discards its queue. */
+  void connectionClosed() {
     closed = true;
-    lingers = true; // nothing is left to be closed
-    dropBacklog();
+    lingering = true; // no lingering close is needed
+    discardBacklog();
     for (AnswerSlot slot : slots) {
       if (slot.exchange != null) {
         sessions.requestHandler().clientGone(slot.exchange);
--- a/src/main/java/beampoint/client/Sessions.java
+++ b/src/main/java/beampoint/client/Sessions.java
@@ -34,20 +34,20 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
-/** The client side: listens, and keeps the connections of clients within a number. */
+/** The client side: listens for connections of clients, and limits their number. */
 public final class Sessions {
 
   private static final Log LOG = Log.of("client");
-  private static final int FULL_BACKLOG_BYTES = 4 * 1024 * 1024; // of what is not begun, on all connections
-  private static final int OVERFULL_BACKLOG_BYTES = 8 * 1024 * 1024; // with the answers that wait behind it
-  private static final long SWEEP_MS = 250;
-  private static final double SILENCE_MS = 2500; // before the first command, or in the middle of one
-  private static final double STALL_MS = 10_000; // of a client that does not read its answers
-  private static final double IDLE_MS = 15_000; // between commands
-  private static final long END_STEP_MS = 10;
-  private static final double OLD_MS = 20; // of a command: its client's end may lie unread behind it
-  private static final double CROWDED_LINGER_MS = 50; // for an end to be seen, where there is no room
-  private static final double CROWDED_IDLE_MS = 2000; // the same, at half of the connections that are many
+  private static final int QUEUE_LIMIT_BYTES = 4 * 1024 * 1024; // of all backlogs: then answers at once
+  private static final int HARD_LIMIT_BYTES = 8 * 1024 * 1024; // with queued answers: then closes connections
+  private static final long STALE_CHECK_INTERVAL_MS = 250;
+  private static final double COMMAND_TIMEOUT_MS = 2500; // until the first command, or within a command
+  private static final double WRITE_STALL_TIMEOUT_MS = 10_000; // of a client that does not read its answers
+  private static final double IDLE_TIMEOUT_MS = 15_000; // between commands
+  private static final double CROWDED_IDLE_TIMEOUT_MS = 2000; // from half of the eviction threshold on
+  private static final double CROWDED_LINGER_MS = 50; // of a lingering close, when room is needed
+  private static final long CLOSE_IDLE_INTERVAL_MS = 10;
+  private static final double LATE_COMMAND_MS = 20; // from this age on the client may have disconnected since
 
   private final TCPNIOTransport transport;
   private final ScheduledExecutorService loop;
@@ -56,16 +56,16 @@
   private final ClientListener listener;
   private final RequestHandler requestHandler;
   private final Counters counters;
-  private int manyConnections = 1; // from which on idle ones make room
+  private int evictionThreshold = 1; // of connections, beyond which inactive ones are closed
   private final Writer writer;
-  private final Map<Connection<?>, Session> open = new LinkedHashMap<>(); // the longest unused first
+  private final Map<Connection<?>, Session> sessions = new LinkedHashMap<>(); // least recently used first
   private final Attribute<AtomicInteger> pending =
       Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("pending-commands", AtomicInteger::new);
   private final ReadAheadFilter readAhead;
-  private final CommandFilter codec;
-  private double halfCommandsUntil;
-  private int backlogBytes; // of what is read and not begun
-  private boolean refusesWaiting;
+  private final CommandFilter commandFilter;
+  private double partialCommandDeadline;
+  private int backlogBytes; // of commands that are read and not started
+  private boolean refusesQueuedRequests;
 
   public Sessions(TCPNIOTransport transport, ScheduledExecutorService loop, DoubleSupplier clock,
       Arrivals arrivals, RequestHandler requestHandler, Counters counters, Budget budget) {
@@ -78,26 +78,32 @@
     this.counters = counters;
     this.writer = new Writer(transport.getMemoryManager());
     this.readAhead = new ReadAheadFilter(arrivals, listener::arrivedAt);
-    this.codec = new CommandFilter(transport.getMemoryManager(), budget, clock, readAhead::resume);
-    loop.scheduleWithFixedDelay(this::closeStale, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    this.commandFilter = new CommandFilter(transport.getMemoryManager(), budget, clock, readAhead::resume);
+    loop.scheduleWithFixedDelay(this::closeStale, STALE_CHECK_INTERVAL_MS, STALE_CHECK_INTERVAL_MS,
+        TimeUnit.MILLISECONDS);
   }
 
-  /** Sets how many connections there may be; beyond many, those unused longest are closed now. */
-  public void setConnectionLimits(int most, int many) {
-    listener.limit(most);
-    manyConnections = many;
-    makeRoom(null);
-    listener.acceptWhileThereIsRoom();
+  /**
+   * Sets the limits, and closes connections that are beyond the second.
+   *
+   * @param max the maximum number of connections; further ones are not accepted
+   * @param evictAbove the number of connections beyond which inactive ones are closed
+   */
+  public void setConnectionLimits(int max, int evictAbove) {
+    listener.setMaxConnections(max);
+    evictionThreshold = evictAbove;
+    evictForRoom(null);
+    listener.resumeAccepting();
   }
 
-  /** Listens on this address only; returns it with the port that the system picks where it is 0. */
+  /** Listens on this address only; returns it with the actual port, which the system picks if it is 0. */
   public InetSocketAddress listen(SocketAddress address) throws IOException {
     FilterChainBuilder chain = FilterChainBuilder.stateless().add(readAhead)
-        .add(codec).add(new Events());
+        .add(commandFilter).add(new Events());
     return listener.listen(address, chain.build());
   }
 
-  /** Hands on what was read, as tasks that run once all that is ready has been read. */
+  /** Passes events on as tasks, which run once the selector has read all ready connections. */
   private final class Events extends BaseFilter {
 
     @Override
@@ -113,13 +119,13 @@
     public NextAction handleRead(FilterChainContext ctx) throws IOException {
       Connection<?> connection = ctx.getConnection();
       Command command = ctx.getMessage();
-      double readAt = readAhead.arrivedAt(connection);
+      double arrivedAt = readAhead.arrivedAt(connection);
       pending.get(connection).incrementAndGet();
-      handOn(readAt, () -> {
-        Session session = open.remove(connection);
+      execute(arrivedAt, () -> {
+        Session session = sessions.remove(connection);
         if (session != null) {
-          open.put(connection, session);
-          session.command(command, readAt);
+          sessions.put(connection, session);
+          session.handleCommand(command, arrivedAt);
         } else {
           command.release();
         }
@@ -128,12 +134,12 @@
     }
 
     /**
-     * Guards against work for a client that came, asked and left while this process was stopped or
-     * had no place for it: as one read takes what was sent and the next one the end, its connection
-     * is read once more first.
+     * Executes a command. If it arrived some time ago, its connection is read once more first: the client may
+     * have connected, sent the command and disconnected while this process was stopped or accepted no
+     * connections, and the read that returns the data does not return the end.
      */
-    private void handOn(double readAt, Runnable command) {
-      if (clock.getAsDouble() - readAt > OLD_MS) {
+    private void execute(double arrivedAt, Runnable command) {
+      if (clock.getAsDouble() - arrivedAt > LATE_COMMAND_MS) {
         arrivals.afterNextRead(command);
       } else {
         loop.execute(command);
@@ -143,10 +149,10 @@
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
       Connection<?> connection = ctx.getConnection();
-      listener.ended();
-      Session session = open.get(connection);
+      listener.connectionClosed();
+      Session session = sessions.get(connection);
       if (session != null) {
-        session.leaves();
+        session.markClientGone();
       }
       loop.execute(() -> closed(connection));
       return ctx.getInvokeAction();
@@ -155,131 +161,139 @@
 
   private void opened(Connection<?> connection) {
     Session session = new Session(connection, this, clock.getAsDouble());
-    open.put(connection, session);
-    if (open.size() > manyConnections) {
-      makeRoom(session);
+    sessions.put(connection, session);
+    if (sessions.size() > evictionThreshold) {
+      evictForRoom(session);
     }
   }
 
   /**
-   * Guards against a full house: who has said nothing, or half a command, for too long makes room first, then
-   * who has been idle for longest. Crowds that only connect, or ask once and stay, must not cost the usual
-   * clients their connections, of which all clients together may hold fewer than there is room for here. Who
-   * has just come may still be writing, and goes only where such take up a third of the room, or all of it:
-   * first who has moved nothing for longest, as a crowd that stopped has, and who writes slowly has not.
+   * Closes connections beyond the eviction threshold, so that the limit is not reached: first those that have
+   * not completed a command in time, then the longest idle. Many clients that only connect, or send one
+   * request and stay connected, must not cost the other clients their connections, the more so as the
+   * clients' side may allow fewer connections than this limit. Connections that were opened or began a
+   * command recently may still be sending. They are closed only if they are more than a third of the
+   * threshold, or if no idle ones are left and the maximum is reached: the one without progress for longest
+   * first, so that clients that have stopped sending are closed before slow ones.
+   *
+   * @param except is not closed; may be null
    */
-  private void makeRoom(Session except) {
+  private void evictForRoom(Session except) {
     double now = clock.getAsDouble();
-    int over = open.size() - manyConnections;
-    for (Session session : List.copyOf(open.values())) {
-      if (over > 0 && session.lingersFor(CROWDED_LINGER_MS)) {
+    int excess = sessions.size() - evictionThreshold;
+    for (Session session : List.copyOf(sessions.values())) {
+      if (excess > 0 && session.isLingeringFor(CROWDED_LINGER_MS)) {
         session.terminate();
-        over--;
+        excess--;
       }
     }
-    Deque<Session> past = new ArrayDeque<>(); // their time for a command
+    Deque<Session> overdue = new ArrayDeque<>(); // without a complete command in time
     Deque<Session> idle = new ArrayDeque<>();
-    // The last move, and whose.
-    Queue<Map.Entry<Double, Session>> fresh = new PriorityQueue<>(Map.Entry.comparingByKey());
+    // Those that may still be sending a command, by the time of their last progress.
+    Queue<Map.Entry<Double, Session>> sending = new PriorityQueue<>(Map.Entry.comparingByKey());
     int count = 0;
-    for (Map.Entry<Connection<?>, Session> entry : open.entrySet()) {
+    for (Map.Entry<Connection<?>, Session> entry : sessions.entrySet()) {
       Session session = entry.getValue();
       count += session.isClosing() ? 0 : 1;
       if (session != except && session.isOpenAndIdle()) {
-        boolean waits = session.isSilent() || codec.hasHalf(entry.getKey());
-        if (waits && now - session.restsSince() < SILENCE_MS) {
-          fresh.add(Map.entry(Math.max(session.openedAt(), codec.movedAt(entry.getKey())), session));
+        boolean expectsCommand =
+            session.hasSentNoCommand() || commandFilter.hasPartialCommand(entry.getKey());
+        if (expectsCommand && now - session.inactiveSince() < COMMAND_TIMEOUT_MS) {
+          sending.add(
+              Map.entry(Math.max(session.openedAt(), commandFilter.lastReadAt(entry.getKey())), session));
         } else {
-          (waits ? past : idle).add(session);
+          (expectsCommand ? overdue : idle).add(session);
         }
       }
     }
-    int waiting = fresh.size();
-    while (count > manyConnections) {
-      boolean freshGoes = waiting > manyConnections / 3 || idle.isEmpty() && count >= listener.limit();
-      Session old = !past.isEmpty() ? past.poll()
-          : freshGoes && waiting > 0 ? fresh.poll().getValue() : idle.poll();
-      if (old == null) {
+    int sendingCount = sending.size();
+    while (count > evictionThreshold) {
+      boolean evictsSending = sendingCount > evictionThreshold / 3
+          || idle.isEmpty() && count >= listener.maxConnections();
+      Session next = !overdue.isEmpty() ? overdue.poll()
+          : evictsSending && sendingCount > 0 ? sending.poll().getValue() : idle.poll();
+      if (next == null) {
         return;
       }
-      waiting = fresh.size();
+      sendingCount = sending.size();
       count--;
       counters.add(Counter.CLIENT_CONNECTIONS_CLOSED_FULL);
-      old.makeRoom();
+      next.evict();
     }
   }
 
   /**
-   * Guards against connections that are held and not used, and so keep others out: clients that ask once and
-   * stay were seen to take all that the clients' side may hold, long before the room here was full.
+   * Closes connections that are open and unused, which would keep others out: clients that send one request
+   * and stay connected were seen to use up all connections that the clients' side may open, long before the
+   * limit here was reached.
    */
   private void closeStale() {
     double now = clock.getAsDouble();
-    double idle = open.size() > manyConnections / 2 ? CROWDED_IDLE_MS : IDLE_MS;
-    for (Map.Entry<Connection<?>, Session> entry : List.copyOf(open.entrySet())) {
+    double idle = sessions.size() > evictionThreshold / 2 ? CROWDED_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
+    for (Map.Entry<Connection<?>, Session> entry : List.copyOf(sessions.entrySet())) {
       Connection<?> connection = entry.getKey();
       Session session = entry.getValue();
-      // A value that is held up is none of the client's slowness.
-      int bytes = codec.isHeldUp(connection) ? -1 : codec.valueBytes(connection);
-      if (session.isStalled(now, STALL_MS)) {
+      // While reading a value is paused for lack of memory, the client is not to blame for its slow progress.
+      int bytes = commandFilter.isPaused(connection) ? -1 : commandFilter.partialValueBytes(connection);
+      if (session.isStalled(now, WRITE_STALL_TIMEOUT_MS)) {
         counters.add(Counter.CLIENT_CONNECTIONS_CLOSED_STALE);
         session.terminate();
       } else if (bytes >= 0) {
-        session.closeWhenStale(now, codec.hasHalf(connection), bytes, SILENCE_MS, idle);
+        session.closeIfStale(now, commandFilter.hasPartialCommand(connection), bytes, COMMAND_TIMEOUT_MS,
+            idle);
       }
     }
   }
 
   private void closed(Connection<?> connection) {
-    Session session = open.remove(connection);
+    Session session = sessions.remove(connection);
     if (session != null) {
-      session.closed();
+      session.connectionClosed();
     }
-    listener.acceptWhileThereIsRoom();
+    listener.resumeAccepting();
   }
 
-  /** How many commands were read on a connection whose answers are not written. */
+  /** How many commands were read on a connection whose answers are not written yet. */
   int pending(Connection<?> connection) {
     return pending.get(connection).get();
   }
 
-  /** One more answer is written. */
-  void answered(Connection<?> connection) {
+  /** Counts one more answer as written. */
+  void countAnswered(Connection<?> connection) {
     pending.get(connection).decrementAndGet();
   }
 
-  /** What comes on a connection from here on is not begun. */
-  void drop(Connection<?> connection) {
-    codec.drop(connection);
+  /** Discards everything that is read on a connection from here on. */
+  void discardInput(Connection<?> connection) {
+    commandFilter.discardInput(connection);
   }
 
-  /** More or fewer bytes wait on a connection. */
+  /** Adds to the memory that all backlogs take, in bytes; a negative number subtracts. */
   void countBacklog(int bytes) {
     backlogBytes += bytes;
   }
 
-  /**
-   * True where a further request is answered at once: the process ends soon, or what waits takes up as much
-   * memory as it may.
-   */
-  boolean mayNotWait() {
-    return refusesWaiting || backlogBytes > FULL_BACKLOG_BYTES;
+  /** True if further requests are not queued but answered at once: on shutdown, or with full backlogs. */
+  boolean mustAnswerAtOnce() {
+    return refusesQueuedRequests || backlogBytes > QUEUE_LIMIT_BYTES;
   }
 
-  /** From here on no request waits behind others: those that do, and those to come, are answered at once. */
+  /** Answers all queued requests at once, and from here on every request that would be queued. */
   public void refuseQueuedRequests() {
-    refusesWaiting = true;
-    open.values().forEach(Session::refuseQueuedRequests);
+    refusesQueuedRequests = true;
+    sessions.values().forEach(Session::refuseQueuedRequests);
   }
 
-  /** True while an answer to what was read is not written whole. */
+  /** True while the answer to a command that was read is not written completely. */
   public boolean hasUnanswered() {
-    return open.keySet().stream().anyMatch(connection -> pending(connection) > 0);
+    return sessions.keySet().stream().anyMatch(connection -> pending(connection) > 0);
   }
 
-  /** True where even the places of answers take too much: the connection that adds one is ended. */
-  boolean backlogsAreOverfull() {
-    return backlogBytes > OVERFULL_BACKLOG_BYTES;
+  /**
+   * True if the backlogs, with queued answers, exceed the hard limit: a connection that adds one is closed.
+   */
+  boolean areBacklogsOverLimit() {
+    return backlogBytes > HARD_LIMIT_BYTES;
   }
 
   MemoryManager<?> memory() {
@@ -287,28 +301,31 @@
   }
 
   /**
-   * Takes no more connections. Who is in the middle of a command, or has said nothing yet, has so much time
-   * to come to its end.
+   * Accepts no more connections, and closes the others once they are idle. Those that have sent part of a
+   * command, or nothing yet, get a grace period to complete one.
+   *
+   * @param graceMs the grace period, in ms
    */
-  public void stopListening(double patience) {
-    halfCommandsUntil = clock.getAsDouble() + patience;
-    listener.close(this::endIdle);
+  public void stopListening(double graceMs) {
+    partialCommandDeadline = clock.getAsDouble() + graceMs;
+    listener.close(this::closeIdle);
   }
 
   /**
-   * Ends the connections on which nothing is open. Guards against a request that is on its way: one that has
-   * begun may come to its end, and who has just connected may ask.
+   * Closes the connections without open commands, repeatedly until none is left. Until the grace period ends,
+   * those that have sent part of a command or nothing yet are spared, so that no request is lost.
    */
-  private void endIdle() {
+  private void closeIdle() {
     double now = clock.getAsDouble();
-    for (Map.Entry<Connection<?>, Session> entry : List.copyOf(open.entrySet())) {
-      boolean onItsWay = codec.hasHalf(entry.getKey()) || entry.getValue().isSilent();
-      if (!onItsWay || now >= halfCommandsUntil) {
+    for (Map.Entry<Connection<?>, Session> entry : List.copyOf(sessions.entrySet())) {
+      boolean expectsCommand =
+          commandFilter.hasPartialCommand(entry.getKey()) || entry.getValue().hasSentNoCommand();
+      if (!expectsCommand || now >= partialCommandDeadline) {
         entry.getValue().closeWhenIdle();
       }
     }
-    if (!open.isEmpty()) {
-      loop.schedule(this::endIdle, END_STEP_MS, TimeUnit.MILLISECONDS);
+    if (!sessions.isEmpty()) {
+      loop.schedule(this::closeIdle, CLOSE_IDLE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -316,9 +333,9 @@
     return clock.getAsDouble();
   }
 
-  /** True once nobody is listened to, and all connections have ended. */
+  /** True once the listener is closed and all connections have ended. */
   public boolean isDrained() {
-    return listener.isClosed() && open.isEmpty();
+    return listener.isClosed() && sessions.isEmpty();
   }
 
   Writer writer() {
--- a/src/main/java/beampoint/memcache/CommandFilter.java
+++ b/src/main/java/beampoint/memcache/CommandFilter.java
@@ -16,105 +16,105 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** Reads the commands of clients: mg, ms, mn and a few of no key. */
+/** Parses the commands of clients: mg, ms, mn and a few without a key. */
 public final class CommandFilter extends BaseFilter {
 
   static final int MAX_LINE = 4096;
   static final int MAX_KEY = 250;
   static final int MAX_ID = 32;
-  /** Values up to here are taken as they lie, where they have come in one piece. */
+  /** Values up to this length are not copied if they are contained in one buffer. */
   static final int WHOLE_VALUE = 64 * 1024;
   public static final int MAX_VALUE = 4 * 1024 * 1024;
-  private static final int MAX_BAD = 8; // commands that can't be taken, on one connection
-  private static final int MAX_DROPPED = 1024 * 1024; // bytes that are read only to see a connection's end
+  private static final int MAX_BAD_COMMANDS = 8; // on one connection
+  private static final int MAX_DISCARDED_BYTES = 1024 * 1024; // read only to see the connection's end
 
   private final MemoryManager<?> memory;
   private final Budget budget;
   private final DoubleSupplier clock;
-  private final Consumer<Connection<?>> whenReadOn;
+  private final Consumer<Connection<?>> onReadingEnabled;
 
   /**
-   * A filter for all connections of clients.
+   * Creates the filter for the connections of all clients.
    *
-   * @param whenReadOn is called for each connection whose reading is enabled again
+   * @param onReadingEnabled is called for each connection whose reading is enabled again
    */
   public CommandFilter(MemoryManager<?> memory, Budget budget, DoubleSupplier clock,
-      Consumer<Connection<?>> whenReadOn) {
+      Consumer<Connection<?>> onReadingEnabled) {
     this.memory = memory;
     this.budget = budget;
     this.clock = clock;
-    this.whenReadOn = whenReadOn;
+    this.onReadingEnabled = onReadingEnabled;
   }
 
-  /** What was read of one connection. */
-  private final class Reading extends CommandReader {
-    private int bad;
-    private boolean over;
-    private boolean half;
-    private double movedAt;
-    private int dropped;
+  /** The parser state of one connection. */
+  private final class ReadState extends CommandReader {
+    private int badCommands;
+    private boolean discardsInput;
+    private boolean hasPartialCommand;
+    private double lastReadAt;
+    private int discardedBytes;
 
-    Reading(Connection<?> connection) {
-      super(memory, budget, () -> read(connection));
+    ReadState(Connection<?> connection) {
+      super(memory, budget, () -> enableReading(connection));
     }
   }
 
-  private final Attribute<Reading> readings =
+  private final Attribute<ReadState> states =
       Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("commands-read");
 
-  private Reading reading(Connection<?> connection) {
-    Reading reading = readings.get(connection);
-    if (reading == null) {
-      reading = new Reading(connection);
-      readings.set(connection, reading);
+  private ReadState state(Connection<?> connection) {
+    ReadState state = states.get(connection);
+    if (state == null) {
+      state = new ReadState(connection);
+      states.set(connection, state);
     }
-    return reading;
+    return state;
   }
 
-  private void read(Connection<?> connection) {
+  private void enableReading(Connection<?> connection) {
     try {
       connection.enableIOEvent(IOEvent.READ);
-      whenReadOn.accept(connection);
+      onReadingEnabled.accept(connection);
     } catch (IOException e) {
       connection.terminateSilently();
     }
   }
 
-  /** From here on what comes on a connection is read and dropped, so that its end is seen. */
-  public void drop(Connection<?> connection) {
-    Reading reading = reading(connection);
-    reading.over = true;
-    reading.release();
-    if (reading.dropped <= MAX_DROPPED) {
-      read(connection);
+  /** From here on reads and discards what arrives on a connection, so that its end is seen. */
+  public void discardInput(Connection<?> connection) {
+    ReadState state = state(connection);
+    state.discardsInput = true;
+    state.release();
+    if (state.discardedBytes <= MAX_DISCARDED_BYTES) {
+      enableReading(connection);
     }
   }
 
-  /** True while a command has begun on a connection and is not whole. */
-  public boolean hasHalf(Connection<?> connection) {
-    return reading(connection).half;
+  /** True while a connection has sent the beginning of a command, and not the rest. */
+  public boolean hasPartialCommand(Connection<?> connection) {
+    return state(connection).hasPartialCommand;
   }
 
-  /** When bytes last came on a connection; 0 if none have. */
-  public double movedAt(Connection<?> connection) {
-    return reading(connection).movedAt;
+  /** When bytes were last read on a connection; 0 if none were. */
+  public double lastReadAt(Connection<?> connection) {
+    return state(connection).lastReadAt;
   }
 
-  /** True while a value is on its way whose bytes may not be read, as there is no room for them. */
-  public boolean isHeldUp(Connection<?> connection) {
-    return reading(connection).isHeldUp();
+  /** True while reading of a value is paused, as the memory budget is used up. */
+  public boolean isPaused(Connection<?> connection) {
+    return state(connection).isPaused();
   }
 
-  /** How many bytes of a value that is not whole have come. */
-  public int valueBytes(Connection<?> connection) {
-    return reading(connection).valueBytes();
+  /** How many bytes of an incomplete value were read; 0 if there is none. */
+  public int partialValueBytes(Connection<?> connection) {
+    return state(connection).partialValueBytes();
   }
 
   @Override
   public NextAction handleClose(FilterChainContext ctx) {
-    Reading reading = readings.get(ctx.getConnection());
-    if (reading != null) {
-      reading.release();
+    ReadState state = states.get(ctx.getConnection());
+    if (state != null) {
+      state.release();
     }
     return ctx.getInvokeAction();
   }
@@ -122,32 +122,32 @@
   @Override
   public NextAction handleRead(FilterChainContext ctx) throws IOException {
     Buffer in = ctx.getMessage();
-    Reading reading = reading(ctx.getConnection());
-    if (reading.over) {
-      // Guards against a peer that sends without end: of what is dropped, too, there is a most.
-      reading.dropped += in.remaining();
-      if (reading.dropped > MAX_DROPPED) {
+    ReadState state = state(ctx.getConnection());
+    if (state.discardsInput) {
+      // Discarding is limited too, for peers that never stop sending.
+      state.discardedBytes += in.remaining();
+      if (state.discardedBytes > MAX_DISCARDED_BYTES) {
         ctx.getConnection().disableIOEvent(IOEvent.READ);
       }
       return ctx.getStopAction();
     }
-    Command command = reading.parse(in);
-    reading.half = command == null;
-    reading.movedAt = clock.getAsDouble();
-    if (reading.isHeldUp()) {
+    Command command = state.parse(in);
+    state.hasPartialCommand = command == null;
+    state.lastReadAt = clock.getAsDouble();
+    if (state.isPaused()) {
       ctx.getConnection().disableIOEvent(IOEvent.READ);
     }
     if (command == null) {
       return !in.hasRemaining() ? ctx.getStopAction()
           : ctx.getStopAction(in.isComposite() ? Collector.copy(memory, in) : in);
     }
-    // Guards against clients that send nonsense at full speed: each such line costs an answer.
-    if (command.kind() == Kind.BAD && ++reading.bad == MAX_BAD) {
+    // Limits the work for clients that send invalid lines at full speed: each costs an answer.
+    if (command.kind() == Kind.BAD && ++state.badCommands == MAX_BAD_COMMANDS) {
       command = Command.of(Kind.FATAL, command.problem());
     }
     ctx.setMessage(command);
     if (command.kind() == Kind.FATAL) {
-      drop(ctx.getConnection());
+      discardInput(ctx.getConnection());
       return ctx.getInvokeAction();
     }
     return in.hasRemaining() ? ctx.getInvokeAction(in) : ctx.getInvokeAction();
--- a/src/main/java/beampoint/memcache/CommandReader.java
+++ b/src/main/java/beampoint/memcache/CommandReader.java
@@ -9,37 +9,43 @@
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** Reads the commands of one connection; keeps what has come of a value that is not whole. */
+/** Parses the commands of one connection; keeps the part of an incomplete value that was read. */
 class CommandReader {
 
   private final MemoryManager<?> memory;
   private final Budget budget;
   private final Runnable resume;
-  private Command unfinished; // whose value is on its way
+  private Command partial; // whose value is not complete
   private Collector value;
   private Budget.Claim claim;
-  private int skip; // bytes of a value that nobody wants
-  private boolean heldUp;
-
-  /** The call back tells that more may be read, after {@link #isHeldUp()}. */
+  private int bytesToSkip; // of the value of a bad command
+  private boolean paused;
+
+  /**
+   * Creates the parser of one connection.
+   *
+   * @param resume is called once more may be read after {@link #isPaused()}
+   */
   CommandReader(MemoryManager<?> memory, Budget budget, Runnable resume) {
     this.memory = memory;
     this.budget = budget;
     this.resume = () -> {
-      heldUp = false;
+      paused = false;
       resume.run();
     };
   }
 
-  /** Takes one command off the buffer; null while it is not whole. A line is taken only as a whole. */
+  /**
+   * Takes one command off the buffer; null while it is incomplete. An incomplete line stays in the buffer.
+   */
   Command parse(Buffer in) {
-    return value != null || skip > 0 ? rest(in) : begin(in);
+    return value != null || bytesToSkip > 0 ? continueValue(in) : parseLine(in);
   }
 
-  private Command begin(Buffer in) {
+  private Command parseLine(Buffer in) {
     LineScanner scanner = LineScanner.line(in);
-    if ((scanner == null ? in.remaining() : scanner.after() - in.position()) > CommandFilter.MAX_LINE) {
-      // Guards against a line without an end: where the next command would begin is not known.
+    if ((scanner == null ? in.remaining() : scanner.nextLine() - in.position()) > CommandFilter.MAX_LINE) {
+      // Fatal, as the start of the next command is not known.
       in.position(in.limit());
       return Command.of(Kind.FATAL, "CLIENT_ERROR line too long");
     }
@@ -47,175 +53,182 @@
       return null;
     }
     if (!scanner.next()) {
-      in.position(scanner.after());
+      in.position(scanner.nextLine());
       return Command.of(Kind.BAD, "ERROR");
     }
     if (!scanner.isPlain()) {
-      // Guards against control characters in a key or an id, which would end a line of the request sent on.
+      // A control character in a key or id could end a line of the request to a server, and inject another.
       in.position(in.limit());
       return Command.of(Kind.FATAL, "CLIENT_ERROR control character");
     }
     if (scanner.is("mg")) {
-      return request(in, scanner, Kind.READ);
+      return parseRequest(in, scanner, Kind.READ);
     }
     if (scanner.is("ms")) {
-      return request(in, scanner, Kind.WRITE);
+      return parseRequest(in, scanner, Kind.WRITE);
     }
-    in.position(scanner.after());
+    in.position(scanner.nextLine());
     Kind kind = scanner.is("mn") ? Kind.READY : scanner.is("stats") ? Kind.STATS
         : scanner.is("version") ? Kind.VERSION : scanner.is("quit") ? Kind.QUIT : Kind.BAD;
     return Command.of(kind, kind == Kind.BAD ? "ERROR" : null);
   }
 
-  private Command request(Buffer in, LineScanner scanner, Kind kind) {
+  private Command parseRequest(Buffer in, LineScanner scanner, Kind kind) {
     boolean hasKey = scanner.next() && scanner.length() <= CommandFilter.MAX_KEY;
     Buffer key = hasKey ? scanner.slice(0) : null;
-    int left = -1;
+    int valueLength = -1;
     if (kind == Kind.WRITE) {
       int length = scanner.next() ? scanner.number() : -1;
       if (length < 0 || length > CommandFilter.MAX_VALUE) {
-        // Guards against reading a value as commands: without its length the next command can't be found.
+        // Fatal, as without the value's length it would be parsed as commands.
         in.position(in.limit());
         return Command.of(Kind.FATAL, length < 0 ? "CLIENT_ERROR bad data chunk"
             : "SERVER_ERROR object too large for cache");
       }
-      left = length;
+      valueLength = length;
     }
     Buffer id = null;
     Buffer list = null;
     boolean wantsValue = false;
-    boolean good = true;
+    boolean validFlags = true;
     while (scanner.next()) {
       switch (scanner.first()) {
         case 'O' -> {
-          good &= id == null && scanner.length() <= CommandFilter.MAX_ID + 1;
+          validFlags &= id == null && scanner.length() <= CommandFilter.MAX_ID + 1;
           id = scanner.slice(1);
         }
         case 'P' -> {
-          good &= list == null;
+          validFlags &= list == null;
           list = scanner.slice(1);
         }
         default -> {
-          good &= scanner.is("v") && !wantsValue;
+          validFlags &= scanner.is("v") && !wantsValue;
           wantsValue = true;
         }
       }
     }
-    in.position(scanner.after());
-    Command command = command(kind, hasKey, key, id, list, good && wantsValue == (kind == Kind.READ));
-    return kind == Kind.READ ? command : value(in, command, left);
+    in.position(scanner.nextLine());
+    Command command =
+        command(kind, hasKey, key, id, list, validFlags && wantsValue == (kind == Kind.READ));
+    return kind == Kind.READ ? command : startValue(in, command, valueLength);
   }
 
   private static Command command(Kind kind, boolean hasKey, Buffer key, Buffer id, Buffer list,
-      boolean good) {
-    if (!good) {
+      boolean validFlags) {
+    if (!validFlags) {
       return Command.of(Kind.BAD, "CLIENT_ERROR invalid flag");
     }
     if (!hasKey || id == null || list == null || !id.hasRemaining()) {
       return Command.of(Kind.BAD, "CLIENT_ERROR bad command line format");
     }
-    return withList(kind, key, id, list);
+    return parseParameters(kind, key, id, list);
   }
 
-  /** Takes a value that has come in one piece as it lies; of others it collects what has come. */
-  private Command value(Buffer in, Command command, int length) {
+  /**
+   * Reads a value: one that is contained in the buffer as a slice of it, else starts to collect its parts.
+   */
+  private Command startValue(Buffer in, Command command, int length) {
     int end = in.position() + length + 2;
     if (length <= CommandFilter.WHOLE_VALUE && end <= in.limit()) {
-      Buffer whole = in.slice(end - length - 2, end);
+      Buffer valueAndLineEnd = in.slice(end - length - 2, end);
       in.position(end);
-      return finished(command, whole, null);
+      return complete(command, valueAndLineEnd, null);
     }
     if (command.kind() == Kind.BAD) {
-      skip = length + 2;
+      bytesToSkip = length + 2;
     } else {
       claim = budget.claim(resume);
       value = new Collector(memory, length + 2, claim);
     }
-    unfinished = command.apart(memory);
-    return rest(in);
+    partial = command.copy(memory);
+    return continueValue(in);
   }
 
-  /** Goes on with a value of which a part has come. */
-  private Command rest(Buffer in) {
+  /** Continues to collect or skip a value. */
+  private Command continueValue(Buffer in) {
     if (value == null) {
-      int count = Math.min(skip, in.remaining());
+      int count = Math.min(bytesToSkip, in.remaining());
       in.position(in.position() + count);
-      skip -= count;
-      return skip > 0 ? null : unfinished;
+      bytesToSkip -= count;
+      return bytesToSkip > 0 ? null : partial;
     }
-    heldUp = !value.add(in);
+    paused = !value.add(in);
     if (!value.isWhole()) {
       return null;
     }
-    Buffer whole = value.message();
-    Budget.Claim held = claim;
+    Buffer valueAndLineEnd = value.message();
+    Budget.Claim valueClaim = claim;
     value = null;
     claim = null;
-    heldUp = false;
-    return finished(unfinished, whole, held);
+    paused = false;
+    return complete(partial, valueAndLineEnd, valueClaim);
   }
 
-  private static Command finished(Command command, Buffer whole, Budget.Claim held) {
-    int length = whole.remaining() - 2;
-    int from = whole.position();
-    if (whole.get(from + length) != '\r' || whole.get(from + length + 1) != '\n') {
-      if (held != null) {
-        held.release();
+  private static Command complete(Command command, Buffer valueAndLineEnd, Budget.Claim claim) {
+    int length = valueAndLineEnd.remaining() - 2;
+    int from = valueAndLineEnd.position();
+    if (valueAndLineEnd.get(from + length) != '\r' || valueAndLineEnd.get(from + length + 1) != '\n') {
+      if (claim != null) {
+        claim.release();
       }
       return Command.of(Kind.FATAL, "CLIENT_ERROR bad data chunk");
     }
-    return command.kind() == Kind.BAD ? command : command.with(whole.slice(from, from + length), held);
+    return command.kind() == Kind.BAD ? command
+        : command.withValue(valueAndLineEnd.slice(from, from + length), claim);
   }
 
-  /** True where no more of a value may be read for now. */
-  boolean isHeldUp() {
-    return heldUp;
+  /** True while no more of a value may be read, as the memory budget is used up. */
+  boolean isPaused() {
+    return paused;
   }
 
-  /** How many bytes of a value that is not whole have come. */
-  int valueBytes() {
+  /** How many bytes of an incomplete value were read; 0 if there is none. */
+  int partialValueBytes() {
     return value == null ? 0 : value.size();
   }
 
-  /** What has come of a value is needed no more. */
+  /** Discards an incomplete value. */
   void release() {
     if (claim != null) {
       claim.release();
     }
     value = null;
     claim = null;
-    heldUp = false;
+    paused = false;
   }
 
-  /** Reads the list; a name may stand in it once, or it would mean one thing here and another further on. */
-  private static Command withList(Kind kind, Buffer key, Buffer id, Buffer list) {
+  /**
+   * Parses the parameter list. A duplicate name is an error, as the proxy and a server could take different
+   * ones of its values.
+   */
+  private static Command parseParameters(Kind kind, Buffer key, Buffer id, Buffer list) {
     Set<String> names = new HashSet<>();
     String requestClass = null;
     String tenant = null;
     int waitFrom = 0;
     int waitTo = 0;
     boolean isRetry = false;
-    boolean good = true;
+    boolean valid = true;
     int from = list.position();
-    while (good && from <= list.limit()) {
+    while (valid && from <= list.limit()) {
       int to = find(list, ',', from, list.limit());
       int equals = find(list, '=', from, to);
       String name = LineScanner.text(list, from, equals);
-      good = equals > from && equals + 1 < to && names.add(name);
-      if (good && name.equals("c")) {
+      valid = equals > from && equals + 1 < to && names.add(name);
+      if (valid && name.equals("c")) {
         requestClass = LineScanner.text(list, equals + 1, to);
-      } else if (good && name.equals("t")) {
+      } else if (valid && name.equals("t")) {
         tenant = LineScanner.text(list, equals + 1, to);
-      } else if (good && name.equals("d")) {
+      } else if (valid && name.equals("d")) {
         waitFrom = equals + 1;
         waitTo = to;
-      } else if (good && name.equals("r")) {
+      } else if (valid && name.equals("r")) {
         isRetry = LineScanner.text(list, equals + 1, to).equals("1");
       }
       from = to + 1;
     }
     int wait = LineScanner.number(list, waitFrom, waitTo);
-    if (!good || requestClass == null || wait < 0) {
+    if (!valid || requestClass == null || wait < 0) {
       return Command.of(Kind.BAD, "CLIENT_ERROR class or time to wait missing");
     }
     return new Command(kind, key, id, new ParameterList(list, waitFrom, waitTo), null, requestClass, tenant,
--- a/src/main/java/beampoint/memcache/LineScanner.java
+++ b/src/main/java/beampoint/memcache/LineScanner.java
@@ -3,25 +3,25 @@
 import java.nio.charset.StandardCharsets;
 import org.glassfish.grizzly.Buffer;
 
-/** A line in a buffer, read word by word where it lies. */
+/** Scans a line in a buffer word by word, without copying it. */
 final class LineScanner {
 
   private final Buffer in;
-  private int at;
+  private int position;
   private final int lineEnd;
-  private final int after;
-  /** The bounds of the present word. */
+  private final int nextLine;
+  /** The bounds of the current word. */
   int start;
   int end;
 
-  private LineScanner(Buffer in, int lineEnd, int after) {
+  private LineScanner(Buffer in, int lineEnd, int nextLine) {
     this.in = in;
-    this.at = in.position();
+    this.position = in.position();
     this.lineEnd = lineEnd;
-    this.after = after;
+    this.nextLine = nextLine;
   }
 
-  /** The next line of a buffer, or null while its end has not come; {@link #after()} tells where it ends. */
+  /** A scanner of the next line of a buffer, or null while the line is incomplete. */
   static LineScanner line(Buffer in) {
     for (int i = in.position(); i < in.limit(); i++) {
       if (in.get(i) == '\n') {
@@ -32,11 +32,12 @@
     return null;
   }
 
-  int after() {
-    return after;
+  /** The position after the line's end. */
+  int nextLine() {
+    return nextLine;
   }
 
-  /** True if the line holds visible ASCII characters and blanks only. */
+  /** True if the line holds only visible ASCII characters and spaces. */
   boolean isPlain() {
     for (int i = in.position(); i < lineEnd; i++) {
       if (in.get(i) < ' ' || in.get(i) == 0x7f) {
@@ -46,18 +47,20 @@
     return true;
   }
 
+  /** Goes on to the next word; returns false if there is none. */
   boolean next() {
-    while (at < lineEnd && in.get(at) == ' ') {
-      at++;
+    while (position < lineEnd && in.get(position) == ' ') {
+      position++;
     }
-    start = at;
-    while (at < lineEnd && in.get(at) != ' ') {
-      at++;
+    start = position;
+    while (position < lineEnd && in.get(position) != ' ') {
+      position++;
     }
-    end = at;
+    end = position;
     return end > start;
   }
 
+  /** True if the current word equals a text. */
   boolean is(String text) {
     if (end - start != text.length()) {
       return false;
@@ -78,12 +81,12 @@
     return (char) in.get(start);
   }
 
-  /** The present word without its first bytes; shares the buffer's memory. */
+  /** The current word without its first bytes; shares the buffer's memory. */
   Buffer slice(int skipped) {
     return in.slice(start + skipped, end);
   }
 
-  /** The present word as a number of up to nine digits, or -1. */
+  /** The current word as a number of up to nine digits, or -1. */
   int number() {
     return number(in, start, end);
   }
--- a/src/main/java/beampoint/memcache/Reply.java
+++ b/src/main/java/beampoint/memcache/Reply.java
@@ -3,13 +3,17 @@
 import org.glassfish.grizzly.Buffer;
 
 /**
- * One answer of a cache node; the body is the value or the receipt, a slice of what was read. There is a
- * surplus where more stands behind it than belongs to it. A long value has a length and no body: its bytes
- * follow as {@link ReplyPart}. The load is the text of the report that came along, or null.
+ * One answer of a cache node.
+ *
+ * @param body the value or the receipt, a slice of what was read; null for a long value, whose bytes follow
+ *     as {@link ReplyPart}
+ * @param surplus true if more bytes were read than belong to the answer
+ * @param length the length of a long value
+ * @param load the text of the load report in the answer, or null
  */
 public record Reply(Kind kind, Buffer id, Buffer body, boolean surplus, int length, String load) {
 
-  /** What the answer says; BAD is not of this protocol, and what follows it can't be read. */
+  /** The kinds of answers; BAD violates the protocol, and what follows it can't be parsed. */
   public enum Kind {
     VALUE, RECEIPT, MISS, FAILED, BUSY, ALIVE, BAD
   }
@@ -18,7 +22,7 @@
     this(kind, id, body, surplus, 0, load);
   }
 
-  /** True where the value's bytes follow on their own. */
+  /** True if the value's bytes follow separately. */
   public boolean isStreamed() {
     return kind == Kind.VALUE && body == null;
   }
--- a/src/main/java/beampoint/memcache/ReplyFilter.java
+++ b/src/main/java/beampoint/memcache/ReplyFilter.java
@@ -13,14 +13,14 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 
 /**
- * Reads the answers of cache nodes. Values up to 64 KiB are given on only whole: what is cut off is no
- * answer. Of longer ones the head is given on as it comes, then the bytes.
+ * Parses the answers of cache nodes. Values up to 64 KiB are passed on only when they are complete: a
+ * truncated one is no answer. Longer ones are streamed: first the head, then the bytes as they are read.
  */
 public final class ReplyFilter extends BaseFilter {
 
-  /** The longest value that is held until it is whole. */
+  /** The longest value that is buffered until it is complete. */
   public static final int WHOLE_VALUE = CommandFilter.WHOLE_VALUE;
-  /** The longest value that is passed on. What is said to be longer is spoilt, and may have no end. */
+  /** The longest valid value. An answer that announces a longer one is corrupt, and may never end. */
   public static final int MAX_VALUE = CommandFilter.MAX_VALUE;
 
   private final MemoryManager<?> memory;
@@ -42,12 +42,12 @@
     }
     boolean bad = message instanceof Reply reply && (reply.surplus() || reply.kind() == Kind.BAD);
     if (bad || message instanceof ReplyPart part && part.surplus()) {
-      // One request is out at a time: what stands behind its answer belongs to none and may have no end.
+      // One request is in flight at a time: what follows its answer belongs to none, and may never end.
       ctx.getConnection().disableIOEvent(IOEvent.READ);
     }
     ctx.setMessage(message);
-    boolean goesOn = message instanceof Reply reply && reply.isStreamed()
+    boolean continues = message instanceof Reply reply && reply.isStreamed()
         || message instanceof ReplyPart part && !part.last();
-    return goesOn && in.hasRemaining() ? ctx.getInvokeAction(in) : ctx.getInvokeAction();
+    return continues && in.hasRemaining() ? ctx.getInvokeAction(in) : ctx.getInvokeAction();
   }
 }
--- a/src/main/java/beampoint/memcache/ReplyReader.java
+++ b/src/main/java/beampoint/memcache/ReplyReader.java
@@ -7,27 +7,27 @@
 import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** Reads the answers on one connection; keeps what has come of a value that is held until it is whole. */
+/** Parses the answers on one connection; keeps the part of an incomplete value that was read. */
 final class ReplyReader {
 
-  private static final int MAX_LOAD = 200; // of a report; a longer one is none
+  private static final int MAX_LOAD_LENGTH = 200; // of a load report; a longer one is ignored
 
   private final MemoryManager<?> memory;
   private Buffer id; // of the value that is collected
-  private String load; // that came with it
+  private String load; // the load report of that value
   private Collector value;
-  private int streams; // bytes of a long value that have not come, with the line's end behind it
+  private int streamBytesLeft; // of a long value and the line end behind it
 
   ReplyReader(MemoryManager<?> memory) {
     this.memory = memory;
   }
 
-  /** Takes a {@link Reply} or a {@link ReplyPart} off the buffer; null where more must come first. */
+  /** Takes a {@link Reply} or a {@link ReplyPart} off the buffer; null if more must be read first. */
   Object parse(Buffer in) {
-    return streams > 0 ? part(in) : value != null ? collect(in) : begin(in);
+    return streamBytesLeft > 0 ? part(in) : value != null ? collect(in) : parseLine(in);
   }
 
-  /** What the words behind an answer's kind tell; an id that stands there twice names nothing. */
+  /** The flags of an answer. With several ids, it belongs to no certain request, and has none. */
   private record Tail(Buffer id, Buffer receipt, String load) {
 
     static Tail of(LineScanner scanner) {
@@ -41,7 +41,7 @@
           ids++;
         } else if (scanner.first() == 'c') {
           receipt = scanner.slice(1);
-        } else if (scanner.first() == 'L' && scanner.length() <= MAX_LOAD) {
+        } else if (scanner.first() == 'L' && scanner.length() <= MAX_LOAD_LENGTH) {
           load = scanner.slice(1).toStringContent(StandardCharsets.ISO_8859_1);
         }
       }
@@ -49,7 +49,7 @@
     }
   }
 
-  private Reply begin(Buffer in) {
+  private Reply parseLine(Buffer in) {
     LineScanner scanner = LineScanner.line(in);
     if (scanner == null && in.remaining() <= CommandFilter.MAX_LINE) {
       return null;
@@ -57,16 +57,17 @@
     if (scanner == null || !scanner.next()) {
       return bad(in);
     }
-    int after = scanner.after();
+    int nextLine = scanner.nextLine();
     if (scanner.is("VA")) {
       int length = scanner.next() ? scanner.number() : -1;
       return length < 0 || length > ReplyFilter.MAX_VALUE ? bad(in) : value(in, scanner, length);
     }
-    in.position(after);
+    in.position(nextLine);
     if (scanner.is("HD") || scanner.is("EN")) {
-      Kind said = scanner.is("HD") ? Kind.RECEIPT : Kind.MISS;
+      Kind kindOfLine = scanner.is("HD") ? Kind.RECEIPT : Kind.MISS;
       Tail tail = Tail.of(scanner);
-      return new Reply(said, tail.id, said == Kind.MISS ? null : tail.receipt, in.hasRemaining(), tail.load);
+      return new Reply(kindOfLine, tail.id, kindOfLine == Kind.MISS ? null : tail.receipt, in.hasRemaining(),
+          tail.load);
     }
     Kind kind =
         scanner.is("MN") ? Kind.ALIVE : scanner.is("ERROR") || scanner.is("CLIENT_ERROR") ? Kind.FAILED
@@ -78,20 +79,20 @@
 
   private Reply value(Buffer in, LineScanner scanner, int length) {
     Tail tail = Tail.of(scanner);
-    Buffer own = tail.id;
+    Buffer lineId = tail.id;
     load = tail.load;
-    in.position(scanner.after());
+    in.position(scanner.nextLine());
     if (length > ReplyFilter.WHOLE_VALUE) {
-      streams = length + 2;
-      Buffer copy = own == null ? null : Collector.copy(memory, own);
+      streamBytesLeft = length + 2;
+      Buffer copy = lineId == null ? null : Collector.copy(memory, lineId);
       return new Reply(Kind.VALUE, copy, null, false, length, load);
     }
     if (in.remaining() >= length + 2) {
       int from = in.position();
       in.position(from + length + 2);
-      return whole(own, in.slice(from, from + length + 2), in);
+      return complete(lineId, in.slice(from, from + length + 2), in);
     }
-    id = own == null ? null : Collector.copy(memory, own);
+    id = lineId == null ? null : Collector.copy(memory, lineId);
     value = new Collector(memory, length + 2, null);
     return collect(in);
   }
@@ -101,37 +102,37 @@
     if (!value.isWhole()) {
       return null;
     }
-    Buffer whole = value.message();
+    Buffer valueAndLineEnd = value.message();
     value = null;
-    return whole(id, whole, in);
+    return complete(id, valueAndLineEnd, in);
   }
 
-  private Reply whole(Buffer id, Buffer value, Buffer in) {
-    int from = value.position();
-    int end = value.limit() - 2;
-    if (value.get(end) != '\r' || value.get(end + 1) != '\n') {
+  private Reply complete(Buffer id, Buffer valueAndLineEnd, Buffer in) {
+    int from = valueAndLineEnd.position();
+    int end = valueAndLineEnd.limit() - 2;
+    if (valueAndLineEnd.get(end) != '\r' || valueAndLineEnd.get(end + 1) != '\n') {
       return bad(in);
     }
-    return new Reply(Kind.VALUE, id, value.slice(from, end), in.hasRemaining(), load);
+    return new Reply(Kind.VALUE, id, valueAndLineEnd.slice(from, end), in.hasRemaining(), load);
   }
 
   private Object part(Buffer in) {
     if (!in.hasRemaining()) {
       return null;
     }
-    if (streams > 2) {
-      int count = Math.min(streams - 2, in.remaining());
+    if (streamBytesLeft > 2) {
+      int count = Math.min(streamBytesLeft - 2, in.remaining());
       Buffer bytes = in.slice(in.position(), in.position() + count);
       in.position(in.position() + count);
-      streams -= count;
+      streamBytesLeft -= count;
       return new ReplyPart(bytes, false, false);
     }
-    for (; streams > 0 && in.hasRemaining(); streams--) {
-      if (in.get() != (streams == 2 ? '\r' : '\n')) {
+    for (; streamBytesLeft > 0 && in.hasRemaining(); streamBytesLeft--) {
+      if (in.get() != (streamBytesLeft == 2 ? '\r' : '\n')) {
         return bad(in);
       }
     }
-    return streams > 0 ? null : new ReplyPart(Buffers.EMPTY_BUFFER, true, in.hasRemaining());
+    return streamBytesLeft > 0 ? null : new ReplyPart(Buffers.EMPTY_BUFFER, true, in.hasRemaining());
   }
 
   private static Reply bad(Buffer in) {
--- a/src/main/java/beampoint/memcache/Writer.java
+++ b/src/main/java/beampoint/memcache/Writer.java
@@ -4,7 +4,7 @@
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** Writes commands and answers; values and other parts are handed on as they lie. */
+/** Writes commands and answers; values and other buffers are passed on without copying. */
 public final class Writer {
 
   private final MemoryManager<?> memory;
@@ -13,7 +13,7 @@
     this.memory = memory;
   }
 
-  /** The command as the client sent it, but for the time that is left. */
+  /** The command as the client sent it, with the time that is left in place of the client's. */
   public Buffer command(Command command, long timeLeftMs) {
     Buffer value = command.value();
     Gather out = new Gather(memory);
@@ -27,18 +27,18 @@
     return out.message();
   }
 
-  /** A value that was given for this request. */
+  /** The answer with the value to a read. */
   public Buffer value(Buffer id, Buffer value) {
     return new Gather(memory).text("VA " + value.remaining() + " O").bytes(id).text("\r\n")
         .bytes(value).text("\r\n").message();
   }
 
-  /** The head of a value of so many bytes, which follow on their own. */
+  /** The head of the answer to a read with a value of so many bytes, which follow separately. */
   public Buffer valueHead(Buffer id, long length) {
     return new Gather(memory).text("VA " + length + " O").bytes(id).text("\r\n").message();
   }
 
-  /** The receipt that was given for this write. */
+  /** The answer with the receipt to a write. */
   public Buffer receipt(Buffer id, Buffer receipt) {
     return new Gather(memory).text("HD O").bytes(id).text(" c").bytes(receipt).text("\r\n").message();
   }
--- a/src/main/java/beampoint/request/ParameterList.java
+++ b/src/main/java/beampoint/request/ParameterList.java
@@ -7,17 +7,18 @@
 
 /**
  * The list of names and values that a client sends with a request, such as {@code c=read,t=acme,d=480}, as
- * the bytes in which it came. {@code timeFrom} and {@code timeTo} are the bounds, in these bytes, of the
- * figure of {@code d}, the time for which the client waits, in ms; both are 0 where the list has none.
+ * the bytes that were read. {@code timeFrom} and {@code timeTo} are the bounds, in these bytes, of the value
+ * of {@code d}, the time for which the client waits, in ms; both are 0 if the list has none.
  */
 public record ParameterList(Buffer bytes, int timeFrom, int timeTo) {
 
   /**
-   * Adds the list to a request for a server. The time that is left replaces what the client said when it sent
-   * the request, part of which has passed since; every other byte goes on unchanged. A list without a time
-   * stays without one. This is the only place that writes the list, for both protocols.
+   * Appends the list to a request to a server. The time that is left replaces the client's time, part of
+   * which has passed since it sent the request; all other bytes are unchanged. A list without a time stays
+   * without one. This is the only place that writes the list, for both protocols.
    *
-   * @param timeLeftMs whole ms, rounded down, for which the proxy will wait and the client will at most
+   * @param timeLeftMs how long the proxy still waits, in whole ms, rounded down; the client waits at least as
+   * long
    */
   public void appendTo(Gather request, long timeLeftMs) {
     if (timeTo <= timeFrom) {
@@ -29,7 +30,7 @@
     request.bytes(bytes, timeTo, bytes.limit());
   }
 
-  /** The same list in a buffer of its own, which does not keep the one in which it came. */
+  /** A copy in a buffer of its own, which does not keep the larger one that the list was read into. */
   public ParameterList copy(MemoryManager<?> memory) {
     int from = bytes.position();
     boolean hasTime = timeTo > timeFrom;
@@ -37,7 +38,7 @@
         hasTime ? timeTo - from : 0);
   }
 
-  /** How many bytes it has. */
+  /** The length in bytes. */
   public int size() {
     return bytes.remaining();
   }
--- a/src/main/java/beampoint/transport/LingeringClose.java
+++ b/src/main/java/beampoint/transport/LingeringClose.java
@@ -8,24 +8,24 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * Closes a connection in two steps: sending ends at once, and what the peer still sends is read for a while.
- * Guards against a close over bytes that nobody has read: the system makes it a reset, and that takes with it
- * what the peer has not read yet. Who calls it has written all, and drops what is read from then on.
+ * Closes a connection in two steps: the output is shut down at once, and input is still read for a while. If
+ * a socket is closed while it holds unread bytes, the system sends a reset, which destroys what the peer has
+ * not read yet. The caller must have written everything, and must discard what is read from then on.
  */
 public final class LingeringClose {
 
-  /** In ms: after the end of sending, until the peer has seen it and ended too. */
+  /** How long the peer has to close its side after the output was shut down, in ms. */
   public static final long LINGER_MS = 500;
 
   private LingeringClose() {}
 
-  /** Begins the close; the connection ends with the peer's end, or after a time. */
+  /** Starts the close; the connection ends when the peer closes it, or after {@link #LINGER_MS}. */
   public static void begin(Connection<?> connection, ScheduledExecutorService loop) {
     try {
       ((SocketChannel) ((NIOConnection) connection).getChannel()).shutdownOutput();
       loop.schedule(connection::terminateSilently, LINGER_MS, TimeUnit.MILLISECONDS);
     } catch (IOException e) {
-      connection.terminateSilently(); // it has ended already
+      connection.terminateSilently(); // the connection has ended already
     }
   }
 }
--- a/src/main/java/beampoint/transport/ReadAheadFilter.java
+++ b/src/main/java/beampoint/transport/ReadAheadFilter.java
@@ -17,23 +17,23 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * The socket's end of a filter chain. Unlike {@link SocketReadFilter}, it reads all that a peer has sent, and hands
- * on one read buffer of it in each pass of the selector. So the end of a peer that has sent much is seen in
- * the next pass, and not only once all that it has sent is handled.
+ * Reads from the socket, as the first filter of a chain. Unlike {@link SocketReadFilter}, it reads all that a
+ * peer has sent, and passes on one read buffer of it in each selector pass. So if the peer has sent much, its
+ * disconnect is seen in the next pass, and not only when all that it sent has been handled.
  */
 public final class ReadAheadFilter extends TransportFilter {
 
-  private static final int MAX_BYTES = 4 * 1024 * 1024; // read ahead on all connections together
+  private static final int MAX_READ_AHEAD_BYTES = 4 * 1024 * 1024; // on all connections together
 
-  /** Bytes that were read, and when they can have come at the earliest, in ms. */
+  /** Bytes that were read, and the earliest time at which they can have arrived, in ms. */
   private record Chunk(Buffer bytes, double arrivedAt) {}
 
-  /** What was read of one connection and not handed on. */
+  /** What was read ahead on one connection. */
   private static final class Ahead {
     private final Deque<Chunk> chunks = new ArrayDeque<>();
-    private double arrivedAt; // of the chunk that was handed on last
-    private long pass = -1; // in which that was
-    private boolean isScheduled; // to hand on the next one
+    private double arrivedAt; // of the chunk that was passed on last
+    private long pass = -1; // the selector pass in which that was
+    private boolean isScheduled; // true if the next chunk will be passed on by a task
   }
 
   private final Attribute<Ahead> aheads =
@@ -43,16 +43,17 @@
   private int bytes; // read ahead on all connections
 
   /**
-   * A filter for all connections of a chain.
+   * Creates the filter for all connections of a chain.
    *
-   * @param arrivedAt when what is read of a connection now can have come at the earliest, in ms
+   * @param arrivedAt returns the earliest time at which what is read on a connection now can have arrived, in
+   * ms
    */
   public ReadAheadFilter(Arrivals arrivals, ToDoubleFunction<Connection<?>> arrivedAt) {
     this.arrivals = arrivals;
     this.arrivedAt = arrivedAt;
   }
 
-  /** When what is handed on of a connection now can have come at the earliest, in ms. */
+  /** The earliest time at which what is passed on for a connection now can have arrived, in ms. */
   public double arrivedAt(Connection<?> connection) {
     return aheads.get(connection).arrivedAt;
   }
@@ -65,7 +66,7 @@
       readAll(connection, ahead);
     } catch (IOException e) {
       clear(ahead);
-      connection.terminateWithReason(e); // the filters hear of its end, if they have not yet
+      connection.terminateWithReason(e); // notifies the filters, unless they were before
       return ctx.getStopAction();
     }
     if (ahead.chunks.isEmpty() || ahead.pass == arrivals.pass()) {
@@ -81,14 +82,14 @@
     return ctx.getInvokeAction();
   }
 
-  /** Reads once, and if that fills the read buffer, until there is no more or no room for it. */
+  /** Reads once, and if that fills the read buffer, until nothing is left or the limit is reached. */
   private void readAll(NIOConnection connection, Ahead ahead) throws IOException {
     Buffer message = SocketReadFilter.read(connection);
     boolean isFull = message != null && message.remaining() == connection.getReadBufferSize();
     while (message != null) {
       ahead.chunks.add(new Chunk(message, arrivedAt.applyAsDouble(connection)));
       bytes += message.remaining();
-      message = isFull && bytes < MAX_BYTES ? SocketReadFilter.read(connection) : null;
+      message = isFull && bytes < MAX_READ_AHEAD_BYTES ? SocketReadFilter.read(connection) : null;
     }
   }
 
@@ -97,19 +98,19 @@
       ahead.isScheduled = true;
       arrivals.afterNextRead(() -> {
         ahead.isScheduled = false;
-        if (connection.isOpen() && !ahead.chunks.isEmpty() && isRead(connection)) {
+        if (connection.isOpen() && !ahead.chunks.isEmpty() && isReadingEnabled(connection)) {
           ((TCPNIOTransport) connection.getTransport()).fireIOEvent(IOEvent.READ, connection, null);
         }
       });
     }
   }
 
-  private static boolean isRead(NIOConnection connection) {
+  private static boolean isReadingEnabled(NIOConnection connection) {
     SelectionKey key = connection.getSelectionKey();
     return key.isValid() && (key.interestOps() & SelectionKey.OP_READ) != 0;
   }
 
-  /** Hands on what was read before reading was disabled, now that it is enabled again. */
+  /** Passes on what was read ahead before reading was disabled; called after it is enabled again. */
   public void resume(Connection<?> connection) {
     schedule((NIOConnection) connection, aheads.get(connection));
   }
--- a/src/main/java/beampoint/transport/SocketReadFilter.java
+++ b/src/main/java/beampoint/transport/SocketReadFilter.java
@@ -12,9 +12,9 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * The socket's end of a filter chain. Guards against a peer that ends its connection, as each does in the
- * end, and costs as much as a fault: the library words a log line for it, and throws that away. It reads by
- * itself, as the library tells an orderly close and a reset alike.
+ * Reads from the socket, as the first filter of a chain. It replaces the library's own read for two reasons:
+ * at each end of a connection, the library formats a log message that it then discards, which makes an
+ * orderly close as expensive as an error; and it reports an orderly close and a reset alike.
  */
 public final class SocketReadFilter extends TransportFilter {
 
@@ -29,16 +29,16 @@
       ctx.setMessage(message);
       return ctx.getInvokeAction();
     } catch (IOException e) {
-      // The filters hear of its end, if they have not yet.
+      // Notifies the filters of the end, unless they were notified before.
       connection.terminateWithReason(e);
       return ctx.getStopAction();
     }
   }
 
   /**
-   * Reads once, at most what the connection's read buffer holds; null where nothing has come.
+   * Reads once, at most the size of the connection's read buffer; returns null if nothing is available.
    *
-   * @throws EOFException where the peer has ended the connection
+   * @throws EOFException if the peer has closed the connection
    */
   static Buffer read(NIOConnection connection) throws IOException {
     DirectByteBufferRecord record = DirectByteBufferRecord.get();
--- a/src/test/java/beampoint/client/ClientListenerTest.java
+++ b/src/test/java/beampoint/client/ClientListenerTest.java
@@ -59,7 +59,7 @@
   @BeforeEach
   void listen() throws IOException {
     listener = new ClientListener(transport, tasks, new NoStalls());
-    listener.limit(100);
+    listener.setMaxConnections(100);
     transport.start();
     address = listener.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
         FilterChainBuilder.stateless().add(new SocketReadFilter()).add(new BaseFilter() {
@@ -91,10 +91,10 @@
 
   @Test
   void whoWaitsAtTheLastAcceptIsRead() throws Exception {
-    listener.leaveSelector();
+    listener.deregister();
     try (Socket client = ask()) {
       assertTrue(client.isConnected());
-      listener.acceptRest();
+      listener.acceptAllPending();
       listener.closeChannel();
       assertEquals(REQUEST, read.poll(5, TimeUnit.SECONDS));
     }
@@ -102,8 +102,8 @@
 
   @Test
   void whoConnectsBetweenTheLastAcceptAndTheCloseIsResetUnread() throws Exception {
-    listener.leaveSelector();
-    listener.acceptRest();
+    listener.deregister();
+    listener.acceptAllPending();
     try (Socket client = ask()) {
       listener.closeChannel();
       assertThrows(SocketException.class, () -> client.getInputStream().read());
--- a/src/test/java/beampoint/memcache/CommandFilterTest.java
+++ b/src/test/java/beampoint/memcache/CommandFilterTest.java
@@ -192,13 +192,13 @@
     CommandReader second = new CommandReader(MEMORY, budget, () -> resumed.add("second"));
     assertNull(first.parse(buffer("ms k 200000 Oa Pc=put,d=1\r\n" + "x".repeat(60_000))));
     assertNull(second.parse(buffer("ms k 200000 Ob Pc=put,d=1\r\n" + "x".repeat(60_000))));
-    assertFalse(first.isHeldUp());
-    assertTrue(second.isHeldUp());
+    assertFalse(first.isPaused());
+    assertTrue(second.isPaused());
     assertNull(first.parse(buffer("x".repeat(139_999))));
-    assertFalse(first.isHeldUp());
+    assertFalse(first.isPaused());
     Command whole = first.parse(buffer("x\r\n"));
     assertEquals(List.of("second"), resumed, "the next goes on, whatever the first still holds");
-    assertFalse(second.isHeldUp());
+    assertFalse(second.isPaused());
     whole.release();
     whole.release();
     second.release();
