--- a/src/main/java/beampoint/handover/Ban.java
+++ b/src/main/java/beampoint/handover/Ban.java
@@ -1,13 +1,19 @@
 package beampoint.handover;
 
-/** A cache node was taken out at one time, and is until another; both in Unix ms. */
+/**
+ * The ban of a cache node, which operators have taken out of service.
+ *
+ * @param since when it was taken out, in Unix ms
+ * @param until when it was put back into service, in Unix ms; infinite while it is out
+ */
 public record Ban(String node, double since, double until) {
 
+  /** True while the node is out of service. */
   public boolean isOut() {
     return until == Double.POSITIVE_INFINITY;
   }
 
-  /** When it was last called out or back: of two that tell of one node the later holds. */
+  /** When it was last taken out or put back: of two bans of one node, the one that changed later is valid. */
   double changedAt() {
     return isOut() ? since : until;
   }
--- a/src/main/java/beampoint/handover/BanFile.java
+++ b/src/main/java/beampoint/handover/BanFile.java
@@ -26,31 +26,34 @@
 import java.util.TreeMap;
 
 /**
- * The bans of one proxy, kept in a file that its processes share. Of what file and memory say of one node the
- * later holds, and neither forgets what the other lacks: a file that is missing, spoilt or can't be written
- * costs a log line, and no ban.
+ * The bans of one proxy, kept in a file that its processes share. Memory and file are merged: for each node
+ * the later change is valid, and a ban that only one of them has is kept. So a file that is missing, corrupt
+ * or not writable causes a log line, but loses no ban.
  */
 public final class BanFile implements Closeable {
 
   /**
-   * Nodes that may be known to have been out: a whole list of them, and those that were replaced within the
-   * time for which a call back is kept.
+   * The maximum number of nodes with a ban, current or lifted: enough for a full host list, and for the nodes
+   * that were replaced while lifted bans are kept.
    */
   public static final int MAX_BANS = 4_096;
   private static final Log LOG = Log.of("handover");
   private static final int VERSION = 1;
-  /** Of the file: all bans with names as long as those of DNS may be. Guards against a file that is none. */
+  /**
+   * The maximum length of the file: all bans, with names of the maximum length in DNS. Longer files are
+   * invalid.
+   */
   static final int MAX_FILE_BYTES = 2 * 1024 * 1024;
-  private static final double KEPT_MS = 600_000; // after a call back, longer than any cache needs to warm up
-  private static final int LOCK_TRIES = 25;
-  private static final long LOCK_WAIT_MS = 2;
+  private static final double LIFTED_BAN_RETENTION_MS = 600_000; // longer than any cache needs to warm up
+  private static final int LOCK_ATTEMPTS = 25;
+  private static final long LOCK_RETRY_INTERVAL_MS = 2;
 
   private final Path path;
   private final Path lockPath;
   private final String proxy;
   private final Map<String, Ban> bans = new TreeMap<>();
   private FileChannel lockFile;
-  private FileStamp seen; // of the file, when it was last read or written
+  private FileStamp lastStamp; // of the file, when it was last read or written
 
   public BanFile(Path path, String proxy) {
     this.path = path;
@@ -58,19 +61,22 @@
     this.proxy = proxy;
   }
 
-  /** All that is known, also of nodes that came back not long ago. */
+  /** All bans, including lifted ones that are still kept. */
   public Collection<Ban> bans() {
     return List.copyOf(bans.values());
   }
 
-  /** The ban on a node, or null where it was never out, or came back long ago. */
+  /** The ban of a node, or null if it was never out of service, or its lifted ban is not kept any more. */
   public Ban get(String node) {
     return bans.get(node);
   }
 
-  /** Calls a node out or back; false, and nothing done, where too many are out. Only memory is changed. */
+  /**
+   * Takes a node out of service or puts it back, in memory only; returns false, and has no effect, if there
+   * are too many bans.
+   */
   public boolean setBanned(String node, boolean out, double now) {
-    bans.values().removeIf(b -> !b.isOut() && now - b.until() > KEPT_MS);
+    bans.values().removeIf(b -> !b.isOut() && now - b.until() > LIFTED_BAN_RETENTION_MS);
     Ban ban = bans.get(node);
     if (out && (ban == null || !ban.isOut())) {
       if (bans.size() >= MAX_BANS) {
@@ -83,19 +89,21 @@
     return true;
   }
 
-  /** Takes over what another process has stored since; returns what is new. */
+  /** Merges what another process has stored since; returns the bans that changed. */
   public List<Ban> refresh() {
-    FileStamp state = FileStamp.of(path);
-    if (Objects.equals(state, seen)) {
+    FileStamp stamp = FileStamp.of(path);
+    if (Objects.equals(stamp, lastStamp)) {
       return List.of();
     }
-    seen = state;
+    lastStamp = stamp;
     return merge(read());
   }
 
   /**
-   * Stores what is known, with what another process has stored meanwhile; returns what is new of that. Guards
-   * against a file that no process would read: one that would be too long is not written.
+   * Stores all bans, merged with what another process has stored meanwhile; returns the bans that this
+   * changed in memory.
+   *
+   * @throws IOException also if the file would be too long, as no process would read it
    */
   public List<Ban> store() throws IOException {
     FileLock lock = lock();
@@ -104,11 +112,11 @@
       Path next = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
       byte[] bytes = json().getBytes(StandardCharsets.UTF_8);
       if (bytes.length > MAX_FILE_BYTES) {
-        throw new IOException("too long: " + bytes.length + " bytes, " + MAX_FILE_BYTES + " at most");
+        throw new IOException("too long: " + bytes.length + " bytes, the limit is " + MAX_FILE_BYTES);
       }
       Files.write(next, bytes);
       Files.move(next, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-      seen = FileStamp.of(path);
+      lastStamp = FileStamp.of(path);
       return changed;
     } finally {
       if (lock != null) {
@@ -117,26 +125,29 @@
     }
   }
 
-  /** Guards against two processes of which one overwrites what the other has just stored. */
+  /**
+   * Locks the file, so that no process overwrites what another one has just stored; returns null if that
+   * fails.
+   */
   private FileLock lock() throws IOException {
     if (lockFile == null) {
       lockFile = FileChannel.open(lockPath, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
-    for (int i = 0; i < LOCK_TRIES; i++) {
+    for (int i = 0; i < LOCK_ATTEMPTS; i++) {
       try {
         FileLock lock = lockFile.tryLock();
         if (lock != null) {
           return lock;
         }
-        Thread.sleep(LOCK_WAIT_MS);
+        Thread.sleep(LOCK_RETRY_INTERVAL_MS);
       } catch (OverlappingFileLockException e) {
-        return null; // two proxies in one Java machine, as tests have them
+        return null; // two proxies in one JVM, as in tests
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return null;
       }
     }
-    LOG.warn("the ban file stays locked; written without the lock");
+    LOG.warn("the ban file is locked by another process, writing it without the lock");
     return null;
   }
 
@@ -155,13 +166,13 @@
   private List<Ban> read() {
     try {
       if (Files.size(path) > MAX_FILE_BYTES) {
-        throw new JsonParseException("too long");
+        throw new JsonParseException("longer than " + MAX_FILE_BYTES + " bytes");
       }
       return parse(Files.readString(path));
     } catch (NoSuchFileException e) {
       return List.of();
     } catch (IOException | RuntimeException e) {
-      LOG.error("the ban file can't be read and is left out: " + e.getMessage());
+      LOG.error("the ban file can't be read and is ignored: " + e.getMessage());
       return List.of();
     }
   }
@@ -169,7 +180,7 @@
   private List<Ban> parse(String text) {
     JsonObject json = JsonParser.parseString(text).getAsJsonObject();
     if (json.get("version").getAsInt() != VERSION || !json.get("proxy").getAsString().equals(proxy)) {
-      throw new JsonParseException("of another version or proxy");
+      throw new JsonParseException("written for another version or proxy");
     }
     List<Ban> read = new ArrayList<>();
     for (JsonElement element : json.getAsJsonArray("bans")) {
--- a/src/main/java/beampoint/handover/ProcessRegistry.java
+++ b/src/main/java/beampoint/handover/ProcessRegistry.java
@@ -9,73 +9,79 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * How many processes of one proxy there are: each holds a lock on a byte of one file, its seat. The system
- * drops locks with their process, however that ends: nothing is left behind that could pass for a process.
+ * Counts the running processes of one proxy: each holds a lock on one byte of a shared file, its slot. The
+ * system releases the locks of a process however it ends, so that no ended process is ever counted.
  */
 public final class ProcessRegistry implements Closeable {
 
   /**
-   * Processes of one proxy that can be told apart: no more can be started by mistake than a machine holds.
-   * They cost nothing until they are there, as free seats are asked for in one call.
+   * The maximum number of processes of one proxy, more than could be started by mistake on one machine. Free
+   * slots cost nothing, as a range of them is checked in one call.
    */
   static final int MAX_PROCESSES = 1_024;
 
   private final FileChannel file;
-  private final int seat;
-  private final FileLock sits;
+  private final int slot;
+  private final FileLock slotLock;
 
+  /**
+   * Registers this process, by locking the first free slot of the file.
+   *
+   * @throws IOException if the file can't be used, or there are too many processes
+   */
   public ProcessRegistry(Path path) throws IOException {
     file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.READ,
         StandardOpenOption.WRITE);
-    int free = 0;
-    FileLock lock = lock(free, 1, false);
-    while (lock == null && ++free < MAX_PROCESSES) {
-      lock = lock(free, 1, false);
+    int candidate = 0;
+    FileLock lock = lock(candidate, 1, false);
+    while (lock == null && ++candidate < MAX_PROCESSES) {
+      lock = lock(candidate, 1, false);
     }
     if (lock == null) {
       file.close();
-      throw new IOException("more processes of this proxy than there may be: " + MAX_PROCESSES);
+      throw new IOException("too many processes of this proxy, the limit is " + MAX_PROCESSES);
     }
-    seat = free;
-    sits = lock;
+    slot = candidate;
+    slotLock = lock;
   }
 
-  private FileLock lock(int from, int seats, boolean shared) throws IOException {
+  private FileLock lock(int from, int slots, boolean shared) throws IOException {
     try {
-      return file.tryLock(from, seats, shared);
+      return file.tryLock(from, slots, shared);
     } catch (OverlappingFileLockException e) {
-      return null; // held by another proxy in this Java machine, as tests have them
+      return null; // held by another proxy in this JVM, as in tests
     }
   }
 
   /**
-   * How many of these seats are held by others: none in one call, else by halves. A shared lock is asked for
-   * and given back: two that look at once do not take each other for a holder.
+   * Counts the slots in a range that are held by others: checks the whole range in one call, and if any is
+   * held each half in turn. The check takes a shared lock and releases it, so that two processes that check
+   * at the same time do not count each other twice.
    */
-  private int held(int from, int seats) throws IOException {
-    if (seats == 0) {
+  private int countHeld(int from, int slots) throws IOException {
+    if (slots == 0) {
       return 0;
     }
-    FileLock lock = lock(from, seats, true);
+    FileLock lock = lock(from, slots, true);
     if (lock != null) {
       lock.release();
       return 0;
     }
-    if (seats == 1) {
+    if (slots == 1) {
       return 1;
     }
-    int half = seats / 2;
-    return held(from, half) + held(from + half, seats - half);
+    int half = slots / 2;
+    return countHeld(from, half) + countHeld(from + half, slots - half);
   }
 
-  /** How many processes there are, this one among them. */
+  /** The number of processes, including this one. */
   public int count() throws IOException {
-    return 1 + held(0, seat) + held(seat + 1, MAX_PROCESSES - seat - 1);
+    return 1 + countHeld(0, slot) + countHeld(slot + 1, MAX_PROCESSES - slot - 1);
   }
 
   @Override
   public void close() throws IOException {
-    sits.release();
+    slotLock.release();
     file.close();
   }
 }
