--- a/src/main/java/beampoint/handover/ProcessRegistry.java
+++ b/src/main/java/beampoint/handover/ProcessRegistry.java
@@ -55,8 +55,8 @@
 
   /**
    * Counts the slots in a range that are held by others: checks the whole range in one call, and if any is
-   * held each half in turn. The check takes a shared lock and releases it, so that two processes that check
-   * at the same time do not count each other twice.
+   * held each half in turn. The check takes a shared lock and releases it: another process that checks at
+   * the same time is not refused its lock, and so does not count the check as a held slot.
    */
   private int countHeld(int from, int slots) throws IOException {
     if (slots == 0) {
--- a/src/test/java/beampoint/client/ClientListenerTest.java
+++ b/src/test/java/beampoint/client/ClientListenerTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Guards against requests that are read and lost where clients connect while a listener closes. */
+/** Guards against accepted requests that are lost when clients connect while the listener closes. */
 @Timeout(30)
 class ClientListenerTest {
 
@@ -39,7 +39,7 @@
   private ClientListener listener;
   private InetSocketAddress address;
 
-  private static final class NoStalls implements Arrivals {
+  private static final class ImmediateArrivals implements Arrivals {
     @Override
     public double earliest() {
       return 0;
@@ -52,13 +52,13 @@
 
     @Override
     public void afterNextRead(Runnable task) {
-      throw new IllegalStateException("nothing is read late here");
+      throw new IllegalStateException("no command is late in this test");
     }
   }
 
   @BeforeEach
   void listen() throws IOException {
-    listener = new ClientListener(transport, tasks, new NoStalls());
+    listener = new ClientListener(transport, tasks, new ImmediateArrivals());
     listener.setMaxConnections(100);
     transport.start();
     address = listener.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
@@ -83,16 +83,16 @@
     transport.shutdownNow();
   }
 
-  private Socket ask() throws IOException {
+  private Socket connectAndSend() throws IOException {
     Socket client = new Socket(address.getAddress(), address.getPort());
     client.getOutputStream().write(REQUEST.getBytes(StandardCharsets.ISO_8859_1));
     return client;
   }
 
   @Test
-  void whoWaitsAtTheLastAcceptIsRead() throws Exception {
+  void clientPendingAtTheLastAcceptIsRead() throws Exception {
     listener.deregister();
-    try (Socket client = ask()) {
+    try (Socket client = connectAndSend()) {
       assertTrue(client.isConnected());
       listener.acceptAllPending();
       listener.closeChannel();
@@ -101,14 +101,14 @@
   }
 
   @Test
-  void whoConnectsBetweenTheLastAcceptAndTheCloseIsResetUnread() throws Exception {
+  void clientConnectingBetweenTheLastAcceptAndTheCloseIsResetUnread() throws Exception {
     listener.deregister();
     listener.acceptAllPending();
-    try (Socket client = ask()) {
+    try (Socket client = connectAndSend()) {
       listener.closeChannel();
       assertThrows(SocketException.class, () -> client.getInputStream().read());
       assertEquals(0, read.size());
     }
-    assertThrows(IOException.class, this::ask); // who comes later is refused
+    assertThrows(IOException.class, this::connectAndSend); // later connections are refused
   }
 }
--- a/src/test/java/beampoint/handover/BanFileTest.java
+++ b/src/test/java/beampoint/handover/BanFileTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Bans of two processes of one proxy, by the file that they share. */
+/** The ban file that the processes of one proxy share. */
 class BanFileTest {
 
   @TempDir
@@ -22,7 +22,7 @@
   private Path path;
 
   @BeforeEach
-  void name() {
+  void choosePath() {
     path = directory.resolve("bans.json");
   }
 
@@ -30,56 +30,56 @@
     return new BanFile(path, "n0");
   }
 
-  private static BanFile with(BanFile file, String node, boolean out, double at) throws IOException {
+  private static BanFile setAndStore(BanFile file, String node, boolean out, double at) throws IOException {
     assertTrue(file.setBanned(node, out, at));
     file.store();
     return file;
   }
 
   @Test
-  void aBanOutlivesItsProcess() throws IOException {
-    with(open(), "a", true, 10);
+  void banOutlivesItsProcess() throws IOException {
+    setAndStore(open(), "a", true, 10);
     BanFile next = open();
     assertEquals(List.of(new Ban("a", 10, Double.POSITIVE_INFINITY)), next.refresh());
     assertTrue(next.get("a").isOut());
   }
 
   @Test
-  void theCallOutMayComeTwiceAndOneCallBackUndoesBoth() throws IOException {
-    BanFile file = with(with(open(), "a", true, 10), "a", true, 20);
-    with(file, "a", false, 30);
+  void repeatedBanIsLiftedByOneCall() throws IOException {
+    BanFile file = setAndStore(setAndStore(open(), "a", true, 10), "a", true, 20);
+    setAndStore(file, "a", false, 30);
     assertEquals(List.of(new Ban("a", 10, 30)), open().refresh());
-    with(file, "b", false, 40);
-    assertNull(file.get("b"), "a call back of what was never out leaves nothing");
+    setAndStore(file, "b", false, 40);
+    assertNull(file.get("b"), "lifting a ban that was never set leaves no entry");
   }
 
   @Test
-  void eachProcessTakesOverWhatTheOtherHasStoredAndOnce() throws IOException {
+  void eachProcessMergesWhatTheOtherStoredOnce() throws IOException {
     BanFile old = open();
     BanFile next = open();
-    with(old, "a", true, 10);
+    setAndStore(old, "a", true, 10);
     assertEquals(1, next.refresh().size());
     assertEquals(List.of(), next.refresh());
-    with(next, "a", false, 20);
-    with(next, "b", true, 21);
+    setAndStore(next, "a", false, 20);
+    setAndStore(next, "b", true, 21);
     assertEquals(2, old.refresh().size());
     assertFalse(old.get("a").isOut());
     assertTrue(old.get("b").isOut());
   }
 
-  /** Guards against a process that overwrites what the other has stored since it last looked. */
+  /** Guards against a process that overwrites what the other stored since its last refresh. */
   @Test
-  void whatTheOtherHasStoredMeanwhileIsKeptWhenStoring() throws IOException {
+  void storingMergesWhatTheOtherStoredMeanwhile() throws IOException {
     BanFile old = open();
     BanFile next = open();
-    with(old, "a", true, 10);
-    with(next, "b", true, 11);
+    setAndStore(old, "a", true, 10);
+    setAndStore(next, "b", true, 11);
     assertEquals(2, open().refresh().size());
-    assertTrue(next.get("a").isOut(), "storing takes over what it finds");
+    assertTrue(next.get("a").isOut(), "storing merges what is in the file");
   }
 
   @Test
-  void aFileThatIsSpoiltForeignOrOfAnotherVersionCostsNoBanAndIsReplaced() throws IOException {
+  void corruptForeignOrOtherVersionFileLosesNoBanAndIsReplaced() throws IOException {
     for (String text : List.of("", "{", "null", "[]", "{\"version\":1}",
         "{\"version\":1,\"proxy\":\"n1\",\"bans\":[]}",
         "{\"version\":2,\"proxy\":\"n0\",\"bans\":[]}", "{\"version\":1,\"proxy\":\"n0\",\"bans\":[{}]}")) {
@@ -93,10 +93,10 @@
     }
   }
 
-  /** Every way in which a file can be cut off: nothing of it is taken, nothing fails. */
+  /** A file truncated at any length: nothing of it is used, and nothing fails. */
   @Test
-  void aTruncatedFileIsLeftOut() throws IOException {
-    with(open(), "a", true, 10);
+  void truncatedFileIsIgnored() throws IOException {
+    setAndStore(open(), "a", true, 10);
     String whole = Files.readString(path);
     for (int length = 0; length < whole.length(); length++) {
       Files.writeString(path, whole.substring(0, length));
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void aFileThatCanNotBeWrittenIsToldAndTheBanHoldsHere() {
+  void unwritableFileIsReportedAndTheBanStaysInMemory() {
     BanFile file = new BanFile(directory.resolve("none/bans.json"), "n0");
     file.setBanned("a", true, 10);
     assertThrows(IOException.class, file::store);
@@ -114,27 +114,30 @@
   }
 
   @Test
-  void bansAreBoundedAndThoseLongOverAreForgotten() {
+  void bansAreLimitedAndLongLiftedOnesAreRemoved() {
     BanFile file = open();
     for (int i = 0; i < BanFile.MAX_BANS; i++) {
       assertTrue(file.setBanned("n" + i, true, i), "the ban of number " + i);
     }
     assertFalse(file.setBanned("one more", true, 5000));
-    assertTrue(file.setBanned("n0", true, 5000), "one that is out already takes no room");
+    assertTrue(file.setBanned("n0", true, 5000), "a node that is out already needs no further entry");
     assertTrue(file.setBanned("n0", false, 5000));
     assertTrue(file.setBanned("one more", true, 5000 + 3_600_000));
   }
 
-  /** Guards against a limit under which a whole list can't be out, or be known to the next process. */
+  /**
+   * Guards against limits that keep a full host list from being banned, or from being read by the next
+   * process.
+   */
   @Test
-  void asManyBansAsThereMayBeAreStoredAndKnownToTheNextProcess() throws IOException {
+  void maximumNumberOfBansIsStoredAndReadByTheNextProcess() throws IOException {
     for (int bans : new int[] {BanFile.MAX_BANS - 1, BanFile.MAX_BANS, BanFile.MAX_BANS + 1}) {
       BanFile file = new BanFile(directory.resolve("bans-" + bans), "n0");
       int taken = 0;
       for (int i = 0; i < bans; i++) {
-        String longestOfDns = "x".repeat(253 - 5) + (10_000 + i);
-        taken += file.setBanned(longestOfDns, true, 1.7646e12 + i) ? 1 : 0;
-        file.setBanned(longestOfDns, false, 1.7647e12 + i);
+        String longestDnsName = "x".repeat(253 - 5) + (10_000 + i);
+        taken += file.setBanned(longestDnsName, true, 1.7646e12 + i) ? 1 : 0;
+        file.setBanned(longestDnsName, false, 1.7647e12 + i);
       }
       assertEquals(Math.min(bans, BanFile.MAX_BANS), taken);
       file.store();
@@ -142,21 +145,21 @@
     }
   }
 
-  /** A file that is longer would be left out by the next process, and cost all the bans in it. */
+  /** A longer file would be ignored by the next process, which would lose all bans in it. */
   @Test
-  void aFileIsWrittenUpToTheLengthUpToWhichItIsRead() throws IOException {
-    BanFile one = with(open(), "a", true, 10);
-    int rest = (int) Files.size(path) - 1; // beside the name
+  void longestReadableFileIsWrittenAndLongerOnesAreNot() throws IOException {
+    BanFile one = setAndStore(open(), "a", true, 10);
+    int overhead = (int) Files.size(path) - 1; // beside the name
     assertEquals(1, one.bans().size());
     for (int length : new int[] {BanFile.MAX_FILE_BYTES - 1, BanFile.MAX_FILE_BYTES}) {
       Files.delete(path);
-      with(open(), "a".repeat(length - rest), true, 10);
+      setAndStore(open(), "a".repeat(length - overhead), true, 10);
       assertEquals(length, Files.size(path));
       assertEquals(1, open().refresh().size());
     }
     BanFile tooLong = open();
-    assertTrue(tooLong.setBanned("a".repeat(BanFile.MAX_FILE_BYTES + 1 - rest), true, 10));
+    assertTrue(tooLong.setBanned("a".repeat(BanFile.MAX_FILE_BYTES + 1 - overhead), true, 10));
     assertThrows(IOException.class, tooLong::store);
-    assertEquals(1, open().refresh().size(), "what was stored before stands");
+    assertEquals(1, open().refresh().size(), "the previous file is kept");
   }
 }
--- a/src/test/java/beampoint/handover/ProcessRegistryTest.java
+++ b/src/test/java/beampoint/handover/ProcessRegistryTest.java
@@ -11,40 +11,40 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Processes see one another by locks that end with them. */
+/** Processes are counted by locks that end with them. */
 class ProcessRegistryTest {
 
-  /** A process of its own that sits down, says so, and waits to be killed. */
-  static final class Sitter {
+  /** A separate process that registers, prints its count, and waits to be killed. */
+  static final class RegisteredProcess {
     public static void main(String[] args) throws Exception {
-      try (ProcessRegistry presence = new ProcessRegistry(Path.of(args[0]))) {
-        System.out.println(presence.count());
+      try (ProcessRegistry registry = new ProcessRegistry(Path.of(args[0]))) {
+        System.out.println(registry.count());
         Thread.sleep(60_000);
       }
     }
   }
 
-  private static Process sitter(Path file) throws IOException {
-    return TestProcess.java(Sitter.class, List.of(), file.toString()).redirectErrorStream(false)
+  private static Process startRegistered(Path file) throws IOException {
+    return TestProcess.java(RegisteredProcess.class, List.of(), file.toString()).redirectErrorStream(false)
         .redirectError(ProcessBuilder.Redirect.INHERIT).start();
   }
 
   @Test
-  void aProcessIsSeenUntilItEndsHoweverItEnds(@TempDir Path directory) throws Exception {
+  void processIsCountedUntilItEndsHoweverItEnds(@TempDir Path directory) throws Exception {
     Path file = directory.resolve("processes");
     try (ProcessRegistry own = new ProcessRegistry(file)) {
       assertEquals(1, own.count());
-      Process other = sitter(file);
-      assertEquals("2", other.inputReader().readLine(), "each sees the other");
+      Process other = startRegistered(file);
+      assertEquals("2", other.inputReader().readLine(), "each counts the other");
       assertEquals(2, own.count());
       other.destroyForcibly().waitFor();
-      assertEquals(1, own.count(), "a process that was killed leaves nothing behind");
+      assertEquals(1, own.count(), "a killed process is not counted any more");
     }
   }
 
-  /** Guards against a limit on processes that a machine meets, and a count that misses some. */
+  /** Guards against a count that misses processes, up to the limit, which must not be too low. */
   @Test
-  void asManyProcessesAsThereMayBeAreCountedAndOneMoreIsRefused(@TempDir Path directory)
+  void maximumNumberOfProcessesIsCountedAndOneMoreIsRefused(@TempDir Path directory)
       throws Exception {
     Path file = directory.resolve("processes");
     List<ProcessRegistry> all = new ArrayList<>();
@@ -60,10 +60,10 @@
       all.remove(511).close();
       assertEquals(ProcessRegistry.MAX_PROCESSES - 1, all.get(0).count());
       all.add(new ProcessRegistry(file));
-      assertEquals(ProcessRegistry.MAX_PROCESSES, all.get(600).count(), "a free seat is taken again");
+      assertEquals(ProcessRegistry.MAX_PROCESSES, all.get(600).count(), "a free slot is used again");
     } finally {
-      for (ProcessRegistry presence : all) {
-        presence.close();
+      for (ProcessRegistry registry : all) {
+        registry.close();
       }
     }
   }
--- a/src/test/java/beampoint/memcache/CommandFilterTest.java
+++ b/src/test/java/beampoint/memcache/CommandFilterTest.java
@@ -16,7 +16,7 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 import org.junit.jupiter.api.Test;
 
-/** Commands read off buffers, whole, split and malformed. */
+/** Parsing of complete, split and malformed commands. */
 class CommandFilterTest {
 
   private static final MemoryManager<?> MEMORY = new HeapMemoryManager();
@@ -39,7 +39,7 @@
     return reader().parse(buffer(text));
   }
 
-  private static void isRefused(Kind kind, String problem, String text) {
+  private static void assertRejected(Kind kind, String problem, String text) {
     Buffer in = buffer(text);
     CommandReader reader = reader();
     Command command = reader.parse(in);
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void aReadIsTakenApart() {
+  void readIsParsed() {
     Command command = parse(READ);
     assertEquals(Kind.READ, command.kind());
     assertEquals("7f3a9c21e0b4d655", text(command.key()));
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void aClientMayMarkWhatItAsksAgain() {
+  void clientMayMarkARetry() {
     assertFalse(parse(READ).isRetry());
     assertTrue(parse(READ.replace("d=480", "d=480,r=1")).isRetry());
     assertFalse(parse(READ.replace("d=480", "d=480,r=0")).isRetry());
@@ -68,17 +68,17 @@
   }
 
   @Test
-  void aWriteGoesOnUnchangedButForTheTimeToWait() {
+  void writeIsForwardedUnchangedExceptForTheTimeLeft() {
     Command command = parse(WRITE);
     assertEquals("ab\r\nc", text(command.value()));
     String sent = text(new Writer(MEMORY).command(command, 123));
     assertEquals(WRITE.replace("d=480", "d=123"), sent);
-    assertEquals(WRITE, text(new Writer(MEMORY).command(command, 480)), "what was sent can be sent again");
+    assertEquals(WRITE, text(new Writer(MEMORY).command(command, 480)), "a command can be sent again");
   }
 
-  /** Guards against a reader that loses or doubles bytes where a segment ends. */
+  /** Guards against bytes that are lost or duplicated at the end of a segment. */
   @Test
-  void aCommandMayComeByteByByte() {
+  void commandIsReadByteByByte() {
     String all = WRITE + READ;
     CommandReader reader = reader();
     Buffer in = null;
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void badCommandsCostOnlyThemselves() {
+  void badCommandsDoNotAffectTheNextOne() {
     CommandReader reader = reader();
     Buffer in = buffer("hello\r\n\r\nmg\r\nmg k v Oid\r\n"
         + "mg k v Oid Pc=read\r\nmg k x Oid Pc=r,d=1\r\nmn\r\n");
@@ -108,47 +108,47 @@
       assertTrue(command.problem().startsWith(problem), command.problem());
     }
     assertEquals(Kind.READY, reader.parse(in).kind());
-    isRefused(Kind.BAD, "CLIENT_ERROR", "mg " + "k".repeat(251) + " v Oid Pc=read,d=1\r\n");
+    assertRejected(Kind.BAD, "CLIENT_ERROR", "mg " + "k".repeat(251) + " v Oid Pc=read,d=1\r\n");
   }
 
-  /** Guards against a command that means one thing here and another further on, or that nobody can answer. */
+  /** Guards against commands that the proxy and a server interpret differently, or that can't be answered. */
   @Test
-  void aCommandHasTheFormOfTheProtocolOrIsNotTaken() {
-    for (String odd : new String[] {"mg k Oid Pc=r,d=1", "mg k v v Oid Pc=r,d=1", "mg k v Oid Oid Pc=r,d=1",
+  void commandThatViolatesTheProtocolIsRejected() {
+    for (String malformed : new String[] {"mg k Oid Pc=r,d=1", "mg k v v Oid Pc=r,d=1", "mg k v Oid Oid Pc=r,d=1",
         "mg k v Oid Pc=r,d=1 Pc=r,d=2", "mg k v O Pc=r,d=1", "mg k v O" + "i".repeat(33) + " Pc=r,d=1",
         "mg k v Oid P", "mg k v Oid Pc=r,d=1,d=2", "mg k v Oid Pc=r,c=s,d=1", "mg k v Oid Pc=r,d=-1",
         "mg k v Oid Pc=r,d=1.x", "mg k v Oid Pc=r,d=+1", "mg k v Oid Pc=r,d=1e3", "mg k v Oid Pc=r,d=",
         "mg k v Oid Pc=r,d=99999999999", "mg k v Oid Pc=,d=1", "mg k v Oid Pc=r,,d=1", "mg k v Oid Pc=r,d=1,",
         "mg k v Oid Pc=r,d=1,t", "mg k v Oid Pd=1", "mg k 5 Oid Pc=r,d=1"}) {
-      isRefused(Kind.BAD, "CLIENT_ERROR", odd + "\r\n");
+      assertRejected(Kind.BAD, "CLIENT_ERROR", malformed + "\r\n");
     }
-    isRefused(Kind.BAD, "CLIENT_ERROR", "ms k 2 v Oid Pc=r,d=1\r\nab\r\n");
-    isRefused(Kind.FATAL, "CLIENT_ERROR", "ms k -2 Oid Pc=r,d=1\r\nab\r\n");
-    isRefused(Kind.FATAL, "CLIENT_ERROR", "mg \u00e9 v Oid Pc=r,d=1\r\n");
+    assertRejected(Kind.BAD, "CLIENT_ERROR", "ms k 2 v Oid Pc=r,d=1\r\nab\r\n");
+    assertRejected(Kind.FATAL, "CLIENT_ERROR", "ms k -2 Oid Pc=r,d=1\r\nab\r\n");
+    assertRejected(Kind.FATAL, "CLIENT_ERROR", "mg \u00e9 v Oid Pc=r,d=1\r\n");
     assertEquals(Kind.READ, parse("mg k v Oid Pc=r,size=7,r=1,d=1\r\n").kind());
   }
 
   @Test
-  void whatCanNotBeReadOnEndsTheConnection() {
-    isRefused(Kind.FATAL, "CLIENT_ERROR line too long", "m".repeat(5000));
-    isRefused(Kind.FATAL, "SERVER_ERROR object too large", "ms k 4194305 Oid Pc=put,d=1\r\n");
-    isRefused(Kind.FATAL, "CLIENT_ERROR bad data chunk", "ms k five Oid Pc=put,d=1\r\n");
-    isRefused(Kind.FATAL, "CLIENT_ERROR bad data chunk", "ms k 2 Oid Pc=put,d=1\r\nabcd");
-    // Guards against a carriage return in an id, which would end a header of the request to the origin.
-    isRefused(Kind.FATAL, "CLIENT_ERROR control", "mg k v Oid\rX-Evil:1 Pc=read,d=1\r\n");
+  void unrecoverableErrorsEndTheConnection() {
+    assertRejected(Kind.FATAL, "CLIENT_ERROR line too long", "m".repeat(5000));
+    assertRejected(Kind.FATAL, "SERVER_ERROR object too large", "ms k 4194305 Oid Pc=put,d=1\r\n");
+    assertRejected(Kind.FATAL, "CLIENT_ERROR bad data chunk", "ms k five Oid Pc=put,d=1\r\n");
+    assertRejected(Kind.FATAL, "CLIENT_ERROR bad data chunk", "ms k 2 Oid Pc=put,d=1\r\nabcd");
+    // A carriage return in an id would end a header of the request to the origin, and could inject another.
+    assertRejected(Kind.FATAL, "CLIENT_ERROR control", "mg k v Oid\rX-Evil:1 Pc=read,d=1\r\n");
     assertNull(parse("mg k v Oid Pc=read,d=1"));
   }
 
   @Test
-  void theLargestValueIsTaken() {
+  void valueOf64KibIsRead() {
     String value = "x".repeat(64 * 1024);
     Command command = parse("ms k 65536 Oid Pc=put,d=1\r\n" + value + "\r\n");
     assertEquals(value, text(command.value()));
   }
 
-  /** Guards against values that are lost, doubled or taken for commands where they come in pieces. */
+  /** Guards against values that are lost, duplicated or parsed as commands when they arrive in pieces. */
   @Test
-  void aLongValueComesInPiecesOfAnySizeAndTheNextCommandIsFoundBehindIt() {
+  void longValueIsReadInPiecesOfAnySizeAndThenTheNextCommand() {
     StringBuilder value = new StringBuilder();
     for (int i = 0; value.length() < 300_000; i++) {
       value.append(i).append("\r\nmg ");
@@ -173,9 +173,9 @@
     }
   }
 
-  /** Guards against a value of a command that can't be taken, which would be read as commands. */
+  /** Guards against the value of an invalid command being parsed as commands. */
   @Test
-  void theValueOfABadCommandIsReadPast() {
+  void valueOfABadCommandIsSkipped() {
     CommandReader reader = reader();
     assertNull(reader.parse(buffer("ms k 100000 v Oid Pc=put,d=1\r\nmn\r\n")));
     Buffer in = buffer("x".repeat(100_000 - 4) + "\r\nmn\r\n");
@@ -183,9 +183,9 @@
     assertEquals(Kind.READY, reader.parse(in).kind());
   }
 
-  /** Guards against values that are all begun and none of which can be finished. */
+  /** Guards against a deadlock, in which several values have begun and none can be completed. */
   @Test
-  void whereTheBudgetIsUsedUpTheValueThatBeganFirstGoesOnAndThenTheNext() {
+  void withoutBudgetTheOldestValueContinuesAndThenTheNext() {
     Budget budget = new Budget(100_000);
     List<String> resumed = new ArrayList<>();
     CommandReader first = new CommandReader(MEMORY, budget, () -> resumed.add("first"));
@@ -197,7 +197,7 @@
     assertNull(first.parse(buffer("x".repeat(139_999))));
     assertFalse(first.isPaused());
     Command whole = first.parse(buffer("x\r\n"));
-    assertEquals(List.of("second"), resumed, "the next goes on, whatever the first still holds");
+    assertEquals(List.of("second"), resumed, "the next continues, whatever the first still holds");
     assertFalse(second.isPaused());
     whole.release();
     whole.release();
--- a/src/test/java/beampoint/memcache/ReplyFilterTest.java
+++ b/src/test/java/beampoint/memcache/ReplyFilterTest.java
@@ -13,7 +13,7 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 import org.junit.jupiter.api.Test;
 
-/** Answers of cache nodes read off buffers. */
+/** Parsing of the answers of cache nodes. */
 class ReplyFilterTest {
 
   private static final MemoryManager<?> MEMORY = new HeapMemoryManager();
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void aValueIsTakenWithItsIdWhateverElseTheLineTells() {
+  void valueIsReadWithItsIdAndOtherFlagsAreIgnored() {
     Reply reply = parse("VA 5 O9b1f h1 Linflight=7,queue=2,util=0.61\r\nab\r\nc\r\n");
     assertEquals(Kind.VALUE, reply.kind());
     assertEquals("9b1f", text(reply.id()));
@@ -39,9 +39,9 @@
     assertEquals("", text(parse("VA 0 O9b1f\r\n\r\n").body()));
   }
 
-  /** Guards against handing on a value that was cut off as if it were whole. */
+  /** Guards against passing on a truncated value as if it were complete. */
   @Test
-  void aValueIsNoAnswerBeforeItIsWhole() {
+  void valueIsNoAnswerBeforeItIsComplete() {
     String whole = "VA 5 O9b1f\r\nabcde\r\n";
     for (int i = 0; i < whole.length(); i++) {
       assertNull(parse(whole.substring(0, i)), "after " + i + " bytes");
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void theOtherAnswers() {
+  void otherAnswersAreRead() {
     Reply receipt = parse("HD O9b1f cRECEIPT-7 Lutil=0.1\r\n");
     assertEquals(Kind.RECEIPT, receipt.kind());
     assertEquals("RECEIPT-7", text(receipt.body()));
@@ -61,9 +61,9 @@
     assertEquals(Kind.ALIVE, parse("MN\r\n").kind());
   }
 
-  /** Guards against a connection used again though more stands on it than the answer. */
+  /** Guards against reusing a connection on which more was read than the answer. */
   @Test
-  void whatStandsBehindAnAnswerIsToldWithIt() {
+  void bytesBehindAnAnswerAreReportedAsSurplus() {
     for (String answer : new String[] {"VA 2 O9b1f h1\r\nok\r\n", "HD O9b1f c1\r\n", "EN O9b1f h0\r\n",
         "MN\r\n", "SERVER_ERROR busy\r\n"}) {
       assertFalse(parse(answer).surplus(), answer);
@@ -71,15 +71,15 @@
     }
   }
 
-  /** Guards against an answer of which it is not clear whose it is. */
+  /** Guards against accepting an answer that can't be assigned to one request. */
   @Test
-  void anAnswerThatNamesTwoRequestsNamesNone() {
+  void answerWithTwoIdsHasNone() {
     assertNull(parse("VA 0 O9b1f Oother\r\n\r\n").id());
     assertNull(parse("EN O9b1f O9b1f\r\n").id());
   }
 
   @Test
-  void whatIsNotOfTheProtocolIsBad() {
+  void protocolViolationsAreBad() {
     assertEquals(Kind.BAD, parse("HTTP/1.1 200 OK\r\n").kind());
     assertEquals(Kind.BAD, parse("\r\n").kind());
     assertEquals(Kind.BAD, parse("EN\u0001 O9b1f\r\n").kind());
@@ -90,7 +90,7 @@
     assertEquals(Kind.BAD, parse("x".repeat(5000)).kind());
   }
 
-  /** What is read of answers that come in pieces of this size: kinds, lengths and bytes. */
+  /** What is parsed of answers that arrive in pieces of a size: kinds, lengths and bytes. */
   private static String read(String all, int piece) {
     ReplyReader reader = new ReplyReader(MEMORY);
     StringBuilder read = new StringBuilder();
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void aLongValueIsGivenOnAsItComesAndAShortOneOnceItIsWhole() {
+  void longValueIsStreamedAndShortOneIsReadWhenComplete() {
     String value = "ab\r\n".repeat(20_000);
     String all = "VA 80000 O9b1f h1\r\n" + value + "\r\nVA 5 O9b1f\r\nab\r\nc\r\n";
     for (int piece : new int[] {1, 3, 4096, 79_999, 200_000}) {
@@ -120,9 +120,9 @@
     }
   }
 
-  /** Guards against a long value that is spoilt at its end and passes for whole. */
+  /** Guards against a long value that passes for complete though its end is corrupt. */
   @Test
-  void aLongValueWithoutItsEndIsNeverWhole() {
+  void longValueWithoutItsEndIsNeverComplete() {
     String value = "x".repeat(70_000);
     for (String end : new String[] {"", "\r", "\rx", "xx", "\n"}) {
       assertFalse(read("VA 70000 O9b1f\r\n" + value + end, 1000).contains("|"), end);
--- a/src/test/java/beampoint/request/ParameterListTest.java
+++ b/src/test/java/beampoint/request/ParameterListTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The list of a request's parameters as a server is told it. */
+/** The parameter list as it is sent to a server. */
 class ParameterListTest {
 
   private static final MemoryManager<?> MEMORY = MemoryManager.DEFAULT_MEMORY_MANAGER;
   private static final String BEFORE = "mg 7f3a P";
 
-  /** A list somewhere in a longer buffer, as it lies in what was read. */
+  /** A list within a longer buffer, as it is after a read. */
   private static ParameterList list(String text) {
     Buffer whole = Buffers.wrap(MEMORY, (BEFORE + text + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     whole.position(BEFORE.length());
@@ -45,19 +45,19 @@
       "c=read,d=480,t=acme,k=5c0f|c=read,d=37,t=acme,k=5c0f",
       "d=480|d=37",
       "c=read,d=5,kd=480,r=1|c=read,d=37,kd=480,r=1"})
-  void theTimeThatIsLeftStandsInPlaceOfTheClients(String told, String expected) {
-    assertEquals(expected, written(list(told), 37));
-    assertEquals(expected, written(list(told).copy(MEMORY), 37), "from a buffer of its own");
+  void timeLeftReplacesTheTimeOfTheClient(String received, String expected) {
+    assertEquals(expected, written(list(received), 37));
+    assertEquals(expected, written(list(received).copy(MEMORY), 37), "from a buffer of its own");
   }
 
   @Test
-  void aListWithoutATimeGoesOnAsItCame() {
+  void listWithoutATimeIsUnchanged() {
     assertEquals("c=read,kd=480", written(list("c=read,kd=480"), 37));
     assertEquals("c=read,kd=480", written(list("c=read,kd=480").copy(MEMORY), 37));
   }
 
   @Test
-  void writingItTwiceGivesTheSame() {
+  void listCanBeWrittenTwice() {
     ParameterList list = list("c=read,d=480,t=acme");
     assertEquals("c=read,d=400,t=acme", written(list, 400));
     assertEquals("c=read,d=1,t=acme", written(list, 1));
