--- a/src/main/java/beampoint/exchange/Answer.java
+++ b/src/main/java/beampoint/exchange/Answer.java
@@ -22,7 +22,7 @@
   }
 
   /** A value or a receipt that was received completely. */
-  public static Answer whole(Kind kind, Buffer body) {
+  public static Answer complete(Kind kind, Buffer body) {
     return new Answer(kind, body, null, 0);
   }
 
--- a/src/main/java/beampoint/memcache/CommandReader.java
+++ b/src/main/java/beampoint/memcache/CommandReader.java
@@ -129,7 +129,7 @@
    */
   private Command startValue(Buffer in, Command command, int length) {
     int end = in.position() + length + 2;
-    if (length <= CommandFilter.WHOLE_VALUE && end <= in.limit()) {
+    if (length <= CommandFilter.MAX_BUFFERED_VALUE && end <= in.limit()) {
       Buffer valueAndLineEnd = in.slice(end - length - 2, end);
       in.position(end);
       return complete(command, valueAndLineEnd, null);
--- a/src/main/java/beampoint/memcache/ReplyReader.java
+++ b/src/main/java/beampoint/memcache/ReplyReader.java
@@ -82,7 +82,7 @@
     Buffer lineId = tail.id;
     load = tail.load;
     in.position(scanner.nextLine());
-    if (length > ReplyFilter.WHOLE_VALUE) {
+    if (length > ReplyFilter.MAX_BUFFERED_VALUE) {
       streamBytesLeft = length + 2;
       Buffer copy = lineId == null ? null : Collector.copy(memory, lineId);
       return new Reply(Kind.VALUE, copy, null, false, length, load);
--- a/src/main/java/beampoint/upstream/Replies.java
+++ b/src/main/java/beampoint/upstream/Replies.java
@@ -192,13 +192,13 @@
     pools.release(pooled, reply.surplus());
     boolean served = result == Result.OK && !inFlight.isProbe();
     Answer.Kind kind = reply.kind() == Reply.Kind.VALUE ? Answer.Kind.VALUE : Answer.Kind.RECEIPT;
-    listener.complete(inFlight, result, served ? Answer.whole(kind, reply.body()) : null);
+    listener.complete(inFlight, result, served ? Answer.complete(kind, reply.body()) : null);
   }
 
   private void handleContent(PooledConnection pooled, InFlight inFlight, HttpContent content) {
     boolean read = !inFlight.isProbe() && inFlight.exchange.command().kind() == Command.Kind.READ;
     boolean isLong = read && pooled.httpHead.status() == 200
-        && pooled.httpHead.length() > ReplyFilter.WHOLE_VALUE;
+        && pooled.httpHead.length() > ReplyFilter.MAX_BUFFERED_VALUE;
     if (isLong && pooled.bodyCollector == null) {
       if (pooled.httpHead.length() > MAX_BODY) {
         protocolError(pooled,
@@ -230,7 +230,7 @@
     if (head.status() == 200) {
       boolean write = !inFlight.isProbe() && inFlight.exchange.command().kind() == Command.Kind.WRITE;
       Answer.Kind kind = write ? Answer.Kind.RECEIPT : Answer.Kind.VALUE;
-      listener.complete(inFlight, Result.OK, inFlight.isProbe() ? null : Answer.whole(kind, body));
+      listener.complete(inFlight, Result.OK, inFlight.isProbe() ? null : Answer.complete(kind, body));
     } else {
       boolean notExecuted = head.declined() && (head.status() == 503 || head.status() == 504);
       listener.complete(inFlight, notExecuted ? Result.FULL : Result.ERROR, null);
--- a/src/test/java/beampoint/memcache/CommandFilterTest.java
+++ b/src/test/java/beampoint/memcache/CommandFilterTest.java
@@ -114,13 +114,13 @@
   /** Guards against commands that the proxy and a server interpret differently, or that can't be answered. */
   @Test
   void commandThatViolatesTheProtocolIsRejected() {
-    for (String malformed : new String[] {"mg k Oid Pc=r,d=1", "mg k v v Oid Pc=r,d=1", "mg k v Oid Oid Pc=r,d=1",
+    for (String line : new String[] {"mg k Oid Pc=r,d=1", "mg k v v Oid Pc=r,d=1", "mg k v Oid Oid Pc=r,d=1",
         "mg k v Oid Pc=r,d=1 Pc=r,d=2", "mg k v O Pc=r,d=1", "mg k v O" + "i".repeat(33) + " Pc=r,d=1",
         "mg k v Oid P", "mg k v Oid Pc=r,d=1,d=2", "mg k v Oid Pc=r,c=s,d=1", "mg k v Oid Pc=r,d=-1",
         "mg k v Oid Pc=r,d=1.x", "mg k v Oid Pc=r,d=+1", "mg k v Oid Pc=r,d=1e3", "mg k v Oid Pc=r,d=",
         "mg k v Oid Pc=r,d=99999999999", "mg k v Oid Pc=,d=1", "mg k v Oid Pc=r,,d=1", "mg k v Oid Pc=r,d=1,",
         "mg k v Oid Pc=r,d=1,t", "mg k v Oid Pd=1", "mg k 5 Oid Pc=r,d=1"}) {
-      assertRejected(Kind.BAD, "CLIENT_ERROR", malformed + "\r\n");
+      assertRejected(Kind.BAD, "CLIENT_ERROR", line + "\r\n");
     }
     assertRejected(Kind.BAD, "CLIENT_ERROR", "ms k 2 v Oid Pc=r,d=1\r\nab\r\n");
     assertRejected(Kind.FATAL, "CLIENT_ERROR", "ms k -2 Oid Pc=r,d=1\r\nab\r\n");
