--- a/src/main/java/beampoint/client/Session.java
+++ b/src/main/java/beampoint/client/Session.java
@@ -90,11 +90,11 @@
    *
    * @param hasPartialCommand true if the beginning of a command was read
    * @param valueBytes how many bytes were read of an incomplete value
-   * @param commandTimeout the limit before the first command and within a command, in ms
-   * @param idleTimeout the limit between commands, in ms
+   * @param commandTimeoutMs the limit before the first command and within a command
+   * @param idleTimeoutMs the limit between commands
    */
-  void closeIfStale(double now, boolean hasPartialCommand, int valueBytes, double commandTimeout,
-      double idleTimeout) {
+  void closeIfStale(double now, boolean hasPartialCommand, int valueBytes, double commandTimeoutMs,
+      double idleTimeoutMs) {
     boolean valueProgressed = valueBytes != partialValueBytes;
     partialValueBytes = valueBytes;
     if (closing || !isIdle() || valueProgressed) {
@@ -106,7 +106,7 @@
       inactiveSince = now;
     }
     hadPartialCommand = hasPartialCommand;
-    if (now - inactiveSince >= (hasReadCommand && !hadPartialCommand ? idleTimeout : commandTimeout)) {
+    if (now - inactiveSince >= (hasReadCommand && !hadPartialCommand ? idleTimeoutMs : commandTimeoutMs)) {
       sessions.counters().add(Counter.CLIENT_CONNECTIONS_CLOSED_STALE);
       closeWhenIdle();
     }
@@ -286,8 +286,8 @@
   }
 
   /** True if the connection has been in its lingering close for at least so many ms. */
-  boolean isLingeringFor(double time) {
-    return closed && lingering && sessions.now() - lingeringSince >= time;
+  boolean isLingeringFor(double timeMs) {
+    return closed && lingering && sessions.now() - lingeringSince >= timeMs;
   }
 
   private void discardBacklog() {
@@ -348,8 +348,8 @@
   }
 
   /** True if a write has made no progress for longer than the timeout, as the client does not read. */
-  boolean isStalled(double now, double timeout) {
-    return writesInProgress > 0 && now - lastWriteProgressAt > timeout;
+  boolean isStalled(double now, double timeoutMs) {
+    return writesInProgress > 0 && now - lastWriteProgressAt > timeoutMs;
   }
 
   /** Ends the connection without flushing or lingering. */
--- a/src/main/java/beampoint/client/Sessions.java
+++ b/src/main/java/beampoint/client/Sessions.java
@@ -67,6 +67,12 @@
   private int backlogBytes; // of commands that are read and not started
   private boolean refusesQueuedRequests;
 
+  /**
+   * Creates the client side, which does not listen yet.
+   *
+   * @param clock the proxy's clock, in ms
+   * @param budget the memory for values that are being read
+   */
   public Sessions(TCPNIOTransport transport, ScheduledExecutorService loop, DoubleSupplier clock,
       Arrivals arrivals, RequestHandler requestHandler, Counters counters, Budget budget) {
     this.transport = transport;
@@ -229,7 +235,8 @@
    */
   private void closeStale() {
     double now = clock.getAsDouble();
-    double idle = sessions.size() > evictionThreshold / 2 ? CROWDED_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
+    double idleTimeoutMs =
+        sessions.size() > evictionThreshold / 2 ? CROWDED_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
     for (Map.Entry<Connection<?>, Session> entry : List.copyOf(sessions.entrySet())) {
       Connection<?> connection = entry.getKey();
       Session session = entry.getValue();
@@ -240,7 +247,7 @@
         session.terminate();
       } else if (bytes >= 0) {
         session.closeIfStale(now, commandFilter.hasPartialCommand(connection), bytes, COMMAND_TIMEOUT_MS,
-            idle);
+            idleTimeoutMs);
       }
     }
   }
--- a/src/main/java/beampoint/upstream/ConnectionPools.java
+++ b/src/main/java/beampoint/upstream/ConnectionPools.java
@@ -130,15 +130,15 @@
   }
 
   /**
-   * Sets the timeouts, in ms.
+   * Sets the timeouts.
    *
-   * @param connect the connect timeout
-   * @param idle the time after which peers close an idle connection
+   * @param connectMs the connect timeout
+   * @param idleMs the time after which peers close an idle connection
    */
-  void setTimeouts(double connect, double idle) {
-    connectTimeoutMs = connect;
+  void setTimeouts(double connectMs, double idleMs) {
+    connectTimeoutMs = connectMs;
     // Idle connections are closed before the peer does, so that no request crosses with the peer's close.
-    maxIdleMs = idle - Math.min(idle / 2, Math.max(idle / 10, 2 * connect));
+    maxIdleMs = idleMs - Math.min(idleMs / 2, Math.max(idleMs / 10, 2 * connectMs));
   }
 
   double connectTimeoutMs() {
--- a/src/main/java/beampoint/upstream/Upstreams.java
+++ b/src/main/java/beampoint/upstream/Upstreams.java
@@ -54,8 +54,17 @@
   private final Map<Long, Map<Integer, InFlight>> inFlightAttempts = new HashMap<>();
   private final Future<?> connectionCheck; // closes connections that are idle for too long or stalled
 
+  /**
+   * Creates the upstream side, without endpoints.
+   *
+   * @param clock the proxy's clock, in ms
+   * @param budget the memory for values that are being read
+   * @param connectTimeoutMs the connect timeout
+   * @param idleTimeoutMs the time after which peers close an idle connection
+   */
   public Upstreams(TCPNIOTransport transport, ScheduledExecutorService loop, DoubleSupplier clock,
-      AttemptListener listener, Counters counters, Budget budget, double connectTimeout, double idleTime) {
+      AttemptListener listener, Counters counters, Budget budget, double connectTimeoutMs,
+      double idleTimeoutMs) {
     this.loop = loop;
     this.clock = clock;
     this.listener = listener;
@@ -65,7 +74,7 @@
     Events events = new Events();
     this.pools = new ConnectionPools(transport, loop, clock, counters, events);
     this.replies = new Replies(pools, transport.getMemoryManager(), clock, counters, budget, events);
-    pools.setTimeouts(connectTimeout, idleTime);
+    pools.setTimeouts(connectTimeoutMs, idleTimeoutMs);
     this.connectionCheck = loop.scheduleWithFixedDelay(() -> {
       replies.endStalled();
       pools.closeExpiredIdle();
@@ -109,13 +118,13 @@
   }
 
   /**
-   * Sets the timeouts, in ms.
+   * Sets the timeouts.
    *
-   * @param connect the connect timeout
-   * @param idle the time after which peers close an idle connection
+   * @param connectMs the connect timeout
+   * @param idleMs the time after which peers close an idle connection
    */
-  public void setTimeouts(double connect, double idle) {
-    pools.setTimeouts(connect, idle);
+  public void setTimeouts(double connectMs, double idleMs) {
+    pools.setTimeouts(connectMs, idleMs);
   }
 
   /** Sets the maximum number of connections; idle ones beyond it are closed. */
