--- a/src/main/java/beampoint/transport/ReadAheadFilter.java
+++ b/src/main/java/beampoint/transport/ReadAheadFilter.java
@@ -29,18 +29,18 @@
   private record Chunk(Buffer bytes, double arrivedAt) {}
 
   /** What was read ahead on one connection. */
-  private static final class Ahead {
+  private static final class ReadAhead {
     private final Deque<Chunk> chunks = new ArrayDeque<>();
     private double arrivedAt; // of the chunk that was passed on last
     private long pass = -1; // the selector pass in which that was
     private boolean isScheduled; // true if the next chunk will be passed on by a task
   }
 
-  private final Attribute<Ahead> aheads =
-      Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("read-ahead", Ahead::new);
+  private final Attribute<ReadAhead> readAheads =
+      Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("read-ahead", ReadAhead::new);
   private final Arrivals arrivals;
   private final ToDoubleFunction<Connection<?>> arrivedAt;
-  private int bytes; // read ahead on all connections
+  private int bufferedBytes; // on all connections
 
   /**
    * Creates the filter for all connections of a chain.
@@ -55,50 +55,50 @@
 
   /** The earliest time at which what is passed on for a connection now can have arrived, in ms. */
   public double arrivedAt(Connection<?> connection) {
-    return aheads.get(connection).arrivedAt;
+    return readAheads.get(connection).arrivedAt;
   }
 
   @Override
   public NextAction handleRead(FilterChainContext ctx) {
     NIOConnection connection = (NIOConnection) ctx.getConnection();
-    Ahead ahead = aheads.get(connection);
+    ReadAhead readAhead = readAheads.get(connection);
     try {
-      readAll(connection, ahead);
+      readAll(connection, readAhead);
     } catch (IOException e) {
-      clear(ahead);
+      clear(readAhead);
       connection.terminateWithReason(e); // notifies the filters, unless they were before
       return ctx.getStopAction();
     }
-    if (ahead.chunks.isEmpty() || ahead.pass == arrivals.pass()) {
-      schedule(connection, ahead);
+    if (readAhead.chunks.isEmpty() || readAhead.pass == arrivals.pass()) {
+      schedule(connection, readAhead);
       return ctx.getStopAction();
     }
-    Chunk next = ahead.chunks.poll();
-    bytes -= next.bytes().remaining();
-    ahead.arrivedAt = next.arrivedAt();
-    ahead.pass = arrivals.pass();
-    schedule(connection, ahead);
+    Chunk next = readAhead.chunks.poll();
+    bufferedBytes -= next.bytes().remaining();
+    readAhead.arrivedAt = next.arrivedAt();
+    readAhead.pass = arrivals.pass();
+    schedule(connection, readAhead);
     ctx.setMessage(next.bytes());
     return ctx.getInvokeAction();
   }
 
   /** Reads once, and if that fills the read buffer, until nothing is left or the limit is reached. */
-  private void readAll(NIOConnection connection, Ahead ahead) throws IOException {
+  private void readAll(NIOConnection connection, ReadAhead readAhead) throws IOException {
     Buffer message = SocketReadFilter.read(connection);
     boolean isFull = message != null && message.remaining() == connection.getReadBufferSize();
     while (message != null) {
-      ahead.chunks.add(new Chunk(message, arrivedAt.applyAsDouble(connection)));
-      bytes += message.remaining();
-      message = isFull && bytes < MAX_READ_AHEAD_BYTES ? SocketReadFilter.read(connection) : null;
+      readAhead.chunks.add(new Chunk(message, arrivedAt.applyAsDouble(connection)));
+      bufferedBytes += message.remaining();
+      message = isFull && bufferedBytes < MAX_READ_AHEAD_BYTES ? SocketReadFilter.read(connection) : null;
     }
   }
 
-  private void schedule(NIOConnection connection, Ahead ahead) {
-    if (!ahead.isScheduled && !ahead.chunks.isEmpty()) {
-      ahead.isScheduled = true;
+  private void schedule(NIOConnection connection, ReadAhead readAhead) {
+    if (!readAhead.isScheduled && !readAhead.chunks.isEmpty()) {
+      readAhead.isScheduled = true;
       arrivals.afterNextRead(() -> {
-        ahead.isScheduled = false;
-        if (connection.isOpen() && !ahead.chunks.isEmpty() && isReadingEnabled(connection)) {
+        readAhead.isScheduled = false;
+        if (connection.isOpen() && !readAhead.chunks.isEmpty() && isReadingEnabled(connection)) {
           ((TCPNIOTransport) connection.getTransport()).fireIOEvent(IOEvent.READ, connection, null);
         }
       });
@@ -112,20 +112,20 @@
 
   /** Passes on what was read ahead before reading was disabled; called after it is enabled again. */
   public void resume(Connection<?> connection) {
-    schedule((NIOConnection) connection, aheads.get(connection));
+    schedule((NIOConnection) connection, readAheads.get(connection));
   }
 
-  private void clear(Ahead ahead) {
-    for (Chunk chunk : ahead.chunks) {
-      bytes -= chunk.bytes().remaining();
+  private void clear(ReadAhead readAhead) {
+    for (Chunk chunk : readAhead.chunks) {
+      bufferedBytes -= chunk.bytes().remaining();
       chunk.bytes().tryDispose();
     }
-    ahead.chunks.clear();
+    readAhead.chunks.clear();
   }
 
   @Override
   public NextAction handleClose(FilterChainContext ctx) {
-    clear(aheads.get(ctx.getConnection()));
+    clear(readAheads.get(ctx.getConnection()));
     return ctx.getInvokeAction();
   }
 }
