--- a/src/main/java/beampoint/exchange/Answer.java
+++ b/src/main/java/beampoint/exchange/Answer.java
@@ -12,7 +12,9 @@
 public record Answer(Kind kind, Buffer body, Stream stream, long retryAfterMs) {
 
   /** How a request ended: served with a value or a receipt, refused, or failed. */
-  public enum Kind { VALUE, RECEIPT, REFUSED, FAILED }
+  public enum Kind {
+    VALUE, RECEIPT, REFUSED, FAILED
+  }
 
   public static final Answer FAILED = new Answer(Kind.FAILED, null, null, 0);
 
--- a/src/main/java/beampoint/handover/BanFile.java
+++ b/src/main/java/beampoint/handover/BanFile.java
@@ -112,7 +112,8 @@
       Path next = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
       byte[] bytes = json().getBytes(StandardCharsets.UTF_8);
       if (bytes.length > MAX_FILE_BYTES) {
-        throw new IOException("too long: " + bytes.length + " bytes, the limit is " + MAX_FILE_BYTES);
+        throw new IOException(
+            "too long: " + bytes.length + " bytes, the limit is " + MAX_FILE_BYTES + " bytes");
       }
       Files.write(next, bytes);
       Files.move(next, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
