--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -18,10 +18,10 @@
 import beampoint.discovery.HostListWatcher;
 import beampoint.exchange.Answer;
 import beampoint.exchange.Exchange;
-import beampoint.exchange.Intake;
+import beampoint.exchange.RequestHandler;
 import beampoint.log.Log;
 import beampoint.memcache.Command;
-import beampoint.upstream.Reports;
+import beampoint.upstream.AttemptListener;
 import beampoint.upstream.Upstreams;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -39,7 +39,7 @@
  * Passes events to the decision module and carries out the actions that it returns, for all open requests. It
  * selects no endpoint, retries nothing and refuses nothing itself. Belongs to the decision thread.
  */
-final class Decisions implements Intake, Reports {
+final class Decisions implements RequestHandler, AttemptListener {
 
   private static final Log LOG = Log.of("serve");
   private static final double OVERDUE_CHECK_MS = 15; // for the module to answer after an event
@@ -115,7 +115,7 @@
 
   /** Rejects an id that another open request uses as well, because answers name their request by its id. */
   @Override
-  public String problem(Command command) {
+  public String rejectionReason(Command command) {
     return names.requestClass(command) < 0 ? "unknown class"
         : !names.knowsTenant(command) ? "unknown tenant"
         : idsInUse.contains(id(command)) ? "id in use" : null;
@@ -126,10 +126,10 @@
   }
 
   @Override
-  public Exchange take(Command command, double readAt, BooleanSupplier left, Consumer<Answer> client) {
+  public Exchange accept(Command command, double readAt, BooleanSupplier left, Consumer<Answer> client) {
     int requestClass = names.requestClass(command);
     Exchange exchange = open(command, readAt + command.waitMs(), left, client);
-    double notAfter = exchange.notAfter();
+    double notAfter = exchange.deadline();
     // Queued, because the request must have its place in the order of answers before the module can answer.
     loop.execute(() -> {
       scheduleOverdueCheck(notAfter + OVERDUE_CHECK_MS - clock.getAsDouble(), exchange, notAfter);
@@ -161,17 +161,17 @@
   }
 
   private void begin(Exchange exchange, int requestClass) {
-    if (exchange.isWanted()) { // otherwise the module would receive RequestGone before RequestReceived
+    if (exchange.isClientWaiting()) { // otherwise the module would receive RequestGone before RequestReceived
       submit(exchange, requestClass, false);
     }
   }
 
   private void submit(Exchange exchange, int requestClass, boolean overflow) {
     Command command = exchange.command();
-    exchange.told(clock.getAsDouble());
-    dispatch(new RequestReceived(exchange.id(), Math.min(exchange.notAfter(), attemptDeadline),
+    exchange.setLastEventAt(clock.getAsDouble());
+    dispatch(new RequestReceived(exchange.id(), Math.min(exchange.deadline(), attemptDeadline),
         names.tenant(command), requestClass, NameIndex.key(command.key()),
-        command.kind() == Command.Kind.WRITE, command.again(), overflow));
+        command.kind() == Command.Kind.WRITE, command.isRetry(), overflow));
   }
 
   /** A call to discovery has been answered or has failed: requests no longer wait for the first list. */
@@ -201,21 +201,21 @@
       return;
     }
     double now = clock.getAsDouble();
-    boolean mayBeAnswered = exchange.attemptsOut() > 0 || exchange.toldAt() >= since;
+    boolean mayBeAnswered = exchange.attemptsInFlight() > 0 || exchange.lastEventAt() >= since;
     if (mayBeAnswered && extensions > 0) {
       loop.after(OVERDUE_CHECK_MS, () -> checkOverdue(id, now, extensions - 1));
       return;
     }
     counters.add(Counter.ANSWERS_OVERDUE);
-    LOG.error("no answer in time for request " + id + ": " + Math.round(now - exchange.notAfter())
-        + " ms past its deadline, " + exchange.attemptsOut() + " attempts in flight, last module event "
-        + Math.round(now - exchange.toldAt()) + " ms ago");
+    LOG.error("no answer in time for request " + id + ": " + Math.round(now - exchange.deadline())
+        + " ms past its deadline, " + exchange.attemptsInFlight() + " attempts in flight, last module event "
+        + Math.round(now - exchange.lastEventAt()) + " ms ago");
     close(exchange, Answer.FAILED);
     dispatch(new RequestGone(id));
   }
 
   @Override
-  public void gone(Exchange exchange) {
+  public void clientGone(Exchange exchange) {
     if (exchange.abandon()) {
       counters.add(Counter.REQUESTS_GONE);
       releaseIfDone(exchange);
@@ -225,10 +225,10 @@
   }
 
   @Override
-  public void ended(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
+  public void attemptEnded(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
       Answer answer, String load) {
     exchange.endAttempt();
-    exchange.told(clock.getAsDouble());
+    exchange.setLastEventAt(clock.getAsDouble());
     if (answer != null) {
       close(exchange, answer);
     }
@@ -238,7 +238,7 @@
   }
 
   @Override
-  public void probed(String endpoint, double elapsed, Result result) {
+  public void probeEnded(String endpoint, double elapsed, Result result) {
     dispatch(new ProbeEnded(endpoint, result, elapsed));
   }
 
@@ -300,16 +300,16 @@
       return;
     }
     double now = clock.getAsDouble();
-    double last = Math.min(exchange.notAfter(), attemptDeadline);
-    counters.check(settings.limits().secondCopies() || exchange.attemptsOut() == 0,
+    double last = Math.min(exchange.deadline(), attemptDeadline);
+    counters.check(settings.limits().secondCopies() || exchange.attemptsInFlight() == 0,
         "only one attempt is in flight at a time");
     checkNotBanned(a.endpoint());
     int attempt = exchange.beginAttempt();
-    if (!exchange.isWanted()) {
-      gone(exchange);
+    if (!exchange.isClientWaiting()) {
+      clientGone(exchange);
     }
     if (exchange.isOver() || now >= last || attempt >= exchange.maxAttempts()) {
-      loop.execute(() -> ended(exchange, attempt, a.endpoint(), 0, Result.NOT_SENT, null, null));
+      loop.execute(() -> attemptEnded(exchange, attempt, a.endpoint(), 0, Result.NOT_SENT, null, null));
     } else {
       upstreams.send(exchange, attempt, a.endpoint(),
           a.timeout() > 0 ? Math.min(last, now + a.timeout()) : last, a.startBy());
@@ -328,7 +328,7 @@
 
   /** Releases an exchange once it is over and has no attempt in flight. */
   private void releaseIfDone(Exchange exchange) {
-    if (exchange.isOver() && exchange.attemptsOut() == 0) {
+    if (exchange.isOver() && exchange.attemptsInFlight() == 0) {
       exchange.command().release();
       exchanges.remove(exchange.id());
       idsInUse.remove(id(exchange.command()));
--- a/src/main/java/beampoint/serve/GracefulShutdown.java
+++ b/src/main/java/beampoint/serve/GracefulShutdown.java
@@ -57,7 +57,7 @@
       answeredBy = clock.getAsDouble() + killAfterMs - ANSWER_MARGIN_MS;
       decisions.setAttemptDeadline(answeredBy);
       loop.after(ACCEPT_MS, this::stopListening);
-      loop.after(killAfterMs - ANSWER_MARGIN_MS - REFUSE_MARGIN_MS, sessions::refuseWaiting);
+      loop.after(killAfterMs - ANSWER_MARGIN_MS - REFUSE_MARGIN_MS, sessions::refuseQueuedRequests);
       loop.after(killAfterMs - ANSWER_MARGIN_MS, this::expireAttempts);
     });
     drained.await((long) (killAfterMs + KILL_DELAY_MS), TimeUnit.MILLISECONDS);
--- a/src/main/java/beampoint/serve/HostListReceiver.java
+++ b/src/main/java/beampoint/serve/HostListReceiver.java
@@ -95,7 +95,7 @@
     if (endpoint.state() == EndpointState.GONE) {
       upstreams.remove(endpoint.id());
     } else if (host.dial() != null) { // without an address it drains, and its in-flight requests just end
-      upstreams.place(endpoint.id(), host.dial(), isOrigin, endpoint.startedAt());
+      upstreams.putEndpoint(endpoint.id(), host.dial(), isOrigin, endpoint.startedAt());
     }
     if (endpoint.state() == EndpointState.DRAINING) {
       upstreams.drain(endpoint.id());
--- a/src/main/java/beampoint/serve/Operations.java
+++ b/src/main/java/beampoint/serve/Operations.java
@@ -7,7 +7,7 @@
 import beampoint.count.Counters;
 import beampoint.handover.Ban;
 import beampoint.handover.BanFile;
-import beampoint.handover.Presence;
+import beampoint.handover.ProcessRegistry;
 import beampoint.log.Log;
 import beampoint.ops.AdminService;
 import java.io.IOException;
@@ -41,7 +41,7 @@
 
   private final Dependencies proxy;
   private final BanFile banFile;
-  private Presence presence; // null if the directory can't be used
+  private ProcessRegistry presence; // null if the directory can't be used
   private int processes = 1;
 
   Operations(Path directory, String name, int port, Dependencies proxy) {
@@ -49,7 +49,7 @@
     String base = "beampoint-" + name.replaceAll("[^A-Za-z0-9.-]", "_") + "-" + port;
     this.banFile = new BanFile(directory.resolve(base + ".bans.json"), name);
     try {
-      presence = new Presence(directory.resolve(base + ".processes"));
+      presence = new ProcessRegistry(directory.resolve(base + ".processes"));
     } catch (IOException e) {
       LOG.error("can't detect other processes of this proxy in " + directory + ": " + e.getMessage());
     }
@@ -79,7 +79,7 @@
 
   /** True while an operator has detached a node. */
   boolean isBanned(String node) {
-    Ban ban = banFile.of(node);
+    Ban ban = banFile.get(node);
     return ban != null && ban.isOut();
   }
 
@@ -112,13 +112,13 @@
 
   /** Applies a change, then stores it, then answers: the call takes effect even if its answer is lost. */
   private Outcome change(String node, boolean detached) {
-    if (!proxy.isKnownNode().test(node) && banFile.of(node) == null) {
+    if (!proxy.isKnownNode().test(node) && banFile.get(node) == null) {
       return Outcome.UNKNOWN;
     }
-    if (!banFile.change(node, detached, proxy.clock().getAsDouble())) {
+    if (!banFile.setBanned(node, detached, proxy.clock().getAsDouble())) {
       return Outcome.TOO_MANY;
     }
-    Ban ban = banFile.of(node);
+    Ban ban = banFile.get(node);
     if (ban != null) {
       apply(ban);
     }
--- a/src/main/java/beampoint/serve/Proxy.java
+++ b/src/main/java/beampoint/serve/Proxy.java
@@ -141,8 +141,8 @@
     int available = Math.max(MIN_DESCRIPTORS, (config.sockets() - processes * reserved) / processes);
     budget.limit(config.memoryMb() * 1024L * 1024 / BUDGET_DIVISOR / processes);
     int clients = processes == 1 ? available / 2 : available * 2 / 3;
-    upstreams.resize(available - clients);
-    sessions.resize(clients, Math.min(clients * 9 / 10, config.sockets() / MANY_CLIENTS_DIVISOR));
+    upstreams.setMaxConnections(available - clients);
+    sessions.setConnectionLimits(clients, Math.min(clients * 9 / 10, config.sockets() / MANY_CLIENTS_DIVISOR));
   }
 
   /**
--- a/src/main/java/beampoint/serve/WarmUp.java
+++ b/src/main/java/beampoint/serve/WarmUp.java
@@ -14,7 +14,7 @@
 import beampoint.count.Counters;
 import beampoint.exchange.Answer;
 import beampoint.exchange.Exchange;
-import beampoint.upstream.Reports;
+import beampoint.upstream.AttemptListener;
 import beampoint.upstream.Upstreams;
 import java.net.InetSocketAddress;
 import java.util.concurrent.ScheduledExecutorService;
@@ -28,7 +28,7 @@
  * listen there too, to the address for operators. The warm-up is short because no proxy serves during it if
  * most proxies restart at once.
  */
-final class WarmUp implements Reports {
+final class WarmUp implements AttemptListener {
 
   private static final String SELF = "self";
   private static final int REQUESTS = 50;
@@ -59,7 +59,7 @@
   void start(Balancer module, Settings settings, ListReceived known, InetSocketAddress self, boolean http) {
     endsAt = clock.getAsDouble() + MAX_MS;
     exerciseModule(module, settings, known);
-    upstreams.place(SELF, self, http, 0);
+    upstreams.putEndpoint(SELF, self, http, 0);
     upstreams.probe(SELF);
   }
 
@@ -84,7 +84,7 @@
   }
 
   @Override
-  public void probed(String endpoint, double elapsed, Result result) {
+  public void probeEnded(String endpoint, double elapsed, Result result) {
     if (++probes < PROBES && clock.getAsDouble() < endsAt) {
       upstreams.probe(SELF);
     } else {
@@ -94,7 +94,7 @@
   }
 
   @Override
-  public void ended(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
+  public void attemptEnded(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
       Answer answer, String load) {
     throw new IllegalStateException("the warm-up makes no attempts, but one ended");
   }
