--- a/src/benchmark/java/beampoint/benchmark/HollowFleet.java
+++ b/src/benchmark/java/beampoint/benchmark/HollowFleet.java
@@ -1,7 +1,7 @@
 package beampoint.benchmark;
 
 import beampoint.emulator.MemberFleet;
-import beampoint.fleet.membership.MemberTerms;
+import beampoint.fleet.membership.MembershipSettings;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.List;
@@ -23,7 +23,7 @@
     List<LinearFit.Point> cpu = new ArrayList<>();
     for (String size : args[0].split(",")) {
       int members = Integer.parseInt(size);
-      MemberFleet fleet = new MemberFleet(members, MemberTerms.usual(), 1);
+      MemberFleet fleet = new MemberFleet(members, MembershipSettings.defaults(), 1);
       fleet.runTo(SETTLED_AT_MS);
       long messagesBefore = fleet.messages();
       long bytesBefore = fleet.bytes();
--- a/src/benchmark/java/beampoint/benchmark/MessageBytes.java
+++ b/src/benchmark/java/beampoint/benchmark/MessageBytes.java
@@ -1,8 +1,8 @@
 package beampoint.benchmark;
 
 import beampoint.fleet.message.Codec;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Message;
-import beampoint.fleet.message.News;
 import beampoint.fleet.message.Status;
 import java.util.ArrayList;
 import java.util.List;
@@ -23,7 +23,7 @@
     Codec codec = new Codec("north");
     List<LinearFit.Point> points = new ArrayList<>();
     for (int count : NEWS) {
-      List<News> news = new ArrayList<>();
+      List<MemberState> news = new ArrayList<>();
       for (int i = 0; i < count; i++) {
         news.add(member(i));
       }
@@ -36,16 +36,17 @@
     purges(codec, fit);
   }
 
-  private static News member(int number) {
+  private static MemberState member(int number) {
     String name = String.format(Locale.ROOT, "site-%03d-n%04d", number % 180, number);
     String address = "10.131." + number / 250 + "." + number % 250 + ":7946";
-    return new News(name, address, Status.ALIVE, 3, false, name);
+    return new MemberState(name, address, Status.ALIVE, 3, false, name);
   }
 
   /** A purge has the length of news whose member is a key: by whom, in which order, which key. */
   private static void purges(Codec codec, LinearFit fit) {
-    News by = member(1);
-    News purge = new News("p".repeat(KEY_BYTES), "", Status.ALIVE, 4_000_000_000L, false, by.member());
+    MemberState by = member(1);
+    MemberState purge =
+        new MemberState("p".repeat(KEY_BYTES), "", Status.ALIVE, 4_000_000_000L, false, by.member());
     Message none = new Message(Message.Kind.GOSSIP, 100_000, by, "", List.of());
     Message one = new Message(Message.Kind.GOSSIP, 100_000, by, "", List.of(purge));
     double each = codec.write(one).length - codec.write(none).length;
--- a/src/main/java/beampoint/emulator/ControlLog.java
+++ b/src/main/java/beampoint/emulator/ControlLog.java
@@ -22,7 +22,7 @@
 import beampoint.fleet.distribution.DistributionEvent.Installed;
 import beampoint.fleet.distribution.DistributionNode;
 import beampoint.fleet.facts.Epoch;
-import beampoint.fleet.lease.LeaseTerms;
+import beampoint.fleet.lease.LeaseSettings;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -59,7 +59,7 @@
   private final Consumer<ControlHost> leaderChanged;
   private final ChangeCodec codec = new ChangeCodec("emulated");
   private final LogTerms terms;
-  private final LeaseTerms leaseTerms;
+  private final LeaseSettings leaseTerms;
   private final Map<ChangeId, Pending> pending = new HashMap<>();
   private long submitted;
   private double commitMax;
@@ -80,7 +80,7 @@
       voters.add(layout.place(i).name());
     }
     this.terms = new LogTerms(voters, RETRY, LogLimits.USUAL);
-    this.leaseTerms = new LeaseTerms(voters, LEASE, DRIFT);
+    this.leaseTerms = new LeaseSettings(voters, LEASE, DRIFT);
   }
 
   void started(ControlHost host) {
--- a/src/main/java/beampoint/emulator/MemberFleet.java
+++ b/src/main/java/beampoint/emulator/MemberFleet.java
@@ -5,11 +5,11 @@
 import beampoint.fleet.membership.MemberAction.Exchange;
 import beampoint.fleet.membership.MemberAction.Send;
 import beampoint.fleet.membership.MemberEvent;
-import beampoint.fleet.membership.MemberTerms;
 import beampoint.fleet.membership.Membership;
+import beampoint.fleet.membership.MembershipSettings;
 import beampoint.fleet.message.Codec;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Message;
-import beampoint.fleet.message.News;
 import beampoint.fleet.message.Status;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -56,11 +56,11 @@
   private static final long FIRST_INCARNATION = 1; // with which a member begins
 
   private final Clock clock = new Clock(0);
-  private final MemberTerms terms;
+  private final MembershipSettings terms;
   private final UniformRandomProvider random;
   private final UniformRandomProvider seeds;
   private final List<Host> hosts = new ArrayList<>();
-  private final List<News> known;
+  private final List<MemberState> known;
   private final double[][] losses;
   private final List<Death> deaths = new ArrayList<>();
   private double delay = 0.5;
@@ -73,16 +73,16 @@
   private long machineNanos;
 
   /** So many members that all know each other's addresses, and have heard of none yet. */
-  public MemberFleet(int members, MemberTerms terms, long seed) {
+  public MemberFleet(int members, MembershipSettings terms, long seed) {
     this(terms, seed, known(members, 0));
   }
 
   /** The same long after they were started: none is news to another. */
-  public static MemberFleet settled(int members, MemberTerms terms, long seed) {
+  public static MemberFleet settled(int members, MembershipSettings terms, long seed) {
     return new MemberFleet(terms, seed, known(members, FIRST_INCARNATION));
   }
 
-  private MemberFleet(MemberTerms terms, long seed, List<News> known) {
+  private MemberFleet(MembershipSettings terms, long seed, List<MemberState> known) {
     int members = known.size();
     this.terms = terms;
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
@@ -97,10 +97,10 @@
   }
 
   /** So many members, as each knows the others; under incarnation 0 before it has heard of them. */
-  public static List<News> known(int members, long incarnation) {
-    List<News> known = new ArrayList<>();
+  public static List<MemberState> known(int members, long incarnation) {
+    List<MemberState> known = new ArrayList<>();
     for (int i = 0; i < members; i++) {
-      known.add(new News(name(i), "10.0.0." + i + ":7946", Status.ALIVE, incarnation, false, name(i)));
+      known.add(new MemberState(name(i), "10.0.0." + i + ":7946", Status.ALIVE, incarnation, false, name(i)));
     }
     return known;
   }
@@ -208,7 +208,7 @@
   public Status view(int of, int by) {
     Membership membership = hosts.get(by).membership;
     return membership == null ? null : membership.view().stream()
-        .filter(n -> n.member().equals(name(of))).map(News::status).findFirst().orElse(null);
+        .filter(n -> n.member().equals(name(of))).map(MemberState::status).findFirst().orElse(null);
   }
 
   /** The member's machine; null while it is down. */
@@ -321,10 +321,10 @@
     if (!stands || other.membership == null || other.paused) {
       return;
     }
-    List<News> asked = view(one);
+    List<MemberState> asked = view(one);
     clock.after(3 * (delay + jitter), () -> {
       if (other.membership != null) {
-        List<News> answer = view(other);
+        List<MemberState> answer = view(other);
         give(other, new MemberEvent.ViewReceived(asked));
         clock.after(delay + jitter,
             () -> whenAwake(one, () -> give(one, new MemberEvent.ViewReceived(answer))));
@@ -332,8 +332,8 @@
     });
   }
 
-  private List<News> view(Host of) {
-    List<News> view = of.membership.view();
+  private List<MemberState> view(Host of) {
+    List<MemberState> view = of.membership.view();
     traffic.view(of.number, clock.now(), wire.bytesOfView(view));
     return view;
   }
--- a/src/main/java/beampoint/emulator/MemberWire.java
+++ b/src/main/java/beampoint/emulator/MemberWire.java
@@ -2,8 +2,8 @@
 
 import beampoint.fleet.message.Codec;
 import beampoint.fleet.message.MalformedMessageException;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Message;
-import beampoint.fleet.message.News;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -20,7 +20,7 @@
 
   private final Codec codec;
   private final int bytesOfEmptyView;
-  private final Map<News, Integer> sizes = new HashMap<>();
+  private final Map<MemberState, Integer> sizes = new HashMap<>();
 
   MemberWire(Codec codec) {
     this.codec = codec;
@@ -44,12 +44,12 @@
   }
 
   /** How long a whole view is, by the sizes of its entries, of which most stand in the next view as well. */
-  int bytesOfView(List<News> view) {
+  int bytesOfView(List<MemberState> view) {
     if (sizes.size() > MAX_SIZES) {
       sizes.clear();
     }
     int bytes = bytesOfEmptyView;
-    for (News news : view) {
+    for (MemberState news : view) {
       bytes += sizes.computeIfAbsent(news, n -> codec.writeView(List.of(n)).length - bytesOfEmptyView);
     }
     return bytes;
--- a/src/main/java/beampoint/emulator/MembershipViews.java
+++ b/src/main/java/beampoint/emulator/MembershipViews.java
@@ -5,12 +5,12 @@
 import beampoint.fleet.membership.MemberAction.Exchange;
 import beampoint.fleet.membership.MemberAction.Send;
 import beampoint.fleet.membership.MemberEvent;
-import beampoint.fleet.membership.MemberTerms;
 import beampoint.fleet.membership.Membership;
+import beampoint.fleet.membership.MembershipSettings;
 import beampoint.fleet.message.Codec;
 import beampoint.fleet.message.MalformedMessageException;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Message;
-import beampoint.fleet.message.News;
 import beampoint.fleet.message.Status;
 import java.util.ArrayList;
 import java.util.List;
@@ -34,9 +34,9 @@
   private final FleetLayout layout;
   private final Consumer<ControlHost> viewChanged;
   private final UniformRandomProvider random;
-  private final MemberTerms terms = MemberTerms.usual();
+  private final MembershipSettings terms = MembershipSettings.defaults();
   private final Codec codec = new Codec("emulated");
-  private final List<News> known = new ArrayList<>();
+  private final List<MemberState> known = new ArrayList<>();
   private final SiteNeighbours neighbours;
   private final double[] changedAt; // when a host was last killed, started, cut off or healed
   private final Histogram detection = new Histogram(MAX_DETECTION, 3);
@@ -56,7 +56,7 @@
     this.changedAt = new double[layout.hosts()];
     for (int i = 0; i < layout.hosts(); i++) {
       String name = layout.place(i).name();
-      known.add(new News(name, "10." + i / 62_500 + "." + i / 250 % 250 + "." + i % 250 + ":7946",
+      known.add(new MemberState(name, "10." + i / 62_500 + "." + i / 250 % 250 + "." + i % 250 + ":7946",
           Status.ALIVE, 0, false, name));
     }
   }
@@ -113,7 +113,7 @@
     }
   }
 
-  private void note(ControlHost host, News news) {
+  private void note(ControlHost host, MemberState news) {
     int other = layout.number(news.member());
     boolean isDead = news.status() == Status.DEAD || news.status() == Status.LEFT;
     if (isDead) {
@@ -169,11 +169,11 @@
     if (!reaches(one, other) || !other.isUp() || other.isPaused()) {
       return;
     }
-    List<News> asked = one.membership.view();
+    List<MemberState> asked = one.membership.view();
     count(asked);
     clock.after(3 * network.delay(one.number, other.number), () -> {
       if (other.isUp() && reaches(one, other)) {
-        List<News> answer = other.membership.view();
+        List<MemberState> answer = other.membership.view();
         count(answer);
         give(other, new MemberEvent.ViewReceived(asked));
         clock.after(network.delay(other.number, one.number),
@@ -182,7 +182,7 @@
     });
   }
 
-  private void count(List<News> view) {
+  private void count(List<MemberState> view) {
     int length = 2 * codec.writeView(view).length;
     bytes += length;
     exchangedBytes += length;
--- a/src/main/java/beampoint/fleet/changes/ControlNode.java
+++ b/src/main/java/beampoint/fleet/changes/ControlNode.java
@@ -15,8 +15,8 @@
 import beampoint.fleet.changes.LogMessage.RejoinAnswer;
 import beampoint.fleet.lease.Lease;
 import beampoint.fleet.lease.LeaseEvent;
+import beampoint.fleet.lease.LeaseSettings;
 import beampoint.fleet.lease.LeaseState;
-import beampoint.fleet.lease.LeaseTerms;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -38,7 +38,7 @@
   /** Candidates scatter over this part of a lease. */
   private static final double SCATTER = 0.4;
 
-  private final LeaseTerms leaseTerms;
+  private final LeaseSettings leaseTerms;
   private final Lease lease;
   private final Replica replica;
   private final RandomGenerator random;
@@ -56,7 +56,7 @@
    * @param life drawn at the start of the process; the lease and its epochs tell lives apart by it
    * @param kept what outlived the process, or {@link ReplicaState#started} where nothing did
    */
-  public ControlNode(LogTerms terms, LeaseTerms leaseTerms, String self, long life, ReplicaState kept,
+  public ControlNode(LogTerms terms, LeaseSettings leaseTerms, String self, long life, ReplicaState kept,
       double now, RandomGenerator random) {
     if (!terms.voters().equals(leaseTerms.voters())) {
       throw new IllegalArgumentException("the log and the lease have other voters");
--- a/src/main/java/beampoint/fleet/lease/Lease.java
+++ b/src/main/java/beampoint/fleet/lease/Lease.java
@@ -26,12 +26,12 @@
   /** What becomes of an event. */
   public record Step(LeaseState state, List<Say> says) {}
 
-  private final LeaseTerms terms;
+  private final LeaseSettings terms;
   private final String self;
   private final long life;
 
   /** One voter; its life is a number drawn at the start of its process. */
-  public Lease(LeaseTerms terms, String self, long life) {
+  public Lease(LeaseSettings terms, String self, long life) {
     if (!terms.voters().contains(self)) {
       throw new IllegalArgumentException(self + " is no voter");
     }
--- a/src/main/java/beampoint/fleet/lease/LeaseTerms.java
+++ b/src/main/java/beampoint/fleet/lease/LeaseSettings.java
@@ -9,9 +9,9 @@
  * @param length of a lease, in ms by the clock of whoever counts it
  * @param drift the part of a length by which one clock may run faster than another, 0 to under 1
  */
-public record LeaseTerms(SortedSet<String> voters, double length, double drift) {
+public record LeaseSettings(SortedSet<String> voters, double length, double drift) {
 
-  public LeaseTerms {
+  public LeaseSettings {
     if (voters.isEmpty() || !(length > 0) || !(drift >= 0 && drift < 1)) {
       throw new IllegalArgumentException("no terms of a lease: " + voters + ", " + length + ", " + drift);
     }
--- a/src/main/java/beampoint/fleet/lease/LeaseState.java
+++ b/src/main/java/beampoint/fleet/lease/LeaseState.java
@@ -27,7 +27,7 @@
    *
    * @param stored the highest epoch that outlived the process, or {@link Epoch#NONE}
    */
-  public static LeaseState started(LeaseTerms terms, double now, Epoch stored) {
+  public static LeaseState started(LeaseSettings terms, double now, Epoch stored) {
     return new LeaseState(stored, stored.number(), Epoch.NONE, now + terms.length(), Epoch.NONE, 0, 0,
         new TreeSet<>(), 0);
   }
--- a/src/main/java/beampoint/fleet/membership/Gossip.java
+++ b/src/main/java/beampoint/fleet/membership/Gossip.java
@@ -3,9 +3,9 @@
 import beampoint.fleet.membership.MemberAction.Changed;
 import beampoint.fleet.membership.MemberAction.Exchange;
 import beampoint.fleet.membership.MemberAction.Send;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Message;
 import beampoint.fleet.message.Message.Kind;
-import beampoint.fleet.message.News;
 import beampoint.fleet.message.Status;
 import java.util.ArrayList;
 import java.util.List;
@@ -54,7 +54,7 @@
   }
 
   /** Replaces what is known of a member, and passes it on. */
-  void update(Peer peer, News news) {
+  void update(Peer peer, MemberState news) {
     boolean isChange = peer.news.status() != news.status() || peer.news.deaf() != news.deaf();
     table.update(peer, news);
     queue.add(news);
@@ -64,7 +64,7 @@
   }
 
   /** Passes on what leaves the table as it is. */
-  void spread(News news) {
+  void spread(MemberState news) {
     queue.add(news);
   }
 
@@ -90,8 +90,8 @@
   }
 
   /** The same, with some news before all others. */
-  void send(Peer to, Kind kind, long number, String about, List<News> first) {
-    List<News> news = new ArrayList<>(first);
+  void send(Peer to, Kind kind, long number, String about, List<MemberState> first) {
+    List<MemberState> news = new ArrayList<>(first);
     if (to.news.status() != Status.ALIVE || to.isBehind()) {
       news.add(to.news);
     }
--- a/src/main/java/beampoint/fleet/membership/GossipQueue.java
+++ b/src/main/java/beampoint/fleet/membership/GossipQueue.java
@@ -1,6 +1,6 @@
 package beampoint.fleet.membership;
 
-import beampoint.fleet.message.News;
+import beampoint.fleet.message.MemberState;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -19,10 +19,10 @@
   private static final double LOG_2 = Math.log(2);
 
   private static final class Entry {
-    private final News news;
+    private final MemberState news;
     private int sent;
 
-    Entry(News news) {
+    Entry(MemberState news) {
       this.news = news;
     }
 
@@ -40,7 +40,7 @@
       new TreeSet<>(Comparator.comparingInt(Entry::sent).thenComparing(Entry::member));
 
   /** Takes news in place of older ones of the same member. */
-  void add(News news) {
+  void add(MemberState news) {
     Entry entry = new Entry(news);
     Entry older = byMember.put(entry.member(), entry);
     if (older != null) {
@@ -54,7 +54,7 @@
   }
 
   /** The next so many, for one message among so many members. */
-  List<News> next(int most, int members) {
+  List<MemberState> next(int most, int members) {
     if (leastSent.isEmpty()) {
       return List.of();
     }
@@ -63,7 +63,7 @@
       chosen.add(leastSent.pollFirst());
     }
     int limit = retransmitLimit(members);
-    List<News> news = new ArrayList<>(chosen.size());
+    List<MemberState> news = new ArrayList<>(chosen.size());
     for (Entry entry : chosen) {
       news.add(entry.news);
       entry.sent++;
--- a/src/main/java/beampoint/fleet/membership/LocalMember.java
+++ b/src/main/java/beampoint/fleet/membership/LocalMember.java
@@ -1,6 +1,6 @@
 package beampoint.fleet.membership;
 
-import beampoint.fleet.message.News;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Status;
 
 /** This member itself: what it says of itself, and its health as it can judge it (Lifeguard). */
@@ -8,20 +8,20 @@
 
   private static final double RAISE_EVERY = 1_000; // ms, while it hears nobody
 
-  private final MemberTerms terms;
-  private News self;
+  private final MembershipSettings terms;
+  private MemberState self;
   private double heardAt; // anybody
   private double raisedAt = Double.NEGATIVE_INFINITY;
   private int failuresInARow;
   private boolean doubted; // at the last look
 
-  LocalMember(MemberTerms terms, String name, String address, double now) {
+  LocalMember(MembershipSettings terms, String name, String address, double now) {
     this.terms = terms;
-    this.self = new News(name, address, Status.ALIVE, 1, false, name);
+    this.self = new MemberState(name, address, Status.ALIVE, 1, false, name);
     this.heardAt = now;
   }
 
-  News news() {
+  MemberState news() {
     return self;
   }
 
@@ -66,7 +66,7 @@
   /** Goes above an incarnation, which refutes what others say under it. */
   void raiseAbove(long incarnation, boolean deaf, double now) {
     raisedAt = now;
-    self = new News(self.member(), self.address(), self.status(), incarnation + 1, deaf, self.member());
+    self = new MemberState(self.member(), self.address(), self.status(), incarnation + 1, deaf, self.member());
   }
 
   void leave() {
--- a/src/main/java/beampoint/fleet/membership/MemberEvent.java
+++ b/src/main/java/beampoint/fleet/membership/MemberEvent.java
@@ -1,7 +1,7 @@
 package beampoint.fleet.membership;
 
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Message;
-import beampoint.fleet.message.News;
 import java.util.List;
 
 /** What a member observes. */
@@ -14,7 +14,7 @@
   record Received(Message message) implements MemberEvent {}
 
   /** Another's whole view has come. */
-  record ViewReceived(List<News> view) implements MemberEvent {}
+  record ViewReceived(List<MemberState> view) implements MemberEvent {}
 
   /** This member is about to end in order. */
   record Leave() implements MemberEvent {}
--- a/src/main/java/beampoint/fleet/membership/MemberTable.java
+++ b/src/main/java/beampoint/fleet/membership/MemberTable.java
@@ -1,6 +1,6 @@
 package beampoint.fleet.membership;
 
-import beampoint.fleet.message.News;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Status;
 import java.util.HashMap;
 import java.util.List;
@@ -40,7 +40,7 @@
   }
 
   /** Takes one that was not known; null where there is no room. */
-  Peer add(News news) {
+  Peer add(MemberState news) {
     if (byName.size() >= capacity) {
       return null;
     }
@@ -52,7 +52,7 @@
   }
 
   /** Replaces what is known of a member. */
-  void update(Peer peer, News news) {
+  void update(Peer peer, MemberState news) {
     boolean sameIndex = indexOf(peer.news.status()) == indexOf(news.status());
     if (!sameIndex) {
       living.remove(peer);
--- a/src/main/java/beampoint/fleet/membership/Membership.java
+++ b/src/main/java/beampoint/fleet/membership/Membership.java
@@ -4,9 +4,9 @@
 import beampoint.fleet.membership.MemberEvent.Received;
 import beampoint.fleet.membership.MemberEvent.Tick;
 import beampoint.fleet.membership.MemberEvent.ViewReceived;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Message;
 import beampoint.fleet.message.Message.Kind;
-import beampoint.fleet.message.News;
 import beampoint.fleet.message.Status;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,7 +28,7 @@
   private static final double EXCHANGE_EVERY = 30_000; // ms, with one that lives, in a fleet of usual size
   private static final int USUAL_SIZE = 100; // members, up to which whole views are exchanged that often
 
-  private final MemberTerms terms;
+  private final MembershipSettings terms;
   private final UniformRandomProvider random;
   private final MemberTable table;
   private final LocalMember local;
@@ -42,7 +42,7 @@
   private boolean hasLeft;
 
   /** One member that knows the addresses of some others, which may be gone. */
-  public Membership(MemberTerms terms, String name, String address, List<News> known,
+  public Membership(MembershipSettings terms, String name, String address, List<MemberState> known,
       UniformRandomProvider random, double now) {
     this.terms = terms;
     this.random = random;
@@ -59,7 +59,7 @@
     gossip.spreadSelf();
   }
 
-  private void addKnown(News news) {
+  private void addKnown(MemberState news) {
     Peer peer = table.get(news.member()) == null ? table.add(news) : null;
     if (peer != null) {
       suspicions.begin(peer, 0);
@@ -87,13 +87,13 @@
   }
 
   /** This member, as it tells of itself. */
-  public News self() {
+  public MemberState self() {
     return local.news();
   }
 
   /** The whole view, itself included. */
-  public List<News> view() {
-    List<News> view = new ArrayList<>(1 + table.all().size());
+  public List<MemberState> view() {
+    List<MemberState> view = new ArrayList<>(1 + table.all().size());
     view.add(local.news());
     table.all().forEach(peer -> view.add(peer.news));
     return view;
@@ -195,12 +195,12 @@
     }
   }
 
-  private boolean saysThisIsGone(News news) {
+  private boolean saysThisIsGone(MemberState news) {
     return news.member().equals(local.name()) && !Peer.isLiving(news.status())
         && news.incarnation() >= local.news().incarnation();
   }
 
-  private void learn(News news) {
+  private void learn(MemberState news) {
     if (news.member().equals(local.name())) {
       learnOfItself(news);
       return;
@@ -218,7 +218,7 @@
     }
   }
 
-  private void learnOfItself(News news) {
+  private void learnOfItself(MemberState news) {
     boolean isAlive = news.status() == Status.ALIVE;
     long own = local.news().incarnation();
     if (news.incarnation() > own || !isAlive && news.incarnation() == own) {
@@ -228,7 +228,7 @@
     }
   }
 
-  private void learnOfNew(News news) {
+  private void learnOfNew(MemberState news) {
     Peer peer = Peer.isLiving(news.status()) ? table.add(news) : null;
     if (peer != null) {
       peer.freshAt = now;
@@ -237,7 +237,7 @@
     }
   }
 
-  private void learnOfChange(Peer peer, News news) {
+  private void learnOfChange(Peer peer, MemberState news) {
     if (news.status() == Status.ALIVE) {
       peer.freshAt = now;
     }
--- a/src/main/java/beampoint/fleet/membership/MemberTerms.java
+++ b/src/main/java/beampoint/fleet/membership/MembershipSettings.java
@@ -12,20 +12,20 @@
  * @param failuresOfDoubt probes in a row without one answer after which it doubts itself
  * @param mostMembers that it keeps in its table, those that are gone included
  */
-public record MemberTerms(double step, double probeEvery, double answerWithin, double suspectFor,
+public record MembershipSettings(double step, double probeEvery, double answerWithin, double suspectFor,
     double stillAfter, double deafAfter, int failuresOfDoubt, int mostMembers) {
 
   /** The same without suspicion and own doubt, to compare with: who gives no answer is dead at once. */
-  public MemberTerms plain() {
+  public MembershipSettings plain() {
     double never = Double.POSITIVE_INFINITY;
-    return new MemberTerms(step, probeEvery, answerWithin, 0, never, never, Integer.MAX_VALUE, mostMembers);
+    return new MembershipSettings(step, probeEvery, answerWithin, 0, never, never, Integer.MAX_VALUE, mostMembers);
   }
 
   /** Sized for a fleet of 2,300, with room for members that came back under new names. */
   private static final int MAX_MEMBERS = 4_096;
 
   /** A pause of 3 s is outlived, a crash known within 5 s. */
-  public static MemberTerms usual() {
-    return new MemberTerms(100, 400, 150, 3_400, 500, 1_200, 8, MAX_MEMBERS);
+  public static MembershipSettings defaults() {
+    return new MembershipSettings(100, 400, 150, 3_400, 500, 1_200, 8, MAX_MEMBERS);
   }
 }
--- a/src/main/java/beampoint/fleet/membership/Peer.java
+++ b/src/main/java/beampoint/fleet/membership/Peer.java
@@ -1,13 +1,13 @@
 package beampoint.fleet.membership;
 
-import beampoint.fleet.message.News;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Status;
 
 /** Another member, as this one knows it: state without decisions. */
 final class Peer {
 
   /** Changed by {@link MemberTable#update} alone, which keeps its indexes by it. */
-  News news;
+  MemberState news;
   /** When it was last heard of by its own word, however that came; and by its own datagram. */
   double freshAt = Double.NEGATIVE_INFINITY;
   double heardAt = Double.NEGATIVE_INFINITY;
@@ -16,7 +16,7 @@
   /** While it is suspected, else null. */
   Suspicion suspicion;
 
-  Peer(News news) {
+  Peer(MemberState news) {
     this.news = news;
   }
 
@@ -35,7 +35,7 @@
   }
 
   /** It has said of late that it hears nobody: it can't answer, and is not held to it. */
-  boolean isKnownDeaf(double now, MemberTerms terms) {
+  boolean isKnownDeaf(double now, MembershipSettings terms) {
     return news.deaf() && now - freshAt < terms.suspectFor();
   }
 
--- a/src/main/java/beampoint/fleet/membership/Prober.java
+++ b/src/main/java/beampoint/fleet/membership/Prober.java
@@ -2,9 +2,9 @@
 
 import beampoint.fleet.membership.PendingProbes.Probe;
 import beampoint.fleet.membership.PendingProbes.RelayedProbe;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Message;
 import beampoint.fleet.message.Message.Kind;
-import beampoint.fleet.message.News;
 import beampoint.fleet.message.Status;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -20,7 +20,7 @@
 
   private static final int HELPERS = 3; // that are asked to try a member which gave no direct answer
 
-  private final MemberTerms terms;
+  private final MembershipSettings terms;
   private final MemberTable table;
   private final LocalMember local;
   private final Gossip gossip;
@@ -28,11 +28,11 @@
   private final UniformRandomProvider random;
   private final PendingProbes pending = new PendingProbes();
   private final ProbeRound round;
-  private final Map<String, News> claims = new LinkedHashMap<>(); // deaths to be verified, by member
+  private final Map<String, MemberState> claims = new LinkedHashMap<>(); // deaths to be verified, by member
   private boolean isTurnOfClaims;
   private double probeAt;
 
-  Prober(MemberTerms terms, MemberTable table, LocalMember local, Gossip gossip, SuspicionHandler suspicions,
+  Prober(MembershipSettings terms, MemberTable table, LocalMember local, Gossip gossip, SuspicionHandler suspicions,
       UniformRandomProvider random, double now) {
     this.terms = terms;
     this.table = table;
@@ -66,7 +66,7 @@
    * Probes a member next that others hold for dead, and that lives here and is not suspected: it is not held
    * for dead by that alone, and is told what is said of it.
    */
-  void askAbout(Peer peer, News claim) {
+  void askAbout(Peer peer, MemberState claim) {
     if (claim.overrides(peer.news)) {
       claims.put(peer.name(), claim);
     }
@@ -82,7 +82,7 @@
   private Peer nextClaimed() {
     while (!claims.isEmpty()) {
       String name = claims.keySet().iterator().next();
-      News claim = claims.remove(name);
+      MemberState claim = claims.remove(name);
       Peer peer = table.get(name);
       if (isOpen(claim, peer)) {
         claims.put(name, claim); // behind all others
@@ -92,7 +92,7 @@
     return null;
   }
 
-  private static boolean isOpen(News claim, Peer peer) {
+  private static boolean isOpen(MemberState claim, Peer peer) {
     return peer.news.status() == Status.ALIVE && claim.overrides(peer.news);
   }
 
@@ -101,7 +101,7 @@
       return;
     }
     Probe probe = pending.begin(target.name(), now + terms.answerWithin(), now + terms.probeEvery());
-    News claim = claims.get(target.name());
+    MemberState claim = claims.get(target.name());
     if (claim != null && isOpen(claim, target)) {
       gossip.send(target, Kind.PING, probe.number, "", List.of(claim));
     } else {
--- a/src/main/java/beampoint/fleet/membership/SuspicionHandler.java
+++ b/src/main/java/beampoint/fleet/membership/SuspicionHandler.java
@@ -1,7 +1,7 @@
 package beampoint.fleet.membership;
 
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Message.Kind;
-import beampoint.fleet.message.News;
 import beampoint.fleet.message.Status;
 import java.util.List;
 import java.util.NavigableMap;
@@ -16,14 +16,14 @@
   private static final int ENOUGH_ACCUSERS = 3; // after which a suspicion runs out soonest
   private static final double MAX_SUSPICION = 2; // times the least, with one accuser
 
-  private final MemberTerms terms;
+  private final MembershipSettings terms;
   private final MemberTable table;
   private final LocalMember local;
   private final Gossip gossip;
   private final SuspicionQueue queue = new SuspicionQueue();
   private int possibleAccusers; // by which the deadlines in the queue were computed
 
-  SuspicionHandler(MemberTerms terms, MemberTable table, LocalMember local, Gossip gossip) {
+  SuspicionHandler(MembershipSettings terms, MemberTable table, LocalMember local, Gossip gossip) {
     this.terms = terms;
     this.table = table;
     this.local = local;
@@ -55,7 +55,7 @@
   }
 
   /** Replaces what is known of a member by news that make it no suspect. */
-  void clear(Peer peer, News news) {
+  void clear(Peer peer, MemberState news) {
     if (peer.suspicion != null) {
       queue.remove(peer.suspicion);
       peer.suspicion = null;
--- a/src/main/java/beampoint/fleet/message/Codec.java
+++ b/src/main/java/beampoint/fleet/message/Codec.java
@@ -70,7 +70,7 @@
    * The bytes of a whole view. Guards against one that nobody reads: where addresses are so long that not all
    * members fit, some of the last are left out, of which datagrams tell.
    */
-  public byte[] writeView(List<News> view) {
+  public byte[] writeView(List<MemberState> view) {
     for (int members = view.size();; members -= 1 + members / 16) {
       byte[] bytes = bytes(view.subList(0, members), out -> {});
       if (bytes.length <= MAX_VIEW_BYTES) {
@@ -84,14 +84,14 @@
     void write(JsonGenerator out) throws IOException;
   }
 
-  private byte[] bytes(List<News> news, Middle middle) {
+  private byte[] bytes(List<MemberState> news, Middle middle) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator out = FORM.createGenerator(bytes)) {
       out.writeStartArray();
       out.writeString(cluster);
       out.writeNumber(VERSION);
       middle.write(out);
-      for (News item : news) {
+      for (MemberState item : news) {
         write(out, item);
       }
       out.writeEndArray();
@@ -102,7 +102,7 @@
   }
 
   /** Reads a whole view of this cluster. */
-  public List<News> readView(byte[] bytes) throws MalformedMessageException {
+  public List<MemberState> readView(byte[] bytes) throws MalformedMessageException {
     try (JsonParser in = FORM.createParser(bytes)) {
       begin(in);
       return newsToTheEnd(in, MAX_VIEW_MEMBERS);
@@ -122,9 +122,9 @@
     }
   }
 
-  private static List<News> newsToTheEnd(JsonParser in, int most)
+  private static List<MemberState> newsToTheEnd(JsonParser in, int most)
       throws IOException, MalformedMessageException {
-    List<News> news = new ArrayList<>();
+    List<MemberState> news = new ArrayList<>();
     while (in.nextToken() == JsonToken.START_ARRAY && news.size() < most) {
       news.add(news(in));
     }
@@ -134,7 +134,7 @@
     return List.copyOf(news);
   }
 
-  private static void write(JsonGenerator out, News news) throws IOException {
+  private static void write(JsonGenerator out, MemberState news) throws IOException {
     out.writeStartArray();
     out.writeString(news.member());
     out.writeString(news.address());
@@ -162,7 +162,7 @@
     }
   }
 
-  private static News news(JsonParser in) throws IOException, MalformedMessageException {
+  private static MemberState news(JsonParser in) throws IOException, MalformedMessageException {
     String member = text(in);
     String address = text(in);
     Status status = of(Status.values(), number(in));
@@ -172,7 +172,7 @@
     if (!flag || member.isEmpty() || incarnation < 0) {
       throw new MalformedMessageException("with odd news");
     }
-    News news = new News(member, address, status, incarnation, deaf == JsonToken.VALUE_TRUE, text(in));
+    MemberState news = new MemberState(member, address, status, incarnation, deaf == JsonToken.VALUE_TRUE, text(in));
     expect(in, JsonToken.END_ARRAY);
     return news;
   }
--- a/src/main/java/beampoint/fleet/message/News.java
+++ b/src/main/java/beampoint/fleet/message/MemberState.java
@@ -8,20 +8,20 @@
  * @param deaf it says of itself that it hears nobody: it lives, though it answers no probe
  * @param by who found it so: itself, or who accuses it or declared it dead
  */
-public record News(String member, String address, Status status, long incarnation, boolean deaf, String by) {
+public record MemberState(String member, String address, Status status, long incarnation, boolean deaf, String by) {
 
   /**
    * True where this goes before the other news of the same member (SWIM, section 4.2): what the member says
    * under a higher incarnation, or under one what is worse.
    */
-  public boolean overrides(News other) {
+  public boolean overrides(MemberState other) {
     return incarnation > other.incarnation
         || incarnation == other.incarnation && rank() > other.rank();
   }
 
   /** The same member, as somebody found it. */
-  public News as(Status next, String finder) {
-    return new News(member, address, next, incarnation, deaf, finder);
+  public MemberState as(Status next, String finder) {
+    return new MemberState(member, address, next, incarnation, deaf, finder);
   }
 
   private int rank() {
--- a/src/main/java/beampoint/fleet/message/Message.java
+++ b/src/main/java/beampoint/fleet/message/Message.java
@@ -10,7 +10,7 @@
  * @param about whom a probe is for; empty for the receiver itself
  * @param news what goes along with it
  */
-public record Message(Kind kind, long number, News from, String about, List<News> news) {
+public record Message(Kind kind, long number, MemberState from, String about, List<MemberState> news) {
 
   /** PING asks for a sign of life, RELAY asks to ping another, NACK says that this one did not answer. */
   public enum Kind {
--- a/src/main/java/beampoint/fleet/node/FleetNode.java
+++ b/src/main/java/beampoint/fleet/node/FleetNode.java
@@ -7,14 +7,14 @@
 import beampoint.fleet.membership.MemberAction.Exchange;
 import beampoint.fleet.membership.MemberAction.Send;
 import beampoint.fleet.membership.MemberEvent;
-import beampoint.fleet.membership.MemberTerms;
 import beampoint.fleet.membership.Membership;
+import beampoint.fleet.membership.MembershipSettings;
 import beampoint.fleet.membership.Siblings;
 import beampoint.fleet.message.Codec;
-import beampoint.fleet.message.News;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Status;
 import beampoint.fleet.transport.Datagrams;
-import beampoint.fleet.transport.Views;
+import beampoint.fleet.transport.ViewExchanger;
 import beampoint.log.Log;
 import beampoint.settings.Address;
 import beampoint.settings.FleetSettings;
@@ -38,12 +38,12 @@
   private final FleetSettings settings;
   private final String name;
   private final long seed;
-  private final MemberTerms terms;
+  private final MembershipSettings terms;
   private final ScheduledExecutorService loop;
   private final DoubleSupplier clock;
   private final Counters counters;
   private final Datagrams datagrams;
-  private final Views views;
+  private final ViewExchanger views;
   private final Siblings siblings;
   private final IntConsumer shared;
   private Membership membership; // belongs to the loop
@@ -55,7 +55,7 @@
    * @param configured how many proxies there are by the settings
    * @param shared told, in the loop and with every step, among how many the load is shared
    */
-  public FleetNode(FleetSettings settings, String name, long seed, MemberTerms terms, int configured,
+  public FleetNode(FleetSettings settings, String name, long seed, MembershipSettings terms, int configured,
       IntConsumer shared, TCPNIOTransport transport, ScheduledExecutorService loop, DoubleSupplier clock,
       Counters counters) {
     this.siblings = new Siblings(configured, SETTLED_MS);
@@ -69,7 +69,7 @@
     this.counters = counters;
     Codec codec = new Codec(settings.cluster());
     this.datagrams = new Datagrams(codec, loop, counters, m -> give(new MemberEvent.Received(m)));
-    this.views = new Views(transport, loop, codec, counters, () -> membership.view(),
+    this.views = new ViewExchanger(transport, loop, codec, counters, () -> membership.view(),
         view -> give(new MemberEvent.ViewReceived(view)));
   }
 
@@ -78,9 +78,9 @@
     started = true;
     InetSocketAddress address = views.listen(settings.listen());
     datagrams.listen(address);
-    List<News> known = new ArrayList<>();
+    List<MemberState> known = new ArrayList<>();
     settings.peers()
-        .forEach((peer, at) -> known.add(new News(peer, Address.text(at), Status.ALIVE, 0, false, peer)));
+        .forEach((peer, at) -> known.add(new MemberState(peer, Address.text(at), Status.ALIVE, 0, false, peer)));
     LOG.info(name + " is a member of " + settings.cluster() + " at " + Address.text(address));
     long step = (long) terms.step();
     loop.execute(() -> {
@@ -108,7 +108,7 @@
   }
 
   /** How this member sees all; from the loop. */
-  public List<News> view() {
+  public List<MemberState> view() {
     return membership == null ? List.of() : membership.view();
   }
 
@@ -135,12 +135,12 @@
   }
 
   /** Where a member is reached from here; null where it gave no address. */
-  private InetSocketAddress dial(News member) {
+  private InetSocketAddress dial(MemberState member) {
     InetSocketAddress other = settings.dial().get(member.member());
     return other != null ? other : Address.parse(member.address());
   }
 
-  private void tell(News news) {
+  private void tell(MemberState news) {
     if (news.status() == Status.DEAD) {
       counters.add(Counter.MEMBERS_DIED);
     } else if (news.status() == Status.ALIVE) {
--- a/src/main/java/beampoint/fleet/transport/Views.java
+++ b/src/main/java/beampoint/fleet/transport/ViewExchanger.java
@@ -4,7 +4,7 @@
 import beampoint.count.Counters;
 import beampoint.fleet.message.Codec;
 import beampoint.fleet.message.MalformedMessageException;
-import beampoint.fleet.message.News;
+import beampoint.fleet.message.MemberState;
 import beampoint.transport.PeerFilter;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -31,7 +31,7 @@
  * Exchanges whole views, by TCP: who asks sends its own and gets the other's, each behind its length in four
  * bytes. Few at a time, none for long, and none longer than a view may be.
  */
-public final class Views {
+public final class ViewExchanger {
 
   /**
    * Exchanges that may be open at once, whoever began them. Each member begins one in 30 s, less often in a
@@ -48,13 +48,13 @@
   private final ScheduledExecutorService loop;
   private final Codec codec;
   private final Counters counters;
-  private final Supplier<List<News>> own;
-  private final Consumer<List<News>> received;
+  private final Supplier<List<MemberState>> own;
+  private final Consumer<List<MemberState>> received;
   private final AtomicInteger open = new AtomicInteger();
 
   /** The own view is asked for, and others' are told, in tasks of the loop. */
-  public Views(TCPNIOTransport transport, ScheduledExecutorService loop, Codec codec, Counters counters,
-      Supplier<List<News>> own, Consumer<List<News>> received) {
+  public ViewExchanger(TCPNIOTransport transport, ScheduledExecutorService loop, Codec codec, Counters counters,
+      Supplier<List<MemberState>> own, Consumer<List<MemberState>> received) {
     this.transport = transport;
     this.loop = loop;
     this.codec = codec;
@@ -116,7 +116,7 @@
 
   private void take(Connection<?> connection, byte[] bytes, boolean answers) {
     try {
-      List<News> view = codec.readView(bytes);
+      List<MemberState> view = codec.readView(bytes);
       if (answers) {
         write(connection, own.get());
       } else {
@@ -130,7 +130,7 @@
   }
 
   @SuppressWarnings("unchecked") // all connections of a TCP transport have socket addresses
-  private void write(Connection<?> connection, List<News> view) {
+  private void write(Connection<?> connection, List<MemberState> view) {
     byte[] bytes = codec.writeView(view);
     counters.add(Counter.MEMBER_BYTES_SENT, LENGTH_BYTES + bytes.length);
     Buffer frame = transport.getMemoryManager().allocate(LENGTH_BYTES + bytes.length);
--- a/src/main/java/beampoint/serve/Proxy.java
+++ b/src/main/java/beampoint/serve/Proxy.java
@@ -8,10 +8,10 @@
 import beampoint.client.Sessions;
 import beampoint.count.Counters;
 import beampoint.discovery.HostListWatcher;
-import beampoint.fleet.membership.MemberTerms;
-import beampoint.fleet.message.News;
+import beampoint.fleet.membership.MembershipSettings;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.node.FleetNode;
-import beampoint.fleet.transport.Views;
+import beampoint.fleet.transport.ViewExchanger;
 import beampoint.log.Log;
 import beampoint.ops.AdminServer;
 import beampoint.upstream.Upstreams;
@@ -39,7 +39,7 @@
   private static final Log LOG = Log.of("serve");
   private static final int RESERVED_DESCRIPTORS = 32; // for the machine, discovery and standard streams
   private static final int OPS_DESCRIPTORS = AdminServer.MAX_CONNECTIONS + 4; // with shared files
-  private static final int FLEET_DESCRIPTORS = Views.MAX_EXCHANGES + 4; // with both listeners
+  private static final int FLEET_DESCRIPTORS = ViewExchanger.MAX_EXCHANGES + 4; // with both listeners
   private static final long POLL_MS = 100; // for what the other process of this proxy has stored
   private static final double HEARD_MS = 1500; // that a new process waits for discovery before it listens
   private static final int CLIENT_SHARE = 4; // of all descriptors; clients may hold a third
@@ -111,7 +111,8 @@
     watch.afterEachCall(hosts::called);
     this.reload = new Reload(config, this.directory, decisions, upstreams, watch, counters, loop);
     this.fleet = config.fleet() == null ? null : new FleetNode(config.fleet(), name, config.seed(),
-        MemberTerms.usual(), settings.siblings(), decisions::siblings, transport, loop, clock, counters);
+        MembershipSettings.defaults(), settings.siblings(), decisions::siblings, transport, loop, clock,
+        counters);
     this.shutdown = new GracefulShutdown(sessions, decisions, loop, clock, this::isReplacing);
     if (config.ops() == null) {
       this.operations = null;
@@ -309,7 +310,7 @@
   }
 
   /** How this proxy sees the members of its fleet, for a test. */
-  List<News> members() throws InterruptedException, ExecutionException {
+  List<MemberState> members() throws InterruptedException, ExecutionException {
     return loop.submit(fleet::view).get();
   }
 
--- a/src/test/java/beampoint/emulator/MemberFaults.java
+++ b/src/test/java/beampoint/emulator/MemberFaults.java
@@ -1,6 +1,6 @@
 package beampoint.emulator;
 
-import beampoint.fleet.membership.MemberTerms;
+import beampoint.fleet.membership.MembershipSettings;
 import java.util.Arrays;
 import java.util.Random;
 import java.util.function.IntPredicate;
@@ -39,7 +39,7 @@
   MemberFaults(FleetTopology topology, long seed) {
     this.topology = topology;
     this.seed = seed;
-    this.fleet = MemberFleet.settled(topology.members(), MemberTerms.usual(), seed);
+    this.fleet = MemberFleet.settled(topology.members(), MembershipSettings.defaults(), seed);
     fleet.loseEverywhere(LOSS);
   }
 
--- a/src/test/java/beampoint/emulator/MemberFleetTest.java
+++ b/src/test/java/beampoint/emulator/MemberFleetTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beampoint.emulator.MemberFleet.Death;
-import beampoint.fleet.membership.MemberTerms;
+import beampoint.fleet.membership.MembershipSettings;
 import beampoint.fleet.message.Status;
 import java.util.List;
 import java.util.Random;
@@ -15,7 +15,7 @@
 class MemberFleetTest {
 
   private static MemberFleet fleet(int members, long seed) {
-    MemberFleet fleet = new MemberFleet(members, MemberTerms.usual(), seed);
+    MemberFleet fleet = new MemberFleet(members, MembershipSettings.defaults(), seed);
     fleet.runTo(5_000);
     return fleet;
   }
--- a/src/test/java/beampoint/emulator/MemberScaleStudy.java
+++ b/src/test/java/beampoint/emulator/MemberScaleStudy.java
@@ -4,12 +4,12 @@
 import beampoint.emulator.MemberFleet.TimedEvent;
 import beampoint.fleet.membership.MemberAction;
 import beampoint.fleet.membership.MemberEvent;
-import beampoint.fleet.membership.MemberTerms;
 import beampoint.fleet.membership.Membership;
+import beampoint.fleet.membership.MembershipSettings;
 import beampoint.fleet.message.Codec;
 import beampoint.fleet.message.MalformedMessageException;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Message;
-import beampoint.fleet.message.News;
 import beampoint.fleet.message.Status;
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
@@ -33,7 +33,7 @@
   private static final int SEED = Integer.getInteger("study.seed", 1);
   private static final int MAX_AT_START = Integer.getInteger("study.most.at.start", Integer.MAX_VALUE);
   private static final int WARM_UP_SIZE = 400;
-  private static final MemberTerms TERMS = MemberTerms.usual();
+  private static final MembershipSettings TERMS = MembershipSettings.defaults();
   private static final double LOSS = 0.01;
   private static final double MEASURED_FROM = 10_000; // ms
   private static final double MEASURED_TO = 700_000; // so that the exchange of each of 2,300 members is in it
@@ -61,7 +61,7 @@
       if (SIZES[i] <= MAX_AT_START) {
         massStart(i, SIZES[i]);
       }
-      List<News> known = MemberFleet.known(SIZES[i], 1);
+      List<MemberState> known = MemberFleet.known(SIZES[i], 1);
       put("heap bytes a member's table", i, heapOfOne(known));
       wholeView(i, known);
       System.out.println("done: " + SIZES[i] + " members, seed " + SEED);
@@ -134,7 +134,7 @@
   }
 
   /** What a member that joins exchanges: the view's length, and the time to write, read and merge it. */
-  private void wholeView(int index, List<News> known) throws MalformedMessageException {
+  private void wholeView(int index, List<MemberState> known) throws MalformedMessageException {
     double[] written = new double[REPLAYS];
     double[] readAndMerged = new double[REPLAYS];
     for (int i = 0; i < REPLAYS; i++) {
@@ -234,7 +234,7 @@
   }
 
   private void writeView(Membership membership, boolean withCodec) {
-    List<News> view = membership.view();
+    List<MemberState> view = membership.view();
     if (withCodec) {
       codec.writeView(view);
     }
@@ -264,7 +264,7 @@
       return new MemberEvent.Received(message);
     }
     if (event instanceof MemberEvent.ViewReceived) {
-      List<News> view = new ArrayList<>();
+      List<MemberState> view = new ArrayList<>();
       for (byte[] part : written) {
         view.addAll(codec.readView(part));
       }
@@ -274,11 +274,11 @@
   }
 
   /** What a member holds that has read a whole view, each entry with texts of its own. */
-  private double heapOfOne(List<News> known) throws MalformedMessageException {
+  private double heapOfOne(List<MemberState> known) throws MalformedMessageException {
     Membership[] copies = new Membership[HEAP_COPIES];
     long before = heap();
     for (int i = 0; i < HEAP_COPIES; i++) {
-      List<News> read = ((MemberEvent.ViewReceived) read(new MemberEvent.ViewReceived(known),
+      List<MemberState> read = ((MemberEvent.ViewReceived) read(new MemberEvent.ViewReceived(known),
           write(new MemberEvent.ViewReceived(known)))).view();
       copies[i] = new Membership(TERMS, "n0000", "10.0.0.0:7946", List.of(),
           RandomSource.XO_SHI_RO_256_PP.create(i), 0);
--- a/src/test/java/beampoint/emulator/MemberStudy.java
+++ b/src/test/java/beampoint/emulator/MemberStudy.java
@@ -1,7 +1,7 @@
 package beampoint.emulator;
 
 import beampoint.emulator.MemberFleet.Death;
-import beampoint.fleet.membership.MemberTerms;
+import beampoint.fleet.membership.MembershipSettings;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
@@ -17,7 +17,7 @@
 class MemberStudy {
 
   private static final int RUNS = Integer.getInteger("study.runs", 100);
-  private static final MemberTerms USUAL = MemberTerms.usual();
+  private static final MembershipSettings USUAL = MembershipSettings.defaults();
 
   private static String quantiles(List<Double> values) {
     Collections.sort(values);
@@ -29,7 +29,7 @@
   @Test
   void crashes() {
     for (int members : new int[] {3, 14, 100, 400}) {
-      for (MemberTerms terms : List.of(USUAL, USUAL.plain())) {
+      for (MembershipSettings terms : List.of(USUAL, USUAL.plain())) {
         List<Double> all = new ArrayList<>(IntStream.range(0, Math.min(RUNS, 40_000 / members)).parallel()
             .mapToObj(seed -> {
               MemberFleet fleet = new MemberFleet(members, terms, seed);
@@ -49,7 +49,7 @@
   }
 
   /** Ten minutes of 5% loss with bursts, pauses of up to 3 s and one-sided cuts, all at once. */
-  private static MemberFleet troubles(int members, MemberTerms terms, long seed) {
+  private static MemberFleet troubles(int members, MembershipSettings terms, long seed) {
     MemberFleet fleet = new MemberFleet(members, terms, seed);
     Random random = new Random(seed);
     fleet.loseEverywhere(0.05);
@@ -78,7 +78,7 @@
   @Test
   void falsePositives() {
     for (int members : new int[] {3, 14}) {
-      for (MemberTerms terms : List.of(USUAL, USUAL.plain())) {
+      for (MembershipSettings terms : List.of(USUAL, USUAL.plain())) {
         int runs = terms == USUAL ? RUNS : Math.min(RUNS, 20);
         long falsePositives = IntStream.range(0, runs).parallel()
             .mapToLong(seed -> troubles(members, terms, seed).deaths().stream().filter(Death::lived).count())
--- a/src/test/java/beampoint/fleet/changes/SimulatedCluster.java
+++ b/src/test/java/beampoint/fleet/changes/SimulatedCluster.java
@@ -14,7 +14,7 @@
 import beampoint.fleet.changes.SubmitOutcome.NotLeader;
 import beampoint.fleet.changes.SubmitOutcome.Refused;
 import beampoint.fleet.facts.Epoch;
-import beampoint.fleet.lease.LeaseTerms;
+import beampoint.fleet.lease.LeaseSettings;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -77,7 +77,7 @@
   long bytes;
   int elections;
   Epoch logIdentity = Epoch.NONE;
-  private final LeaseTerms leaseTerms;
+  private final LeaseSettings leaseTerms;
   private final Map<String, Machine> machines = new HashMap<>();
   private final Map<ChangeId, Pending> pending = new HashMap<>();
   private final Set<Set<String>> cuts = new HashSet<>();
@@ -96,7 +96,7 @@
     }
     SortedSet<String> all = new TreeSet<>(names);
     terms = new LogTerms(all, 400, limits);
-    leaseTerms = new LeaseTerms(all, LEASE, 2 * DRIFT);
+    leaseTerms = new LeaseSettings(all, LEASE, 2 * DRIFT);
     for (String name : names) {
       Machine machine = new Machine();
       machine.pace = 1 + DRIFT * random.nextDouble();
--- a/src/test/java/beampoint/fleet/lease/LeaseSearchTest.java
+++ b/src/test/java/beampoint/fleet/lease/LeaseSearchTest.java
@@ -42,11 +42,11 @@
   /** A voter's step, and its start: the real ones, or ones with a mistake. */
   private interface Rules {
 
-    default LeaseState start(LeaseTerms terms, double now) {
+    default LeaseState start(LeaseSettings terms, double now) {
       return LeaseState.started(terms, now, Epoch.NONE);
     }
 
-    default Step step(LeaseTerms terms, Lease lease, LeaseState state, double now, LeaseEvent event) {
+    default Step step(LeaseSettings terms, Lease lease, LeaseState state, double now, LeaseEvent event) {
       return lease.step(state, now, event);
     }
   }
@@ -55,7 +55,7 @@
   private static final class Search {
 
     private final int[] paces;
-    private final LeaseTerms terms;
+    private final LeaseSettings terms;
     private final Rules rules;
     private long worlds;
 
@@ -64,7 +64,7 @@
       this.paces = paces;
       this.rules = rules;
       int fastest = Arrays.stream(paces).max().orElseThrow();
-      this.terms = new LeaseTerms(new TreeSet<>(NAMES), 2 * fastest, 1 - 1.0 / fastest);
+      this.terms = new LeaseSettings(new TreeSet<>(NAMES), 2 * fastest, 1 - 1.0 / fastest);
     }
 
     private double clock(int voter, int time) {
@@ -195,7 +195,7 @@
   void theSearchFindsAHolderThatCountsFromTheAnswer() {
     assertFound(new int[] {1, 2, 1}, new Rules() {
       @Override
-      public Step step(LeaseTerms terms, Lease lease, LeaseState state, double now, LeaseEvent event) {
+      public Step step(LeaseSettings terms, Lease lease, LeaseState state, double now, LeaseEvent event) {
         Step step = lease.step(state, now, event);
         boolean promised = event instanceof Received e && e.message() instanceof Promise
             && step.state().mayActUntil() > state.mayActUntil();
@@ -211,7 +211,7 @@
   void theSearchFindsAVoterThatPromisesRightAfterItsStart() {
     assertFound(new int[] {1, 1, 1}, new Rules() {
       @Override
-      public LeaseState start(LeaseTerms terms, double now) {
+      public LeaseState start(LeaseSettings terms, double now) {
         return LeaseState.started(terms, now - terms.length(), Epoch.NONE);
       }
     });
@@ -221,7 +221,7 @@
   void theSearchFindsAVoterThatPromisesTwice() {
     assertFound(new int[] {1, 1, 1}, new Rules() {
       @Override
-      public Step step(LeaseTerms terms, Lease lease, LeaseState s, double now, LeaseEvent event) {
+      public Step step(LeaseSettings terms, Lease lease, LeaseState s, double now, LeaseEvent event) {
         LeaseState free = new LeaseState(s.fence(), s.known(), s.promised(), 0, s.asked(), s.round(),
             s.askedAt(), s.promises(), s.mayActUntil());
         return lease.step(free, now, event);
@@ -231,7 +231,7 @@
 
   @Test
   void aLeaseIsHeldRenewedAndGivenBack() {
-    LeaseTerms terms = new LeaseTerms(new TreeSet<>(NAMES), 4, 0.5);
+    LeaseSettings terms = new LeaseSettings(new TreeSet<>(NAMES), 4, 0.5);
     Lease a = new Lease(terms, "a", 1);
     Lease b = new Lease(terms, "b", 1);
     LeaseState stateA = LeaseState.started(terms, 0, Epoch.NONE);
--- a/src/test/java/beampoint/fleet/membership/ExchangeIntervalTest.java
+++ b/src/test/java/beampoint/fleet/membership/ExchangeIntervalTest.java
@@ -17,7 +17,7 @@
   @ParameterizedTest
   @CsvSource({"2,120", "100,120", "101,119", "200,60", "400,30", "1000,12", "2300,6", "4096,3"})
   void itGrowsWithTheFleetBeyondAHundredMembers(int members, int exchanges) {
-    MemberTerms terms = MemberTerms.usual();
+    MembershipSettings terms = MembershipSettings.defaults();
     Membership membership = new Membership(terms, RecordedFleet.name(0), "10.0.0.0:7946",
         RecordedFleet.knownMembers(members), RandomSource.XO_RO_SHI_RO_128_PP.create(1), 0);
     int counted = 0;
--- a/src/test/java/beampoint/fleet/membership/RecordedDecisionsTest.java
+++ b/src/test/java/beampoint/fleet/membership/RecordedDecisionsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import beampoint.fleet.message.News;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Status;
 import java.io.IOException;
 import java.io.InputStream;
@@ -24,15 +24,15 @@
  */
 class RecordedDecisionsTest {
 
-  private static final MemberTerms USUAL = MemberTerms.usual();
+  private static final MembershipSettings USUAL = MembershipSettings.defaults();
   private static final int LEAVERS = 4; // one in so many of those that end does so in order
 
-  private static MemberTerms withRoomFor(int members) {
-    return new MemberTerms(USUAL.step(), USUAL.probeEvery(), USUAL.answerWithin(), USUAL.suspectFor(),
+  private static MembershipSettings withRoomFor(int members) {
+    return new MembershipSettings(USUAL.step(), USUAL.probeEvery(), USUAL.answerWithin(), USUAL.suspectFor(),
         USUAL.stillAfter(), USUAL.deafAfter(), USUAL.failuresOfDoubt(), members);
   }
 
-  private static RecordedFleet fleet(int members, MemberTerms terms, long seed) {
+  private static RecordedFleet fleet(int members, MembershipSettings terms, long seed) {
     return new RecordedFleet(members, terms, RecordedFleet.knownMembers(members), seed);
   }
 
@@ -93,12 +93,12 @@
   }
 
   /** Members begin with what somebody said before: some alive, suspected, dead, left or never there. */
-  private static List<News> oddStart() {
-    List<News> known = new ArrayList<>(RecordedFleet.knownMembers(9));
+  private static List<MemberState> oddStart() {
+    List<MemberState> known = new ArrayList<>(RecordedFleet.knownMembers(9));
     Status[] states = Status.values();
     for (int i = 9; i < 24; i++) {
       String name = RecordedFleet.name(i);
-      known.add(new News(name, "10.1.0." + i + ":7946", states[i % states.length], i % 3, i % 5 == 0, name));
+      known.add(new MemberState(name, "10.1.0." + i + ":7946", states[i % states.length], i % 3, i % 5 == 0, name));
     }
     return known;
   }
--- a/src/test/java/beampoint/fleet/membership/RecordedFleet.java
+++ b/src/test/java/beampoint/fleet/membership/RecordedFleet.java
@@ -3,8 +3,8 @@
 import beampoint.fleet.membership.MemberAction.Changed;
 import beampoint.fleet.membership.MemberAction.Exchange;
 import beampoint.fleet.membership.MemberAction.Send;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Message;
-import beampoint.fleet.message.News;
 import beampoint.fleet.message.Status;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -47,8 +47,8 @@
     }
   }
 
-  private final MemberTerms terms;
-  private final List<News> known;
+  private final MembershipSettings terms;
+  private final List<MemberState> known;
   private final Random random;
   private final PriorityQueue<Planned> planned = new PriorityQueue<>();
   private final List<Host> hosts = new ArrayList<>();
@@ -64,7 +64,7 @@
   private long changes;
 
   /** So many members, each of which knows the same others at its start. */
-  RecordedFleet(int members, MemberTerms terms, List<News> known, long seed) {
+  RecordedFleet(int members, MembershipSettings terms, List<MemberState> known, long seed) {
     this.terms = terms;
     this.known = known;
     this.random = new Random(seed);
@@ -84,10 +84,10 @@
   }
 
   /** The first so many members, as others know them before they have heard of them. */
-  static List<News> knownMembers(int count) {
-    List<News> news = new ArrayList<>();
+  static List<MemberState> knownMembers(int count) {
+    List<MemberState> news = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      news.add(new News(name(i), address(i), Status.ALIVE, 0, false, name(i)));
+      news.add(new MemberState(name(i), address(i), Status.ALIVE, 0, false, name(i)));
     }
     return news;
   }
@@ -234,7 +234,7 @@
     text.append('\n');
   }
 
-  private void write(News news) {
+  private void write(MemberState news) {
     text.append(news.member()).append('|').append(news.address()).append('|').append(news.status())
         .append('|').append(news.incarnation()).append('|').append(news.deaf()).append('|').append(news.by())
         .append(' ');
@@ -249,7 +249,7 @@
   }
 
   /** The number of a member; one that is only known by name, and does not exist, has none. */
-  private int number(News news) {
+  private int number(MemberState news) {
     int number = Integer.parseInt(news.member().substring(1));
     return number < hosts.size() ? number : -1;
   }
@@ -275,11 +275,11 @@
     if (other.membership == null || other.paused) {
       return;
     }
-    List<News> asked = one.membership.view();
+    List<MemberState> asked = one.membership.view();
     int life = one.life;
     after(3, () -> {
       if (other.membership != null) {
-        List<News> answer = other.membership.view();
+        List<MemberState> answer = other.membership.view();
         handle(other, new MemberEvent.ViewReceived(asked));
         after(2, () -> take(one, life, new MemberEvent.ViewReceived(answer)));
       }
--- a/src/test/java/beampoint/fleet/message/CodecTest.java
+++ b/src/test/java/beampoint/fleet/message/CodecTest.java
@@ -15,11 +15,11 @@
 class CodecTest {
 
   private static final Codec CODEC = new Codec("north");
-  private static final News SELF = new News("n1", "10.0.0.1:7946", Status.ALIVE, 3, false, "n1");
+  private static final MemberState SELF = new MemberState("n1", "10.0.0.1:7946", Status.ALIVE, 3, false, "n1");
 
   private static Message message(int news) {
     return new Message(Kind.RELAY, 1L << 40, SELF, "n2", IntStream.range(0, news)
-        .mapToObj(i -> new News("n" + i, "10.0.0.9:7946", Status.SUSPECT, i, i % 2 == 0, "n3")).toList());
+        .mapToObj(i -> new MemberState("n" + i, "10.0.0.9:7946", Status.SUSPECT, i, i % 2 == 0, "n3")).toList());
   }
 
   @Test
@@ -33,11 +33,11 @@
   @Test
   void newsThatDoNotFitADatagramAreLeftOut() throws MalformedMessageException {
     Message long32 = new Message(Kind.GOSSIP, 0, SELF, "", IntStream.range(0, 30)
-        .mapToObj(i -> new News("x".repeat(150) + i, "10.0.0.9:7946", Status.ALIVE, i, false, "n3"))
+        .mapToObj(i -> new MemberState("x".repeat(150) + i, "10.0.0.9:7946", Status.ALIVE, i, false, "n3"))
         .toList());
     byte[] bytes = CODEC.write(long32);
     assertTrue(bytes.length <= Codec.MAX_DATAGRAM_BYTES);
-    List<News> read = CODEC.read(bytes, bytes.length).news();
+    List<MemberState> read = CODEC.read(bytes, bytes.length).news();
     assertTrue(!read.isEmpty() && read.size() < 30);
     assertEquals(long32.news().subList(0, read.size()), read);
   }
@@ -84,10 +84,10 @@
     assertTrue(refused > 90_000, "refused: " + refused);
   }
 
-  private static List<News> view(int members, int nameLength) {
+  private static List<MemberState> view(int members, int nameLength) {
     return IntStream.range(0, members).mapToObj(i -> {
       String name = "n".repeat(nameLength - 4) + (1_000 + i);
-      return new News(name, "1".repeat(94) + ":65535", Status.SUSPECT, Long.MAX_VALUE, true, name);
+      return new MemberState(name, "1".repeat(94) + ":65535", Status.SUSPECT, Long.MAX_VALUE, true, name);
     }).toList();
   }
 
@@ -96,7 +96,7 @@
   void aViewOfTheLargestFleetWithTheLongestNamesIsReadWholeAndOneMoreIsRefused()
       throws MalformedMessageException {
     for (int members : new int[] {2_300, Codec.MAX_VIEW_MEMBERS - 1, Codec.MAX_VIEW_MEMBERS}) {
-      List<News> view = view(members, 100);
+      List<MemberState> view = view(members, 100);
       byte[] bytes = CODEC.writeView(view);
       assertTrue(bytes.length <= Codec.MAX_VIEW_BYTES, "bytes: " + bytes.length);
       assertEquals(view, CODEC.readView(bytes));
@@ -108,10 +108,10 @@
   /** Guards against a view that every member refuses for its length. */
   @Test
   void whatDoesNotFitAViewIsLeftOut() throws MalformedMessageException {
-    List<News> view = view(Codec.MAX_VIEW_MEMBERS, 190);
+    List<MemberState> view = view(Codec.MAX_VIEW_MEMBERS, 190);
     byte[] bytes = CODEC.writeView(view);
     assertTrue(bytes.length <= Codec.MAX_VIEW_BYTES, "bytes: " + bytes.length);
-    List<News> read = CODEC.readView(bytes);
+    List<MemberState> read = CODEC.readView(bytes);
     assertTrue(read.size() > Codec.MAX_VIEW_MEMBERS / 2, "members: " + read.size());
     assertEquals(view.subList(0, read.size()), read);
   }
--- a/src/test/java/beampoint/fleet/transport/DatagramsTest.java
+++ b/src/test/java/beampoint/fleet/transport/DatagramsTest.java
@@ -5,8 +5,8 @@
 import beampoint.count.Counter;
 import beampoint.count.Counters;
 import beampoint.fleet.message.Codec;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Message;
-import beampoint.fleet.message.News;
 import beampoint.fleet.message.Status;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -35,7 +35,7 @@
 
   /** Sends one, and waits until it was read: the system's own buffer holds fewer. */
   private void send(DatagramSocket from, InetSocketAddress to) throws Exception {
-    News self = new News("n1", "127.0.0.1:1", Status.ALIVE, 1, false, "n1");
+    MemberState self = new MemberState("n1", "127.0.0.1:1", Status.ALIVE, 1, false, "n1");
     byte[] bytes = codec.write(new Message(Message.Kind.PING, 1, self, "", List.of()));
     long before = came.get() + counters.get(Counter.MEMBER_MESSAGES_DROPPED);
     from.send(new DatagramPacket(bytes, bytes.length, to));
--- a/src/test/java/beampoint/fleet/transport/ViewsTest.java
+++ b/src/test/java/beampoint/fleet/transport/ViewExchangerTest.java
@@ -6,7 +6,7 @@
 import beampoint.count.Counter;
 import beampoint.count.Counters;
 import beampoint.fleet.message.Codec;
-import beampoint.fleet.message.News;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Status;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -30,26 +30,26 @@
 
 /** Whole views over sockets, up to the largest fleet that there may be. */
 @Timeout(60)
-class ViewsTest {
+class ViewExchangerTest {
 
   private final TCPNIOTransport transport = TCPNIOTransportBuilder.newInstance()
       .setIOStrategy(SameThreadIOStrategy.getInstance()).build();
   private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
   private final Counters counters = new Counters();
   private final Codec codec = new Codec("north");
-  private final LinkedBlockingQueue<List<News>> toAsked = new LinkedBlockingQueue<>();
-  private final LinkedBlockingQueue<List<News>> toAsking = new LinkedBlockingQueue<>();
-  private volatile List<News> ofAsked = List.of();
-  private volatile List<News> ofAsking = List.of();
-  private Views asking;
+  private final LinkedBlockingQueue<List<MemberState>> toAsked = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<List<MemberState>> toAsking = new LinkedBlockingQueue<>();
+  private volatile List<MemberState> ofAsked = List.of();
+  private volatile List<MemberState> ofAsking = List.of();
+  private ViewExchanger asking;
   private InetSocketAddress address;
 
   @BeforeEach
   void start() throws IOException {
     transport.start();
-    address = new Views(transport, loop, codec, counters, () -> ofAsked, toAsked::add)
+    address = new ViewExchanger(transport, loop, codec, counters, () -> ofAsked, toAsked::add)
         .listen(new InetSocketAddress("127.0.0.1", 0));
-    asking = new Views(transport, loop, codec, counters, () -> ofAsking, toAsking::add);
+    asking = new ViewExchanger(transport, loop, codec, counters, () -> ofAsking, toAsking::add);
   }
 
   @AfterEach
@@ -58,8 +58,8 @@
     loop.shutdownNow();
   }
 
-  private static List<News> view(int members) {
-    return IntStream.range(0, members).mapToObj(i -> new News("proxy-" + i + "x".repeat(80),
+  private static List<MemberState> view(int members) {
+    return IntStream.range(0, members).mapToObj(i -> new MemberState("proxy-" + i + "x".repeat(80),
         "10.11.12.13:" + (10_000 + i), Status.ALIVE, 1L << 40, false, "proxy-" + i + "y".repeat(80)))
         .toList();
   }
@@ -108,7 +108,7 @@
     ofAsking = view(2);
     List<Socket> open = new ArrayList<>();
     try {
-      while (open.size() < Views.MAX_EXCHANGES - 1) {
+      while (open.size() < ViewExchanger.MAX_EXCHANGES - 1) {
         open.add(new Socket(address.getAddress(), address.getPort()));
       }
       asking.exchange(address);
