--- a/src/main/java/beampoint/emulator/MemberFleet.java
+++ b/src/main/java/beampoint/emulator/MemberFleet.java
@@ -138,7 +138,7 @@
     host.membership = asAtItsStart(member);
     host.living.set(0, known.size());
     int life = host.life;
-    clock.after(random.nextDouble() * terms.step(), () -> tick(host, life));
+    clock.after(random.nextDouble() * terms.tickInterval(), () -> tick(host, life));
   }
 
   /** A machine as the member's present one was at its start: the same events give the same actions. */
@@ -248,7 +248,7 @@
   private void tick(Host host, int life) {
     if (host.life == life && host.membership != null) {
       whenAwake(host, () -> give(host, new MemberEvent.Tick()));
-      clock.after(terms.step(), () -> tick(host, life));
+      clock.after(terms.tickInterval(), () -> tick(host, life));
     }
   }
 
@@ -282,9 +282,9 @@
     if (action instanceof Send a) {
       send(host, hosts.get(number(a.to().member())), a.message());
     } else if (action instanceof Exchange a) {
-      exchange(host, hosts.get(number(a.with().member())));
+      exchange(host, hosts.get(number(a.peer().member())));
     } else if (action instanceof Changed a) {
-      changed(host, number(a.now().member()), a.now().status());
+      changed(host, number(a.state().member()), a.state().status());
     }
   }
 
--- a/src/main/java/beampoint/emulator/MembershipViews.java
+++ b/src/main/java/beampoint/emulator/MembershipViews.java
@@ -72,7 +72,7 @@
     host.membership = new Membership(terms, host.place.name(), known.get(host.number).address(), known,
         RandomSource.XO_SHI_RO_256_PP.create(random.nextLong()), host.local(clock.now()));
     long life = host.life;
-    clock.after(random.nextDouble() * terms.step(), () -> tick(host, life));
+    clock.after(random.nextDouble() * terms.tickInterval(), () -> tick(host, life));
   }
 
   private void tick(ControlHost host, long life) {
@@ -80,7 +80,7 @@
       if (!host.isPaused()) {
         give(host, new MemberEvent.Tick());
       }
-      clock.after(terms.step(), () -> tick(host, life));
+      clock.after(terms.tickInterval(), () -> tick(host, life));
     }
   }
 
@@ -107,9 +107,9 @@
     if (action instanceof Send send) {
       send(host, hosts.get(layout.number(send.to().member())), send.message());
     } else if (action instanceof Exchange exchange) {
-      exchange(host, hosts.get(layout.number(exchange.with().member())));
+      exchange(host, hosts.get(layout.number(exchange.peer().member())));
     } else if (action instanceof Changed changed) {
-      note(host, changed.now());
+      note(host, changed.state());
     }
   }
 
@@ -117,7 +117,7 @@
     int other = layout.number(news.member());
     boolean isDead = news.status() == Status.DEAD || news.status() == Status.LEFT;
     if (isDead) {
-      boolean isOwn = news.by().equals(host.place.name());
+      boolean isOwn = news.reporter().equals(host.place.name());
       boolean lives = hosts.get(other).isUp() && reaches(host, hosts.get(other));
       double since = clock.now() - Math.max(changedAt[host.number], changedAt[other]);
       if (!lives && network.island(host.number) == 0) {
--- a/src/main/java/beampoint/fleet/changes/ChangeCodec.java
+++ b/src/main/java/beampoint/fleet/changes/ChangeCodec.java
@@ -12,10 +12,10 @@
 import beampoint.fleet.changes.LogMessage.RejoinAnswer;
 import beampoint.fleet.changes.LogMessage.SnapshotPart;
 import beampoint.fleet.facts.Epoch;
-import beampoint.fleet.lease.LeaseMessage.Ask;
 import beampoint.fleet.lease.LeaseMessage.Denial;
 import beampoint.fleet.lease.LeaseMessage.Promise;
 import beampoint.fleet.lease.LeaseMessage.Release;
+import beampoint.fleet.lease.LeaseMessage.Request;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.StreamReadConstraints;
@@ -122,7 +122,7 @@
   }
 
   private static void writeOfLease(JsonGenerator out, OfLease message) throws IOException {
-    if (message.message() instanceof Ask m) {
+    if (message.message() instanceof Request m) {
       begin(out, Kind.LEASE_ASK, m.epoch());
       out.writeNumber(m.round());
     } else if (message.message() instanceof Promise m) {
@@ -209,7 +209,7 @@
 
   private static LogMessage read(FormReader in, Kind kind) throws IOException, ChangeFormException {
     return switch (kind) {
-      case LEASE_ASK -> new OfLease(new Ask(in.epoch(), in.index()));
+      case LEASE_ASK -> new OfLease(new Request(in.epoch(), in.index()));
       case LEASE_PROMISE -> new OfLease(new Promise(in.epoch(), in.index()));
       case LEASE_DENIAL -> new OfLease(new Denial(in.index()));
       case LEASE_RELEASE -> new OfLease(new Release(in.epoch()));
--- a/src/main/java/beampoint/fleet/changes/ControlNode.java
+++ b/src/main/java/beampoint/fleet/changes/ControlNode.java
@@ -77,7 +77,7 @@
 
   /** True where it leads and takes changes. */
   public boolean leads(double now) {
-    return state.leads() && leaseState.mayAct(now);
+    return state.leads() && leaseState.isHolder(now);
   }
 
   /** What keeps the log from going on, as far as this machine knows: an operator has to know of it. */
@@ -133,20 +133,20 @@
   /** Guards against a leader that goes on after a pause. */
   private void endWithLease(double now, List<LogAction> actions) {
     boolean led = state.leadership() != null;
-    if (led && !(leaseState.mayAct(now) && leaseState.asked().equals(state.leadership().epoch()))) {
+    if (led && !(leaseState.isHolder(now) && leaseState.requested().equals(state.leadership().epoch()))) {
       step(now, new LeaseEnded(), actions);
     }
   }
 
   private void renewOrWant(double now, List<LogAction> actions) {
-    if (leaseState.mayAct(now)) {
+    if (leaseState.isHolder(now)) {
       if (!state.leads() && now >= giveUpAt) {
         giveBack(now, actions);
         lastProblem = Problem.NO_QUORUM;
         actions.add(new GiveUp(lastProblem));
       } else if (now >= wantAt) {
         wantAt = now + leaseTerms.length() / RENEWALS;
-        leaseStep(now, new LeaseEvent.Want(), actions);
+        leaseStep(now, new LeaseEvent.Acquire(), actions);
       }
     } else if (candidate && now >= giveUpAt) {
       giveBack(now, actions);
@@ -155,7 +155,7 @@
     } else if (!candidate && now >= wantAt && now >= leaderHeardAt + leaseTerms.length() && mayLead()) {
       candidate = true;
       giveUpAt = now + PATIENCE * leaseTerms.length();
-      leaseStep(now, new LeaseEvent.Want(), actions);
+      leaseStep(now, new LeaseEvent.Acquire(), actions);
     }
   }
 
@@ -173,22 +173,22 @@
     candidate = false;
     wantAt = now + scatter();
     step(now, new LeaseEnded(), actions);
-    leaseStep(now, new LeaseEvent.Yield(), actions);
+    leaseStep(now, new LeaseEvent.Relinquish(), actions);
   }
 
   private void leaseStep(double now, LeaseEvent event, List<LogAction> actions) {
     Lease.Step step = lease.step(leaseState, now, event);
     leaseState = step.state();
-    step.says().forEach(say -> actions.add(new Send(say.to(), new OfLease(say.message()))));
+    step.messages().forEach(say -> actions.add(new Send(say.to(), new OfLease(say.message()))));
     if (leaseState.fence().compareTo(state.log().fence()) > 0) {
       step(now, new Promised(leaseState.fence()), actions);
     }
-    if (candidate && leaseState.mayAct(now)) {
+    if (candidate && leaseState.isHolder(now)) {
       candidate = false;
       giveUpAt = now + leaseTerms.length();
       wantAt = now + leaseTerms.length() / RENEWALS;
       lastProblem = null;
-      step(now, new Elected(leaseState.asked()), actions);
+      step(now, new Elected(leaseState.requested()), actions);
     }
   }
 
@@ -201,11 +201,11 @@
         candidate = false;
         lastProblem = giveUp.problem();
         wantAt = now + scatter() + (giveUp.problem() == Problem.FENCED ? 0 : leaseTerms.length());
-        leaseStep(now, new LeaseEvent.Yield(), actions);
+        leaseStep(now, new LeaseEvent.Relinquish(), actions);
       }
     }
     if (state.log().fence().compareTo(leaseState.fence()) > 0) {
-      leaseStep(now, new LeaseEvent.Seen(state.log().fence()), actions);
+      leaseStep(now, new LeaseEvent.EpochObserved(state.log().fence()), actions);
     }
   }
 }
--- a/src/main/java/beampoint/fleet/lease/Lease.java
+++ b/src/main/java/beampoint/fleet/lease/Lease.java
@@ -1,14 +1,14 @@
 package beampoint.fleet.lease;
 
 import beampoint.fleet.facts.Epoch;
+import beampoint.fleet.lease.LeaseEvent.Acquire;
+import beampoint.fleet.lease.LeaseEvent.EpochObserved;
 import beampoint.fleet.lease.LeaseEvent.Received;
-import beampoint.fleet.lease.LeaseEvent.Seen;
-import beampoint.fleet.lease.LeaseEvent.Want;
-import beampoint.fleet.lease.LeaseEvent.Yield;
-import beampoint.fleet.lease.LeaseMessage.Ask;
+import beampoint.fleet.lease.LeaseEvent.Relinquish;
 import beampoint.fleet.lease.LeaseMessage.Denial;
 import beampoint.fleet.lease.LeaseMessage.Promise;
 import beampoint.fleet.lease.LeaseMessage.Release;
+import beampoint.fleet.lease.LeaseMessage.Request;
 import java.util.List;
 import java.util.SortedSet;
 import java.util.TreeSet;
@@ -21,10 +21,10 @@
 public final class Lease {
 
   /** A message to another voter. */
-  public record Say(String to, LeaseMessage message) {}
+  public record Outgoing(String to, LeaseMessage message) {}
 
   /** What becomes of an event. */
-  public record Step(LeaseState state, List<Say> says) {}
+  public record Step(LeaseState state, List<Outgoing> messages) {}
 
   private final LeaseSettings terms;
   private final String self;
@@ -42,12 +42,12 @@
 
   /** The next state; the time never goes back. */
   public Step step(LeaseState s, double now, LeaseEvent event) {
-    if (event instanceof Want) {
+    if (event instanceof Acquire) {
       return ask(s, now);
-    } else if (event instanceof Yield) {
+    } else if (event instanceof Relinquish) {
       return giveBack(s);
-    } else if (event instanceof Seen e) {
-      boolean passed = e.epoch().compareTo(s.asked()) > 0;
+    } else if (event instanceof EpochObserved e) {
+      boolean passed = e.epoch().compareTo(s.requested()) > 0;
       return new Step(passed ? s.fencedBy(e.epoch()).asking(Epoch.NONE, s.askedAt(), 0) : s, List.of());
     } else if (event instanceof Received e && terms.voters().contains(e.from())) {
       return receive(s, now, e.from(), e.message());
@@ -60,18 +60,18 @@
    * another has reason to think that this one acts, and does not disturb it.
    */
   private Step ask(LeaseState s, double now) {
-    boolean holds = s.mayAct(now);
-    Epoch epoch = holds ? s.asked() : new Epoch(s.known() + 1, self, life);
+    boolean holds = s.isHolder(now);
+    Epoch epoch = holds ? s.requested() : new Epoch(s.known() + 1, self, life);
     if (!mayPromise(s, now, epoch)) {
       return new Step(s, List.of());
     }
     LeaseState next = s.asking(epoch, now, holds ? s.mayActUntil() : 0)
         .promising(epoch, now + terms.length());
-    return new Step(promised(next, self), sayToOthers(new Ask(epoch, next.round())));
+    return new Step(promised(next, self), sayToOthers(new Request(epoch, next.round())));
   }
 
-  private List<Say> sayToOthers(LeaseMessage message) {
-    return terms.voters().stream().filter(v -> !v.equals(self)).map(v -> new Say(v, message)).toList();
+  private List<Outgoing> sayToOthers(LeaseMessage message) {
+    return terms.voters().stream().filter(v -> !v.equals(self)).map(v -> new Outgoing(v, message)).toList();
   }
 
   /** Guards against a promise to two: nobody else is promised before the time of the first has run out. */
@@ -87,14 +87,14 @@
   }
 
   private Step receive(LeaseState s, double now, String from, LeaseMessage message) {
-    if (message instanceof Ask m && m.epoch().holder().equals(from)) {
+    if (message instanceof Request m && m.epoch().holder().equals(from)) {
       LeaseState next = s.knowing(m.epoch().number());
       return mayPromise(s, now, m.epoch())
           ? new Step(next.promising(m.epoch(), now + terms.length()),
-              List.of(new Say(from, new Promise(m.epoch(), m.round()))))
-          : new Step(next, List.of(new Say(from, new Denial(s.known()))));
+              List.of(new Outgoing(from, new Promise(m.epoch(), m.round()))))
+          : new Step(next, List.of(new Outgoing(from, new Denial(s.known()))));
     } else if (message instanceof Promise m) {
-      boolean answers = m.epoch().equals(s.asked()) && m.round() == s.round();
+      boolean answers = m.epoch().equals(s.requested()) && m.round() == s.round();
       return new Step(answers ? promised(s, from) : s, List.of());
     } else if (message instanceof Denial m) {
       return new Step(s.knowing(m.known()), List.of());
@@ -107,7 +107,7 @@
 
   /** Gives the lease back: its voters need not wait for its time to run out. */
   private Step giveBack(LeaseState s) {
-    Epoch held = s.asked();
+    Epoch held = s.requested();
     LeaseState next = s.asking(Epoch.NONE, s.askedAt(), 0);
     boolean own = held.equals(s.promised());
     return new Step(own ? next.promising(Epoch.NONE, 0) : next,
--- a/src/main/java/beampoint/fleet/lease/LeaseEvent.java
+++ b/src/main/java/beampoint/fleet/lease/LeaseEvent.java
@@ -6,14 +6,14 @@
 public sealed interface LeaseEvent {
 
   /** Wants to act, or to go on acting. */
-  record Want() implements LeaseEvent {}
+  record Acquire() implements LeaseEvent {}
 
   /** Does not want to act any longer. */
-  record Yield() implements LeaseEvent {}
+  record Relinquish() implements LeaseEvent {}
 
   /** A message has come. */
   record Received(String from, LeaseMessage message) implements LeaseEvent {}
 
   /** An epoch was seen elsewhere, as in an entry of the shared facts. */
-  record Seen(Epoch epoch) implements LeaseEvent {}
+  record EpochObserved(Epoch epoch) implements LeaseEvent {}
 }
--- a/src/main/java/beampoint/fleet/lease/LeaseMessage.java
+++ b/src/main/java/beampoint/fleet/lease/LeaseMessage.java
@@ -6,7 +6,7 @@
 public sealed interface LeaseMessage {
 
   /** Asks for a promise; the round tells its answers from those to an earlier question. */
-  record Ask(Epoch epoch, long round) implements LeaseMessage {}
+  record Request(Epoch epoch, long round) implements LeaseMessage {}
 
   /** Promises to nobody else until the length of a lease has passed. */
   record Promise(Epoch epoch, long round) implements LeaseMessage {}
--- a/src/main/java/beampoint/fleet/lease/LeaseState.java
+++ b/src/main/java/beampoint/fleet/lease/LeaseState.java
@@ -12,13 +12,13 @@
  * @param known the highest number of an epoch that it has heard of: it asks for higher ones
  * @param promised to whom, or {@link Epoch#NONE}
  * @param promisedUntil when the promise has run out; before it, it promises nobody else
- * @param asked the epoch that it asks for, or holds, or {@link Epoch#NONE}
+ * @param requested the epoch that it asks for, or holds, or {@link Epoch#NONE}
  * @param round how often it asked
  * @param askedAt when it asked last
  * @param promises who has answered that
  * @param mayActUntil 0 where it holds nothing
  */
-public record LeaseState(Epoch fence, long known, Epoch promised, double promisedUntil, Epoch asked,
+public record LeaseState(Epoch fence, long known, Epoch promised, double promisedUntil, Epoch requested,
     long round, double askedAt, SortedSet<String> promises, double mayActUntil) {
 
   /**
@@ -32,18 +32,18 @@
         new TreeSet<>(), 0);
   }
 
-  /** True while it may act, under the epoch that it asked for. */
-  public boolean mayAct(double now) {
+  /** True while it may act, under the epoch that it requested. */
+  public boolean isHolder(double now) {
     return now < mayActUntil;
   }
 
   LeaseState knowing(long number) {
-    return number <= known ? this : new LeaseState(fence, number, promised, promisedUntil, asked, round,
+    return number <= known ? this : new LeaseState(fence, number, promised, promisedUntil, requested, round,
         askedAt, promises, mayActUntil);
   }
 
   LeaseState promising(Epoch epoch, double until) {
-    return new LeaseState(fence.max(epoch), Math.max(known, epoch.number()), epoch, until, asked, round,
+    return new LeaseState(fence.max(epoch), Math.max(known, epoch.number()), epoch, until, requested, round,
         askedAt, promises, mayActUntil);
   }
 
@@ -53,12 +53,12 @@
   }
 
   LeaseState promisedBy(SortedSet<String> voters, double actsUntil) {
-    return new LeaseState(fence, known, promised, promisedUntil, asked, round, askedAt, voters,
+    return new LeaseState(fence, known, promised, promisedUntil, requested, round, askedAt, voters,
         Math.max(mayActUntil, actsUntil));
   }
 
   LeaseState fencedBy(Epoch epoch) {
-    return new LeaseState(fence.max(epoch), Math.max(known, epoch.number()), promised, promisedUntil, asked,
+    return new LeaseState(fence.max(epoch), Math.max(known, epoch.number()), promised, promisedUntil, requested,
         round, askedAt, promises, mayActUntil);
   }
 }
--- a/src/main/java/beampoint/fleet/membership/Gossip.java
+++ b/src/main/java/beampoint/fleet/membership/Gossip.java
@@ -55,7 +55,7 @@
 
   /** Replaces what is known of a member, and passes it on. */
   void update(Peer peer, MemberState news) {
-    boolean isChange = peer.news.status() != news.status() || peer.news.deaf() != news.deaf();
+    boolean isChange = peer.news.status() != news.status() || peer.news.notReceiving() != news.notReceiving();
     table.update(peer, news);
     queue.add(news);
     if (isChange) {
--- a/src/main/java/beampoint/fleet/membership/LocalMember.java
+++ b/src/main/java/beampoint/fleet/membership/LocalMember.java
@@ -42,14 +42,14 @@
   }
 
   /** True while there is reason to think that it is cut off, or that all others are gone. */
-  boolean doubtsItself() {
-    return self.deaf() || failuresInARow >= terms.failuresOfDoubt();
+  boolean mayBeIsolated() {
+    return self.notReceiving() || failuresInARow >= terms.failuresOfDoubt();
   }
 
   /** True where it has doubted itself at the last call, and does no longer. */
   boolean doubtHasEnded() {
-    boolean ended = doubted && !doubtsItself();
-    doubted = doubtsItself();
+    boolean ended = doubted && !mayBeIsolated();
+    doubted = mayBeIsolated();
     return ended;
   }
 
@@ -60,7 +60,7 @@
 
   /** True where others have to be told whether it hears: each second anew while it does not. */
   boolean hasToTell(boolean deaf, double now) {
-    return deaf && now - raisedAt >= RAISE_EVERY || !deaf && self.deaf();
+    return deaf && now - raisedAt >= RAISE_EVERY || !deaf && self.notReceiving();
   }
 
   /** Goes above an incarnation, which refutes what others say under it. */
--- a/src/main/java/beampoint/fleet/membership/MemberAction.java
+++ b/src/main/java/beampoint/fleet/membership/MemberAction.java
@@ -10,8 +10,8 @@
   record Send(MemberState to, Message message) implements MemberAction {}
 
   /** Exchanges the whole view with a member: each gets the other's. */
-  record Exchange(MemberState with) implements MemberAction {}
+  record Exchange(MemberState peer) implements MemberAction {}
 
   /** A member stands otherwise than before. */
-  record Changed(MemberState now) implements MemberAction {}
+  record Changed(MemberState state) implements MemberAction {}
 }
--- a/src/main/java/beampoint/fleet/membership/Membership.java
+++ b/src/main/java/beampoint/fleet/membership/Membership.java
@@ -100,13 +100,13 @@
   }
 
   /** How many live in this member's view, itself included. */
-  public int living() {
+  public int liveCount() {
     return 1 + table.living().size();
   }
 
   /** True while this member has reason to think that it is cut off, or that all others are gone. */
-  public boolean doubtsItself() {
-    return local.doubtsItself();
+  public boolean mayBeIsolated() {
+    return local.mayBeIsolated();
   }
 
   /** Guards against a process that stood still, and wakes to find that nobody has answered in its absence. */
@@ -142,7 +142,7 @@
    * is large, and repairs only what gossip has missed.
    */
   private double exchangeInterval() {
-    return EXCHANGE_EVERY * Math.max(1, (double) living() / USUAL_SIZE);
+    return EXCHANGE_EVERY * Math.max(1, (double) liveCount() / USUAL_SIZE);
   }
 
   /**
@@ -209,7 +209,7 @@
     if (peer == null) {
       learnOfNew(news);
     } else if (news.status() == Status.SUSPECT) {
-      suspicions.suspect(peer, news.incarnation(), news.by(), now);
+      suspicions.suspect(peer, news.incarnation(), news.reporter(), now);
     } else if (news.status() == Status.DEAD && peer.news.status() == Status.ALIVE) {
       // Its suspicion was not heard of, so this may come from the other side of a cut.
       prober.askAbout(peer, news);
@@ -222,7 +222,7 @@
     boolean isAlive = news.status() == Status.ALIVE;
     long own = local.news().incarnation();
     if (news.incarnation() > own || !isAlive && news.incarnation() == own) {
-      refute(news.incarnation(), local.news().deaf());
+      refute(news.incarnation(), local.news().notReceiving());
     } else if (!isAlive) {
       gossip.spreadSelf(); // it was refuted before, and not all have heard of that
     }
--- a/src/main/java/beampoint/fleet/membership/MembershipSettings.java
+++ b/src/main/java/beampoint/fleet/membership/MembershipSettings.java
@@ -3,7 +3,7 @@
 /**
  * The figures of membership, the same at every member; times in ms.
  *
- * @param step how often a member acts by itself
+ * @param tickInterval how often a member acts by itself
  * @param probeEvery how often it probes: its successor and one drawn by turns
  * @param answerWithin how long it waits for a direct answer before it asks others to try
  * @param suspectFor how long a member is suspected, at the least, before it is declared dead
@@ -12,13 +12,13 @@
  * @param failuresOfDoubt probes in a row without one answer after which it doubts itself
  * @param mostMembers that it keeps in its table, those that are gone included
  */
-public record MembershipSettings(double step, double probeEvery, double answerWithin, double suspectFor,
+public record MembershipSettings(double tickInterval, double probeEvery, double answerWithin, double suspectFor,
     double stillAfter, double deafAfter, int failuresOfDoubt, int mostMembers) {
 
   /** The same without suspicion and own doubt, to compare with: who gives no answer is dead at once. */
-  public MembershipSettings plain() {
+  public MembershipSettings withoutSuspicion() {
     double never = Double.POSITIVE_INFINITY;
-    return new MembershipSettings(step, probeEvery, answerWithin, 0, never, never, Integer.MAX_VALUE, mostMembers);
+    return new MembershipSettings(tickInterval, probeEvery, answerWithin, 0, never, never, Integer.MAX_VALUE, mostMembers);
   }
 
   /** Sized for a fleet of 2,300, with room for members that came back under new names. */
--- a/src/main/java/beampoint/fleet/membership/Peer.java
+++ b/src/main/java/beampoint/fleet/membership/Peer.java
@@ -36,7 +36,7 @@
 
   /** It has said of late that it hears nobody: it can't answer, and is not held to it. */
   boolean isKnownDeaf(double now, MembershipSettings terms) {
-    return news.deaf() && now - freshAt < terms.suspectFor();
+    return news.notReceiving() && now - freshAt < terms.suspectFor();
   }
 
   static boolean isLiving(Status status) {
--- a/src/main/java/beampoint/fleet/membership/Prober.java
+++ b/src/main/java/beampoint/fleet/membership/Prober.java
@@ -133,7 +133,7 @@
   private void failed(Probe probe, double now) {
     local.probeFailed();
     Peer target = table.get(probe.target);
-    if (target != null && !local.doubtsItself() && !target.isKnownDeaf(now, terms)) {
+    if (target != null && !local.mayBeIsolated() && !target.isKnownDeaf(now, terms)) {
       suspicions.suspect(target, target.news.incarnation(), local.name(), now);
     }
   }
--- a/src/main/java/beampoint/fleet/membership/Siblings.java
+++ b/src/main/java/beampoint/fleet/membership/Siblings.java
@@ -26,9 +26,9 @@
   }
 
   /** The number that holds now, given how many live in this member's view, itself included. */
-  public int number(double now, int living, boolean doubtsItself) {
+  public int number(double now, int living, boolean mayBeIsolated) {
     boolean isMinority = 2 * living <= configured;
-    int seen = doubtsItself || isMinority ? configured : living;
+    int seen = mayBeIsolated || isMinority ? configured : living;
     if (seen >= present) {
       present = seen;
       since = Double.POSITIVE_INFINITY;
--- a/src/main/java/beampoint/fleet/membership/SuspicionHandler.java
+++ b/src/main/java/beampoint/fleet/membership/SuspicionHandler.java
@@ -89,7 +89,7 @@
   private NavigableMap<String, Suspicion> due(double now) {
     NavigableMap<String, Suspicion> due = new TreeMap<>();
     queue.collectBeforeLastProbe(now, terms.probeEvery(), due);
-    if (!local.doubtsItself()) {
+    if (!local.mayBeIsolated()) {
       queue.collectOver(now, due);
     }
     return due;
--- a/src/main/java/beampoint/fleet/message/Codec.java
+++ b/src/main/java/beampoint/fleet/message/Codec.java
@@ -140,8 +140,8 @@
     out.writeString(news.address());
     out.writeNumber(news.status().ordinal());
     out.writeNumber(news.incarnation());
-    out.writeBoolean(news.deaf());
-    out.writeString(news.by());
+    out.writeBoolean(news.notReceiving());
+    out.writeString(news.reporter());
     out.writeEndArray();
   }
 
--- a/src/main/java/beampoint/fleet/message/MemberState.java
+++ b/src/main/java/beampoint/fleet/message/MemberState.java
@@ -5,10 +5,10 @@
  *
  * @param address where it is reached, as {@code host:port}
  * @param incarnation raised by the member alone, to refute what others say of it
- * @param deaf it says of itself that it hears nobody: it lives, though it answers no probe
- * @param by who found it so: itself, or who accuses it or declared it dead
+ * @param notReceiving it says of itself that it hears nobody: it lives, though it answers no probe
+ * @param reporter who found it so: itself, or who accuses it or declared it dead
  */
-public record MemberState(String member, String address, Status status, long incarnation, boolean deaf, String by) {
+public record MemberState(String member, String address, Status status, long incarnation, boolean notReceiving, String reporter) {
 
   /**
    * True where this goes before the other news of the same member (SWIM, section 4.2): what the member says
@@ -20,8 +20,8 @@
   }
 
   /** The same member, as somebody found it. */
-  public MemberState as(Status next, String finder) {
-    return new MemberState(member, address, next, incarnation, deaf, finder);
+  public MemberState as(Status next, String by) {
+    return new MemberState(member, address, next, incarnation, notReceiving, by);
   }
 
   private int rank() {
--- a/src/main/java/beampoint/fleet/node/FleetNode.java
+++ b/src/main/java/beampoint/fleet/node/FleetNode.java
@@ -82,7 +82,7 @@
     settings.peers()
         .forEach((peer, at) -> known.add(new MemberState(peer, Address.text(at), Status.ALIVE, 0, false, peer)));
     LOG.info(name + " is a member of " + settings.cluster() + " at " + Address.text(address));
-    long step = (long) terms.step();
+    long step = (long) terms.tickInterval();
     loop.execute(() -> {
       membership = new Membership(terms, name, Address.text(address), known,
           RandomSource.XO_SHI_RO_256_PP.create(seed), clock.getAsDouble());
@@ -92,7 +92,7 @@
 
   private void step() {
     give(new MemberEvent.Tick());
-    shared.accept(siblings.number(clock.getAsDouble(), membership.living(), membership.doubtsItself()));
+    shared.accept(siblings.number(clock.getAsDouble(), membership.liveCount(), membership.mayBeIsolated()));
   }
 
   /** Leaves in order, and listens no longer; from the loop. */
@@ -125,12 +125,12 @@
         datagrams.send(to, a.message());
       }
     } else if (action instanceof Exchange a) {
-      InetSocketAddress with = dial(a.with());
+      InetSocketAddress with = dial(a.peer());
       if (with != null) {
         views.exchange(with);
       }
     } else if (action instanceof Changed a) {
-      tell(a.now());
+      tell(a.state());
     }
   }
 
@@ -146,7 +146,7 @@
     } else if (news.status() == Status.ALIVE) {
       counters.add(Counter.MEMBERS_BACK);
     }
-    LOG.info("member " + news.member() + " is " + news.status() + (news.deaf() ? ", and hears nobody" : "")
-        + ", by " + news.by() + ", incarnation " + news.incarnation());
+    LOG.info("member " + news.member() + " is " + news.status() + (news.notReceiving() ? ", and hears nobody" : "")
+        + ", by " + news.reporter() + ", incarnation " + news.incarnation());
   }
 }
--- a/src/test/java/beampoint/emulator/MemberFaults.java
+++ b/src/test/java/beampoint/emulator/MemberFaults.java
@@ -85,8 +85,8 @@
     int cutOff = topology.membersOf(inside).length;
     int oneInside = topology.membersOf(inside)[0];
     int oneOutside = topology.membersOf(inside.negate())[0];
-    return fleet.membership(oneInside).living() == cutOff
-        && fleet.membership(oneOutside).living() == topology.members() - cutOff
+    return fleet.membership(oneInside).liveCount() == cutOff
+        && fleet.membership(oneOutside).liveCount() == topology.members() - cutOff
         && fleet.isOfOneView(inside) && fleet.isOfOneView(inside.negate());
   }
 
@@ -129,7 +129,7 @@
     double begin = fleet.now();
     while (fleet.now() < begin + GIVE_UP_AFTER) {
       fleet.runTo(fleet.now() + LOOK_EVERY);
-      if (fleet.isOfOneView() && fleet.membership(oneThatRuns()).living() == living) {
+      if (fleet.isOfOneView() && fleet.membership(oneThatRuns()).liveCount() == living) {
         return fleet.now() - begin;
       }
     }
--- a/src/test/java/beampoint/emulator/MemberFleetTest.java
+++ b/src/test/java/beampoint/emulator/MemberFleetTest.java
@@ -82,10 +82,10 @@
       IntStream.range(0, members).forEach(i -> fleet.lose(i, 2, 1));
       fleet.runTo(60_000);
       assertEquals(List.of(), fleet.deaths());
-      assertTrue(fleet.membership(2).self().deaf());
+      assertTrue(fleet.membership(2).self().notReceiving());
       IntStream.range(0, members).forEach(i -> fleet.lose(i, 2, 0));
       fleet.runTo(70_000);
-      assertTrue(!fleet.membership(2).self().deaf() && fleet.isOfOneView());
+      assertTrue(!fleet.membership(2).self().notReceiving() && fleet.isOfOneView());
     }
   }
 
@@ -112,11 +112,11 @@
     IntStream.range(0, 14).forEach(i -> fleet.lose(2, i, 1));
     fleet.runTo(60_000);
     assertTrue(fleet.deaths().stream().allMatch(d -> d.of() == 2), "only the mute one is held for dead");
-    assertTrue(fleet.membership(2).doubtsItself());
+    assertTrue(fleet.membership(2).mayBeIsolated());
     IntStream.range(0, 14).forEach(i -> fleet.lose(2, i, 0));
     fleet.runTo(70_000);
     assertTrue(fleet.isOfOneView());
-    assertEquals(14, fleet.membership(5).living());
+    assertEquals(14, fleet.membership(5).liveCount());
   }
 
   @Test
@@ -129,13 +129,13 @@
       }
     }
     fleet.runTo(65_000);
-    assertEquals(20, fleet.membership(15).living());
-    assertEquals(10, fleet.membership(5).living());
+    assertEquals(20, fleet.membership(15).liveCount());
+    assertEquals(10, fleet.membership(5).liveCount());
     fleet.loseEverywhere(0);
     double healed = 0;
     for (double t = 65_100; t <= 75_000 && healed == 0; t += 100) {
       fleet.runTo(t);
-      healed = fleet.isOfOneView() && fleet.membership(5).living() == 30 ? t - 65_000 : 0;
+      healed = fleet.isOfOneView() && fleet.membership(5).liveCount() == 30 ? t - 65_000 : 0;
     }
     assertTrue(healed > 0);
   }
@@ -145,11 +145,11 @@
     MemberFleet fleet = fleet(40, 5);
     IntStream.range(0, 28).forEach(fleet::kill);
     fleet.runTo(20_000);
-    assertEquals(12, fleet.membership(30).living());
+    assertEquals(12, fleet.membership(30).liveCount());
     assertEquals(List.of(), falsePositives(fleet));
     IntStream.range(0, 28).forEach(fleet::start);
     fleet.runTo(30_000);
-    assertEquals(40, fleet.membership(30).living());
+    assertEquals(40, fleet.membership(30).liveCount());
     assertTrue(fleet.isOfOneView());
   }
 
@@ -165,6 +165,6 @@
     fleet.runTo(17_000);
     assertEquals(Status.LEFT, fleet.view(4, 9));
     assertEquals(List.of(), fleet.deaths());
-    assertEquals(13, fleet.membership(3).living());
+    assertEquals(13, fleet.membership(3).liveCount());
   }
 }
--- a/src/test/java/beampoint/emulator/MemberStudy.java
+++ b/src/test/java/beampoint/emulator/MemberStudy.java
@@ -29,7 +29,7 @@
   @Test
   void crashes() {
     for (int members : new int[] {3, 14, 100, 400}) {
-      for (MembershipSettings terms : List.of(USUAL, USUAL.plain())) {
+      for (MembershipSettings terms : List.of(USUAL, USUAL.withoutSuspicion())) {
         List<Double> all = new ArrayList<>(IntStream.range(0, Math.min(RUNS, 40_000 / members)).parallel()
             .mapToObj(seed -> {
               MemberFleet fleet = new MemberFleet(members, terms, seed);
@@ -78,7 +78,7 @@
   @Test
   void falsePositives() {
     for (int members : new int[] {3, 14}) {
-      for (MembershipSettings terms : List.of(USUAL, USUAL.plain())) {
+      for (MembershipSettings terms : List.of(USUAL, USUAL.withoutSuspicion())) {
         int runs = terms == USUAL ? RUNS : Math.min(RUNS, 20);
         long falsePositives = IntStream.range(0, runs).parallel()
             .mapToLong(seed -> troubles(members, terms, seed).deaths().stream().filter(Death::lived).count())
@@ -105,7 +105,7 @@
             fleet.loseEverywhere(0.01);
             for (double time = 100; time <= 20_000; time += 100) {
               fleet.runTo(65_000 + time);
-              if (fleet.isOfOneView() && fleet.membership(0).living() == members) {
+              if (fleet.isOfOneView() && fleet.membership(0).liveCount() == members) {
                 return time;
               }
             }
--- a/src/test/java/beampoint/fleet/changes/ChangeCodecTest.java
+++ b/src/test/java/beampoint/fleet/changes/ChangeCodecTest.java
@@ -17,10 +17,10 @@
 import beampoint.fleet.changes.LogMessage.RejoinAnswer;
 import beampoint.fleet.changes.LogMessage.SnapshotPart;
 import beampoint.fleet.facts.Epoch;
-import beampoint.fleet.lease.LeaseMessage.Ask;
 import beampoint.fleet.lease.LeaseMessage.Denial;
 import beampoint.fleet.lease.LeaseMessage.Promise;
 import beampoint.fleet.lease.LeaseMessage.Release;
+import beampoint.fleet.lease.LeaseMessage.Request;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import java.io.ByteArrayOutputStream;
@@ -62,7 +62,7 @@
   private static List<LogMessage> oneOfEach() {
     List<ChangeEntry> entries = new ArrayList<>(purges(5, 3, "org/é/\uD83D\uDE00"));
     entries.add(entry(8, new ConfigurationChange(2, "{\n}")));
-    return List.of(new OfLease(new Ask(EPOCH, 3)), new OfLease(new Promise(EPOCH, 4)),
+    return List.of(new OfLease(new Request(EPOCH, 3)), new OfLease(new Promise(EPOCH, 4)),
         new OfLease(new Denial(5)), new OfLease(new Release(EPOCH)), new Recover(EPOCH),
         new Recovered(EPOCH, EPOCH, 9, true, Epoch.NONE, 4, entries),
         new Append(EPOCH, EPOCH, 9, false, 3, 4, 8, entries), new Accepted(EPOCH, -1, true, false, 8, 4),
--- a/src/test/java/beampoint/fleet/lease/LeaseSearchTest.java
+++ b/src/test/java/beampoint/fleet/lease/LeaseSearchTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beampoint.fleet.facts.Epoch;
-import beampoint.fleet.lease.Lease.Say;
+import beampoint.fleet.lease.Lease.Outgoing;
 import beampoint.fleet.lease.Lease.Step;
 import beampoint.fleet.lease.LeaseEvent.Received;
 import beampoint.fleet.lease.LeaseMessage.Promise;
@@ -30,7 +30,7 @@
   private static final int DEPTH = Integer.getInteger("lease.depth", 9); // a longer search names more
 
   /** A message on its way. */
-  private record Flight(int from, Say say) {}
+  private record Flight(int from, Outgoing say) {}
 
   /**
    * All there is at one moment; lives count the starts of each voter. What was said stays: it may come at any
@@ -86,9 +86,9 @@
       List<LeaseState> next = new ArrayList<>(w.states);
       next.set(voter, step.state());
       Set<Flight> said = w.said;
-      if (!step.says().isEmpty()) {
+      if (!step.messages().isEmpty()) {
         said = new HashSet<>(said);
-        for (Say say : step.says()) {
+        for (Outgoing say : step.messages()) {
           said.add(new Flight(voter, say));
         }
       }
@@ -108,10 +108,10 @@
       all.add(new World(w.time + 1, w.states, w.lives, w.said, w.wants, w.crashes));
       for (int i = 0; i < NAMES.size(); i++) {
         if (w.wants > 0) {
-          all.add(happened(w, i, new LeaseEvent.Want(), w.wants - 1));
+          all.add(happened(w, i, new LeaseEvent.Acquire(), w.wants - 1));
         }
-        if (w.states.get(i).mayAct(clock(i, w.time))) {
-          all.add(happened(w, i, new LeaseEvent.Yield(), w.wants));
+        if (w.states.get(i).isHolder(clock(i, w.time))) {
+          all.add(happened(w, i, new LeaseEvent.Relinquish(), w.wants));
         }
         if (w.crashes > 0) {
           all.add(crashed(w, i));
@@ -129,7 +129,7 @@
       int acting = -1;
       for (int i = 0; i < NAMES.size(); i++) {
         LeaseState state = w.states.get(i);
-        if (!state.mayAct(clock(i, w.time))) {
+        if (!state.isHolder(clock(i, w.time))) {
           continue;
         }
         if (acting >= 0) {
@@ -139,13 +139,13 @@
         int bound = 0; // can promise nobody else now
         for (int v = 0; v < NAMES.size(); v++) {
           LeaseState voter = w.states.get(v);
-          boolean own = voter.promised().equals(state.asked()) || voter.promised().equals(Epoch.NONE);
+          boolean own = voter.promised().equals(state.requested()) || voter.promised().equals(Epoch.NONE);
           bound += own && clock(v, w.time) < voter.promisedUntil() ? 1 : 0;
         }
         if (bound < terms.majority()) {
           return NAMES.get(i) + " may act by the promises of " + bound;
         }
-        Epoch epoch = state.asked();
+        Epoch epoch = state.requested();
         if (!epoch.holder().equals(NAMES.get(i)) || epoch.life() != w.lives.get(i)) {
           return NAMES.get(i) + " acts under an epoch of another: " + epoch;
         }
@@ -201,8 +201,8 @@
             && step.state().mayActUntil() > state.mayActUntil();
         LeaseState s = step.state();
         return !promised ? step : new Step(new LeaseState(s.fence(), s.known(), s.promised(),
-            s.promisedUntil(), s.asked(), s.round(), s.askedAt(), s.promises(), now + terms.held()),
-            step.says());
+            s.promisedUntil(), s.requested(), s.round(), s.askedAt(), s.promises(), now + terms.held()),
+            step.messages());
       }
     });
   }
@@ -222,7 +222,7 @@
     assertFound(new int[] {1, 1, 1}, new Rules() {
       @Override
       public Step step(LeaseSettings terms, Lease lease, LeaseState s, double now, LeaseEvent event) {
-        LeaseState free = new LeaseState(s.fence(), s.known(), s.promised(), 0, s.asked(), s.round(),
+        LeaseState free = new LeaseState(s.fence(), s.known(), s.promised(), 0, s.requested(), s.round(),
             s.askedAt(), s.promises(), s.mayActUntil());
         return lease.step(free, now, event);
       }
@@ -235,21 +235,21 @@
     Lease a = new Lease(terms, "a", 1);
     Lease b = new Lease(terms, "b", 1);
     LeaseState stateA = LeaseState.started(terms, 0, Epoch.NONE);
-    assertEquals(List.of(), a.step(stateA, 3, new LeaseEvent.Want()).says(), "too soon after its start");
-    Step asked = a.step(stateA, 4, new LeaseEvent.Want());
+    assertEquals(List.of(), a.step(stateA, 3, new LeaseEvent.Acquire()).messages(), "too soon after its start");
+    Step asked = a.step(stateA, 4, new LeaseEvent.Acquire());
     Step answered = b.step(LeaseState.started(terms, 0, Epoch.NONE), 5,
-        new Received("a", asked.says().get(0).message()));
-    Step held = a.step(asked.state(), 5, new Received("b", answered.says().get(0).message()));
-    assertTrue(held.state().mayAct(5) && !held.state().mayAct(4 + terms.held()));
-    assertTrue(b.step(answered.state(), 6, new LeaseEvent.Want()).says().isEmpty(), "b leaves it to a");
-    Step renewed = a.step(held.state(), 5.5, new LeaseEvent.Want());
-    assertEquals(held.state().asked(), renewed.state().asked());
-    assertTrue(renewed.state().mayAct(5.5));
-    Step back = a.step(renewed.state(), 5.6, new LeaseEvent.Yield());
-    Step freed = b.step(answered.state(), 6, new Received("a", back.says().get(0).message()));
-    assertEquals(2, b.step(freed.state(), 6, new LeaseEvent.Want()).says().size());
-    Step passed = a.step(held.state(), 5, new LeaseEvent.Seen(new Epoch(9, "c", 1)));
-    assertTrue(!passed.state().mayAct(5));
-    assertEquals(10, a.step(passed.state(), 9, new LeaseEvent.Want()).state().asked().number());
+        new Received("a", asked.messages().get(0).message()));
+    Step held = a.step(asked.state(), 5, new Received("b", answered.messages().get(0).message()));
+    assertTrue(held.state().isHolder(5) && !held.state().isHolder(4 + terms.held()));
+    assertTrue(b.step(answered.state(), 6, new LeaseEvent.Acquire()).messages().isEmpty(), "b leaves it to a");
+    Step renewed = a.step(held.state(), 5.5, new LeaseEvent.Acquire());
+    assertEquals(held.state().requested(), renewed.state().requested());
+    assertTrue(renewed.state().isHolder(5.5));
+    Step back = a.step(renewed.state(), 5.6, new LeaseEvent.Relinquish());
+    Step freed = b.step(answered.state(), 6, new Received("a", back.messages().get(0).message()));
+    assertEquals(2, b.step(freed.state(), 6, new LeaseEvent.Acquire()).messages().size());
+    Step passed = a.step(held.state(), 5, new LeaseEvent.EpochObserved(new Epoch(9, "c", 1)));
+    assertTrue(!passed.state().isHolder(5));
+    assertEquals(10, a.step(passed.state(), 9, new LeaseEvent.Acquire()).state().requested().number());
   }
 }
--- a/src/test/java/beampoint/fleet/membership/ExchangeIntervalTest.java
+++ b/src/test/java/beampoint/fleet/membership/ExchangeIntervalTest.java
@@ -21,7 +21,7 @@
     Membership membership = new Membership(terms, RecordedFleet.name(0), "10.0.0.0:7946",
         RecordedFleet.knownMembers(members), RandomSource.XO_RO_SHI_RO_128_PP.create(1), 0);
     int counted = 0;
-    for (double now = terms.step(); now < ONE_HOUR; now += terms.step()) {
+    for (double now = terms.tickInterval(); now < ONE_HOUR; now += terms.tickInterval()) {
       counted += membership.handle(now, new Tick()).stream().filter(Exchange.class::isInstance).count();
     }
     assertEquals(exchanges, counted);
--- a/src/test/java/beampoint/fleet/membership/RecordedDecisionsTest.java
+++ b/src/test/java/beampoint/fleet/membership/RecordedDecisionsTest.java
@@ -28,7 +28,7 @@
   private static final int LEAVERS = 4; // one in so many of those that end does so in order
 
   private static MembershipSettings withRoomFor(int members) {
-    return new MembershipSettings(USUAL.step(), USUAL.probeEvery(), USUAL.answerWithin(), USUAL.suspectFor(),
+    return new MembershipSettings(USUAL.tickInterval(), USUAL.probeEvery(), USUAL.answerWithin(), USUAL.suspectFor(),
         USUAL.stillAfter(), USUAL.deafAfter(), USUAL.failuresOfDoubt(), members);
   }
 
@@ -111,7 +111,7 @@
       runs.put("troubles-3-" + seed, () -> troubles(fleet(3, USUAL, chosen), 30));
       runs.put("troubles-6-" + seed, () -> troubles(fleet(6, USUAL, chosen), 30));
       runs.put("troubles-14-" + seed, () -> troubles(fleet(14, USUAL, chosen), 20));
-      runs.put("plain-14-" + seed, () -> troubles(fleet(14, USUAL.plain(), chosen), 5));
+      runs.put("plain-14-" + seed, () -> troubles(fleet(14, USUAL.withoutSuspicion(), chosen), 5));
     }
     runs.put("troubles-40", () -> troubles(fleet(40, USUAL, 5), 12));
     runs.put("troubles-100", () -> troubles(fleet(100, USUAL, 6), 5));
--- a/src/test/java/beampoint/fleet/membership/RecordedFleet.java
+++ b/src/test/java/beampoint/fleet/membership/RecordedFleet.java
@@ -125,7 +125,7 @@
     host.membership = new Membership(terms, name(member), address(member), known,
         RandomSource.XO_SHI_RO_256_PP.create(random.nextLong()), now);
     int life = host.life;
-    after(random.nextDouble() * terms.step(), () -> tick(host, life));
+    after(random.nextDouble() * terms.tickInterval(), () -> tick(host, life));
   }
 
   boolean isUp(int member) {
@@ -177,7 +177,7 @@
   private void tick(Host host, int life) {
     if (host.life == life) {
       take(host, life, new MemberEvent.Tick());
-      after(terms.step(), () -> tick(host, life));
+      after(terms.tickInterval(), () -> tick(host, life));
     }
   }
 
@@ -198,8 +198,8 @@
     }
     events++;
     List<MemberAction> actions = host.membership.handle(now, event);
-    text.append(name(host.number)).append(' ').append(now).append(' ').append(host.membership.living())
-        .append(host.membership.doubtsItself() ? " doubts" : "").append('\n');
+    text.append(name(host.number)).append(' ').append(now).append(' ').append(host.membership.liveCount())
+        .append(host.membership.mayBeIsolated() ? " doubts" : "").append('\n');
     actions.forEach(action -> write(action));
     if (text.length() > 1 << 16) {
       flush();
@@ -225,18 +225,18 @@
     } else if (action instanceof Exchange a) {
       exchanges++;
       text.append("exchange ");
-      write(a.with());
+      write(a.peer());
     } else if (action instanceof Changed a) {
       changes++;
       text.append("changed ");
-      write(a.now());
+      write(a.state());
     }
     text.append('\n');
   }
 
   private void write(MemberState news) {
     text.append(news.member()).append('|').append(news.address()).append('|').append(news.status())
-        .append('|').append(news.incarnation()).append('|').append(news.deaf()).append('|').append(news.by())
+        .append('|').append(news.incarnation()).append('|').append(news.notReceiving()).append('|').append(news.reporter())
         .append(' ');
   }
 
@@ -244,7 +244,7 @@
     if (action instanceof Send a) {
       send(host.number, number(a.to()), a.message());
     } else if (action instanceof Exchange a) {
-      exchange(host, number(a.with()));
+      exchange(host, number(a.peer()));
     }
   }
 
