--- a/src/main/java/beampoint/fleet/facts/Entry.java
+++ b/src/main/java/beampoint/fleet/facts/Entry.java
@@ -1,36 +1,37 @@
 package beampoint.fleet.facts;
 
 /**
- * One fact, or the tombstone of one.
+ * An entry of the replicated map: a value of a key, or a tombstone that marks the value as deleted.
  *
  * @param value null for a tombstone
- * @param left the time that it has, in ms from when it was said
+ * @param remaining the time until it expires, in ms from when it was sent
  */
-public record Entry(String key, String value, Stamp stamp, double left) {
+public record Entry(String key, String value, Stamp stamp, double remaining) {
 
-  /** True where nothing is known under the key any longer. */
+  /** True if the value of the key was deleted. */
   public boolean isTombstone() {
     return value == null;
   }
 
-  /** The same with so much time left. */
-  public Entry withLeft(double time) {
+  /** The same entry with another remaining time. */
+  public Entry withRemaining(double time) {
     return new Entry(key, value, stamp, time);
   }
 
   /**
-   * The one of two that stands: the greater stamp, then what a writer that restarted may have said under one
-   * stamp, by its text, then the one with more time. A total order, so that merging has one result.
+   * Returns the entry that takes precedence: the one with the greater stamp; of equal stamps, which a
+   * restarted writer may have used twice, the one with the greater value; then the one with more remaining
+   * time. This is a total order, so the result of merging is unique.
    */
   Entry max(Entry other) {
     int order = stamp.compareTo(other.stamp);
-    order = order != 0 ? order : text().compareTo(other.text());
-    order = order != 0 ? order : Double.compare(left, other.left);
+    order = order != 0 ? order : comparedText().compareTo(other.comparedText());
+    order = order != 0 ? order : Double.compare(remaining, other.remaining);
     return order >= 0 ? this : other;
   }
 
-  /** A tombstone goes before any value. */
-  private String text() {
+  /** The text by which values are compared; a tombstone sorts before any value. */
+  private String comparedText() {
     return value == null ? "" : "=" + value;
   }
 }
--- a/src/main/java/beampoint/fleet/facts/Epoch.java
+++ b/src/main/java/beampoint/fleet/facts/Epoch.java
@@ -1,15 +1,17 @@
 package beampoint.fleet.facts;
 
 /**
- * Under which somebody acted. The number comes first, then the name and the life of who acted: two never act
- * under one epoch, and all of them have one order.
+ * Identifies one term of a leader or lease holder. Epochs are ordered by number, then by the name of the
+ * holder and the random number of its process, so no two processes use the same epoch and all epochs have a
+ * total order.
  *
- * @param number 0 for nobody's, else 1 and up
- * @param holder the member's name
- * @param life drawn at the start of its process
+ * @param number 0 for {@link #NONE}, otherwise at least 1
+ * @param holder the name of the member
+ * @param life a random number drawn at the start of its process
  */
 public record Epoch(long number, String holder, long life) implements Comparable<Epoch> {
 
+  /** The epoch that belongs to no member and precedes all others. */
   public static final Epoch NONE = new Epoch(0, "", 0);
 
   @Override
@@ -19,6 +21,7 @@
     return order != 0 ? order : Long.compare(life, other.life);
   }
 
+  /** Returns the later of two epochs. */
   public Epoch max(Epoch other) {
     return compareTo(other) >= 0 ? this : other;
   }
--- a/src/main/java/beampoint/fleet/facts/Stamp.java
+++ b/src/main/java/beampoint/fleet/facts/Stamp.java
@@ -1,11 +1,11 @@
 package beampoint.fleet.facts;
 
 /**
- * What decides between two entries of one key: what is final wins, then the later epoch, then the higher
- * version, then the writer's name.
+ * Determines which of two entries of a key takes precedence: a final one, then the one of the later epoch,
+ * then the one with the higher version, then the one with the greater name of the writer.
  *
- * @param isFinal true for what nothing may undo, as a halt
- * @param version counted by the writer
+ * @param isFinal true for an entry that no later one may replace, such as a halt
+ * @param version a number that the writer increments
  */
 public record Stamp(boolean isFinal, Epoch epoch, long version, String writer) implements Comparable<Stamp> {
 
--- a/src/test/java/beampoint/fleet/facts/FactsTest.java
+++ b/src/test/java/beampoint/fleet/facts/ReplicatedMapTest.java
@@ -17,8 +17,8 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** What all members come to hold, whatever way it comes. */
-class FactsTest {
+/** The replicas of all members converge, in whatever order and how often entries are merged. */
+class ReplicatedMapTest {
 
   private static final Epoch FIRST = new Epoch(1, "a", 1);
 
@@ -33,13 +33,13 @@
   }
 
   private static List<Entry> merged(List<Entry> entries, double now) {
-    Facts facts = new Facts(10);
-    entries.forEach(e -> facts.merge(e, now));
-    return facts.all(now);
+    ReplicatedMap map = new ReplicatedMap(10);
+    entries.forEach(e -> map.merge(e, now));
+    return map.all(now);
   }
 
   @Property(tries = 500, seed = "7")
-  void theOrderAndRepeatsOfWhatComesMakeNoDifference(@ForAll("entries") List<Entry> entries,
+  void theOrderAndRepetitionOfMergesMakeNoDifference(@ForAll("entries") List<Entry> entries,
       @ForAll long seed) {
     List<Entry> other = new ArrayList<>(entries);
     other.addAll(entries);
@@ -48,7 +48,7 @@
   }
 
   @Property(tries = 500, seed = "7")
-  void itMakesNoDifferenceWhoMergedWithWhomFirst(@ForAll("entries") List<Entry> a,
+  void mergingIsAssociativeAndCommutative(@ForAll("entries") List<Entry> a,
       @ForAll("entries") List<Entry> b, @ForAll("entries") List<Entry> c) {
     List<Entry> leftFirst = new ArrayList<>(merged(a, 3));
     leftFirst.addAll(b);
@@ -61,53 +61,53 @@
     assertEquals(merged(left, 3), merged(right, 3));
   }
 
-  /** A halt wins every merge, whatever comes after it and under whatever epoch. */
+  /** A final entry takes precedence over every other entry, whatever its epoch and order of arrival. */
   @Property(tries = 500, seed = "7")
-  void whatIsFinalIsNeverUndone(@ForAll("entries") List<Entry> entries) {
-    Facts facts = new Facts(10);
-    facts.merge(new Entry("k", "halt", new Stamp(true, new Epoch(9, "z", 9), 9, "z"), 50), 0);
-    entries.forEach(e -> facts.merge(e, 1));
-    assertEquals("halt", facts.get("k", 1).value());
+  void aFinalEntryIsNeverReplaced(@ForAll("entries") List<Entry> entries) {
+    ReplicatedMap map = new ReplicatedMap(10);
+    map.merge(new Entry("k", "halt", new Stamp(true, new Epoch(9, "z", 9), 9, "z"), 50), 0);
+    entries.forEach(e -> map.merge(e, 1));
+    assertEquals("halt", map.get("k", 1).value());
   }
 
   @Test
-  void anOlderEpochLosesThoughItsVersionIsHigher() {
-    Facts facts = new Facts(10);
-    assertTrue(facts.merge(new Entry("k", "new", new Stamp(false, new Epoch(2, "b", 1), 1, "b"), 10), 0));
-    assertFalse(facts.merge(new Entry("k", "old", new Stamp(false, FIRST, 99, "a"), 10), 0));
-    assertEquals("new", facts.get("k", 0).value());
-    assertEquals(2, facts.highestEpoch(0).number());
+  void aLaterEpochTakesPrecedenceOverAHigherVersion() {
+    ReplicatedMap map = new ReplicatedMap(10);
+    assertTrue(map.merge(new Entry("k", "new", new Stamp(false, new Epoch(2, "b", 1), 1, "b"), 10), 0));
+    assertFalse(map.merge(new Entry("k", "old", new Stamp(false, FIRST, 99, "a"), 10), 0));
+    assertEquals("new", map.get("k", 0).value());
+    assertEquals(2, map.highestEpoch(0).number());
   }
 
-  /** No entry lives for ever, and a tombstone outlives every copy of what it took back. */
+  /** Every entry expires, and a tombstone lasts longer than every copy of the value that it deletes. */
   @Test
-  void whatWasTakenBackDoesNotReturnFromWhoeverWasCutOff() {
-    Facts cutOff = new Facts(10);
+  void aDeletedValueDoesNotReturnFromAPartitionedMember() {
+    ReplicatedMap partitioned = new ReplicatedMap(10);
     Entry entry = new Entry("k", "x", new Stamp(false, FIRST, 1, "a"), 1_000);
-    cutOff.merge(entry, 0);
-    Facts others = new Facts(10);
+    partitioned.merge(entry, 0);
+    ReplicatedMap others = new ReplicatedMap(10);
     others.merge(entry, 0);
     others.merge(new Entry("k", null, new Stamp(false, FIRST, 2, "a"), 2_000), 100);
-    cutOff.all(900).forEach(e -> others.merge(e, 900));
+    partitioned.all(900).forEach(e -> others.merge(e, 900));
     assertTrue(others.get("k", 900).isTombstone());
-    assertNull(cutOff.get("k", 1_000));
-    assertEquals(List.of(), cutOff.all(1_000));
-    others.all(1_050).forEach(e -> cutOff.merge(e, 1_050));
-    assertTrue(cutOff.get("k", 1_050).isTombstone());
+    assertNull(partitioned.get("k", 1_000));
+    assertEquals(List.of(), partitioned.all(1_000));
+    others.all(1_050).forEach(e -> partitioned.merge(e, 1_050));
+    assertTrue(partitioned.get("k", 1_050).isTombstone());
     assertNull(others.get("k", 2_100));
-    others.forget(2_100);
-    assertEquals(new Facts(10).digest(0), others.digest(2_100));
+    others.removeExpired(2_100);
+    assertEquals(new ReplicatedMap(10).digest(0), others.digest(2_100));
   }
 
   @Test
-  void entriesAreBoundedAndThoseThatRanOutMakeRoom() {
-    Facts facts = new Facts(2);
+  void theNumberOfEntriesIsBoundedAndExpiredOnesFreeTheirSpace() {
+    ReplicatedMap map = new ReplicatedMap(2);
     Stamp stamp = new Stamp(false, FIRST, 1, "a");
-    assertTrue(facts.merge(new Entry("a", "1", stamp, 10), 0));
-    assertTrue(facts.merge(new Entry("b", "1", stamp, 20), 0));
-    assertFalse(facts.merge(new Entry("c", "1", stamp, 20), 0));
-    assertEquals(1, facts.refused());
-    assertTrue(facts.merge(new Entry("c", "1", stamp, 20), 10));
-    assertFalse(facts.merge(new Entry("d", "1", stamp, 0), 100), "no time left");
+    assertTrue(map.merge(new Entry("a", "1", stamp, 10), 0));
+    assertTrue(map.merge(new Entry("b", "1", stamp, 20), 0));
+    assertFalse(map.merge(new Entry("c", "1", stamp, 20), 0));
+    assertEquals(1, map.rejected());
+    assertTrue(map.merge(new Entry("c", "1", stamp, 20), 10));
+    assertFalse(map.merge(new Entry("d", "1", stamp, 0), 100), "no remaining time");
   }
 }
