--- a/src/main/java/beampoint/fleet/lease/Lease.java
+++ b/src/main/java/beampoint/fleet/lease/Lease.java
@@ -14,103 +14,114 @@
 import java.util.TreeSet;
 
 /**
- * One who may act, by the promises of a majority (after Gray and Cheriton, "Leases", 1989, with the epoch of
- * a promise as a fence). A pure function: a voter's state, a time and an event give the next state and what
- * is to be said.
+ * A lease that at most one voter holds at a time, granted by the promises of a majority (after Gray and
+ * Cheriton, "Leases", 1989, with the epoch of a promise as a fencing token). A pure function: from the state
+ * of a voter, a time and an event, it computes the next state and the messages to send.
  */
 public final class Lease {
 
-  /** A message to another voter. */
+  /** A message to be sent to another voter. */
   public record Outgoing(String to, LeaseMessage message) {}
 
-  /** What becomes of an event. */
+  /** The result of an event: the next state and the messages to send. */
   public record Step(LeaseState state, List<Outgoing> messages) {}
 
-  private final LeaseSettings terms;
+  private final LeaseSettings settings;
   private final String self;
   private final long life;
 
-  /** One voter; its life is a number drawn at the start of its process. */
-  public Lease(LeaseSettings terms, String self, long life) {
-    if (!terms.voters().contains(self)) {
-      throw new IllegalArgumentException(self + " is no voter");
+  /**
+   * Creates the state machine of one voter.
+   *
+   * @param life a random number drawn at the start of the process, which distinguishes its epochs from those
+   *     of earlier processes of the same name
+   * @throws IllegalArgumentException if {@code self} is not a voter
+   */
+  public Lease(LeaseSettings settings, String self, long life) {
+    if (!settings.voters().contains(self)) {
+      throw new IllegalArgumentException("not a voter: " + self);
     }
-    this.terms = terms;
+    this.settings = settings;
     this.self = self;
     this.life = life;
   }
 
-  /** The next state; the time never goes back. */
+  /** Handles an event. The time must not decrease between calls. */
   public Step step(LeaseState s, double now, LeaseEvent event) {
     if (event instanceof Acquire) {
-      return ask(s, now);
+      return request(s, now);
     } else if (event instanceof Relinquish) {
-      return giveBack(s);
+      return release(s);
     } else if (event instanceof EpochObserved e) {
-      boolean passed = e.epoch().compareTo(s.requested()) > 0;
-      return new Step(passed ? s.fencedBy(e.epoch()).asking(Epoch.NONE, s.askedAt(), 0) : s, List.of());
-    } else if (event instanceof Received e && terms.voters().contains(e.from())) {
+      boolean isSuperseded = e.epoch().compareTo(s.requested()) > 0;
+      return new Step(
+          isSuperseded ? s.withFence(e.epoch()).withRequest(Epoch.NONE, s.requestedAt(), 0) : s, List.of());
+    } else if (event instanceof Received e && settings.voters().contains(e.from())) {
       return receive(s, now, e.from(), e.message());
     }
     return new Step(s, List.of());
   }
 
   /**
-   * Asks all voters: again under the epoch that it holds, or else under a new one. Whoever has promised
-   * another has reason to think that this one acts, and does not disturb it.
+   * Requests promises of all voters: under the epoch that it holds, to renew it, or else under a new one. A
+   * voter that has promised another one sends no request, because that one probably holds the lease.
    */
-  private Step ask(LeaseState s, double now) {
-    boolean holds = s.isHolder(now);
-    Epoch epoch = holds ? s.requested() : new Epoch(s.known() + 1, self, life);
-    if (!mayPromise(s, now, epoch)) {
+  private Step request(LeaseState s, double now) {
+    boolean isHolder = s.isHolder(now);
+    Epoch epoch = isHolder ? s.requested() : new Epoch(s.highestKnown() + 1, self, life);
+    if (!canPromise(s, now, epoch)) {
       return new Step(s, List.of());
     }
-    LeaseState next = s.asking(epoch, now, holds ? s.mayActUntil() : 0)
-        .promising(epoch, now + terms.length());
-    return new Step(promised(next, self), sayToOthers(new Request(epoch, next.round())));
+    LeaseState next = s.withRequest(epoch, now, isHolder ? s.heldUntil() : 0)
+        .withPromise(epoch, now + settings.length());
+    return new Step(addPromise(next, self), toOthers(new Request(epoch, next.round())));
   }
 
-  private List<Outgoing> sayToOthers(LeaseMessage message) {
-    return terms.voters().stream().filter(v -> !v.equals(self)).map(v -> new Outgoing(v, message)).toList();
+  private List<Outgoing> toOthers(LeaseMessage message) {
+    return settings.voters().stream().filter(v -> !v.equals(self)).map(v -> new Outgoing(v, message))
+        .toList();
   }
 
-  /** Guards against a promise to two: nobody else is promised before the time of the first has run out. */
-  private static boolean mayPromise(LeaseState s, double now, Epoch epoch) {
+  /**
+   * Whether the voter may promise an epoch: no other one may be promised before the last promise has expired.
+   */
+  private static boolean canPromise(LeaseState s, double now, Epoch epoch) {
     return epoch.compareTo(s.fence()) >= 0 && (now >= s.promisedUntil() || epoch.equals(s.promised()));
   }
 
-  /** One more promise; with a majority it may act, counted from when it asked. */
-  private LeaseState promised(LeaseState s, String by) {
+  /** Adds a promise. With a majority, the voter holds the lease, for a time counted from its request. */
+  private LeaseState addPromise(LeaseState s, String by) {
     SortedSet<String> promises = new TreeSet<>(s.promises());
     promises.add(by);
-    return s.promisedBy(promises, promises.size() >= terms.majority() ? s.askedAt() + terms.held() : 0);
+    return s.withPromises(promises,
+        promises.size() >= settings.majority() ? s.requestedAt() + settings.holdTime() : 0);
   }
 
   private Step receive(LeaseState s, double now, String from, LeaseMessage message) {
     if (message instanceof Request m && m.epoch().holder().equals(from)) {
-      LeaseState next = s.knowing(m.epoch().number());
-      return mayPromise(s, now, m.epoch())
-          ? new Step(next.promising(m.epoch(), now + terms.length()),
+      LeaseState next = s.withKnown(m.epoch().number());
+      return canPromise(s, now, m.epoch())
+          ? new Step(next.withPromise(m.epoch(), now + settings.length()),
               List.of(new Outgoing(from, new Promise(m.epoch(), m.round()))))
-          : new Step(next, List.of(new Outgoing(from, new Denial(s.known()))));
+          : new Step(next, List.of(new Outgoing(from, new Denial(s.highestKnown()))));
     } else if (message instanceof Promise m) {
-      boolean answers = m.epoch().equals(s.requested()) && m.round() == s.round();
-      return new Step(answers ? promised(s, from) : s, List.of());
+      boolean isCurrent = m.epoch().equals(s.requested()) && m.round() == s.round();
+      return new Step(isCurrent ? addPromise(s, from) : s, List.of());
     } else if (message instanceof Denial m) {
-      return new Step(s.knowing(m.known()), List.of());
+      return new Step(s.withKnown(m.known()), List.of());
     } else if (message instanceof Release m && m.epoch().holder().equals(from)
         && m.epoch().equals(s.promised())) {
-      return new Step(s.promising(Epoch.NONE, 0), List.of());
+      return new Step(s.withPromise(Epoch.NONE, 0), List.of());
     }
     return new Step(s, List.of());
   }
 
-  /** Gives the lease back: its voters need not wait for its time to run out. */
-  private Step giveBack(LeaseState s) {
+  /** Releases the lease before its expiry, so that other voters need not wait for it. */
+  private Step release(LeaseState s) {
     Epoch held = s.requested();
-    LeaseState next = s.asking(Epoch.NONE, s.askedAt(), 0);
+    LeaseState next = s.withRequest(Epoch.NONE, s.requestedAt(), 0);
     boolean own = held.equals(s.promised());
-    return new Step(own ? next.promising(Epoch.NONE, 0) : next,
-        held.equals(Epoch.NONE) ? List.of() : sayToOthers(new Release(held)));
+    return new Step(own ? next.withPromise(Epoch.NONE, 0) : next,
+        held.equals(Epoch.NONE) ? List.of() : toOthers(new Release(held)));
   }
 }
--- a/src/main/java/beampoint/fleet/lease/LeaseEvent.java
+++ b/src/main/java/beampoint/fleet/lease/LeaseEvent.java
@@ -2,18 +2,18 @@
 
 import beampoint.fleet.facts.Epoch;
 
-/** What a voter observes. */
+/** An event that a voter handles. */
 public sealed interface LeaseEvent {
 
-  /** Wants to act, or to go on acting. */
+  /** The voter wants to acquire or renew the lease. */
   record Acquire() implements LeaseEvent {}
 
-  /** Does not want to act any longer. */
+  /** The voter no longer wants to hold the lease. */
   record Relinquish() implements LeaseEvent {}
 
-  /** A message has come. */
+  /** A message of another voter was received. */
   record Received(String from, LeaseMessage message) implements LeaseEvent {}
 
-  /** An epoch was seen elsewhere, as in an entry of the shared facts. */
+  /** An epoch was observed elsewhere, for example in an entry of the replicated map. */
   record EpochObserved(Epoch epoch) implements LeaseEvent {}
 }
--- a/src/main/java/beampoint/fleet/lease/LeaseMessage.java
+++ b/src/main/java/beampoint/fleet/lease/LeaseMessage.java
@@ -2,18 +2,18 @@
 
 import beampoint.fleet.facts.Epoch;
 
-/** What voters say to each other about the lease. */
+/** A message between voters about the lease. */
 public sealed interface LeaseMessage {
 
-  /** Asks for a promise; the round tells its answers from those to an earlier question. */
+  /** Requests a promise. The round distinguishes its answers from those to an earlier request. */
   record Request(Epoch epoch, long round) implements LeaseMessage {}
 
-  /** Promises to nobody else until the length of a lease has passed. */
+  /** Grants a request: the voter will promise no other epoch for the duration of a lease. */
   record Promise(Epoch epoch, long round) implements LeaseMessage {}
 
-  /** Promises nothing; the highest number of an epoch that the voter knows. */
+  /** Rejects a request and reports the highest epoch number that the voter knows. */
   record Denial(long known) implements LeaseMessage {}
 
-  /** Gives a lease back before its time. */
+  /** Releases a lease before its expiry. */
   record Release(Epoch epoch) implements LeaseMessage {}
 }
--- a/src/main/java/beampoint/fleet/lease/LeaseState.java
+++ b/src/main/java/beampoint/fleet/lease/LeaseState.java
@@ -5,60 +5,59 @@
 import java.util.TreeSet;
 
 /**
- * What one voter knows. All times are ms of its own clock.
+ * The state of one voter. All times are in ms of its own clock.
  *
- * @param fence the highest epoch that it has promised, or under which somebody was seen to act: it promises
- *     none below
- * @param known the highest number of an epoch that it has heard of: it asks for higher ones
- * @param promised to whom, or {@link Epoch#NONE}
- * @param promisedUntil when the promise has run out; before it, it promises nobody else
- * @param requested the epoch that it asks for, or holds, or {@link Epoch#NONE}
- * @param round how often it asked
- * @param askedAt when it asked last
- * @param promises who has answered that
- * @param mayActUntil 0 where it holds nothing
+ * @param fence the highest epoch that the voter has promised or observed in use; it promises no lower one
+ * @param highestKnown the highest epoch number that the voter knows; it requests higher ones
+ * @param promised the epoch that is promised, or {@link Epoch#NONE}
+ * @param promisedUntil when the promise expires; until then the voter promises no other epoch
+ * @param requested the epoch that the voter requests or holds, or {@link Epoch#NONE}
+ * @param round the number of the last request; it also counts releases
+ * @param requestedAt the time of the last request
+ * @param promises the voters that have granted the last request
+ * @param heldUntil when the lease that the voter holds expires; 0 if it holds none
  */
-public record LeaseState(Epoch fence, long known, Epoch promised, double promisedUntil, Epoch requested,
-    long round, double askedAt, SortedSet<String> promises, double mayActUntil) {
+public record LeaseState(Epoch fence, long highestKnown, Epoch promised, double promisedUntil,
+    Epoch requested, long round, double requestedAt, SortedSet<String> promises, double heldUntil) {
 
   /**
-   * A voter at its start. It can't know what it promised in an earlier life, and so promises nothing for one
-   * length.
+   * The state of a voter at the start of its process. It does not know what it promised before, so it
+   * promises nothing for the duration of one lease.
    *
-   * @param stored the highest epoch that outlived the process, or {@link Epoch#NONE}
+   * @param stored the highest epoch that was stored by an earlier process, or {@link Epoch#NONE}
    */
-  public static LeaseState started(LeaseSettings terms, double now, Epoch stored) {
-    return new LeaseState(stored, stored.number(), Epoch.NONE, now + terms.length(), Epoch.NONE, 0, 0,
+  public static LeaseState started(LeaseSettings settings, double now, Epoch stored) {
+    return new LeaseState(stored, stored.number(), Epoch.NONE, now + settings.length(), Epoch.NONE, 0, 0,
         new TreeSet<>(), 0);
   }
 
-  /** True while it may act, under the epoch that it requested. */
+  /** True while the voter holds the lease, under the requested epoch. */
   public boolean isHolder(double now) {
-    return now < mayActUntil;
+    return now < heldUntil;
   }
 
-  LeaseState knowing(long number) {
-    return number <= known ? this : new LeaseState(fence, number, promised, promisedUntil, requested, round,
-        askedAt, promises, mayActUntil);
+  LeaseState withKnown(long number) {
+    return number <= highestKnown ? this : new LeaseState(fence, number, promised, promisedUntil, requested,
+        round, requestedAt, promises, heldUntil);
   }
 
-  LeaseState promising(Epoch epoch, double until) {
-    return new LeaseState(fence.max(epoch), Math.max(known, epoch.number()), epoch, until, requested, round,
-        askedAt, promises, mayActUntil);
+  LeaseState withPromise(Epoch epoch, double until) {
+    return new LeaseState(fence.max(epoch), Math.max(highestKnown, epoch.number()), epoch, until, requested,
+        round, requestedAt, promises, heldUntil);
   }
 
-  LeaseState asking(Epoch epoch, double now, double actsUntil) {
-    return new LeaseState(fence, Math.max(known, epoch.number()), promised, promisedUntil, epoch, round + 1,
-        now, new TreeSet<>(), actsUntil);
+  LeaseState withRequest(Epoch epoch, double now, double until) {
+    return new LeaseState(fence, Math.max(highestKnown, epoch.number()), promised, promisedUntil, epoch,
+        round + 1, now, new TreeSet<>(), until);
   }
 
-  LeaseState promisedBy(SortedSet<String> voters, double actsUntil) {
-    return new LeaseState(fence, known, promised, promisedUntil, requested, round, askedAt, voters,
-        Math.max(mayActUntil, actsUntil));
+  LeaseState withPromises(SortedSet<String> voters, double until) {
+    return new LeaseState(fence, highestKnown, promised, promisedUntil, requested, round, requestedAt, voters,
+        Math.max(heldUntil, until));
   }
 
-  LeaseState fencedBy(Epoch epoch) {
-    return new LeaseState(fence.max(epoch), Math.max(known, epoch.number()), promised, promisedUntil, requested,
-        round, askedAt, promises, mayActUntil);
+  LeaseState withFence(Epoch epoch) {
+    return new LeaseState(fence.max(epoch), Math.max(highestKnown, epoch.number()), promised, promisedUntil,
+        requested, round, requestedAt, promises, heldUntil);
   }
 }
--- a/src/test/java/beampoint/fleet/lease/LeaseSearchTest.java
+++ b/src/test/java/beampoint/fleet/lease/LeaseSearchTest.java
@@ -19,152 +19,158 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every run of three voters up to a depth, over the real step function: any message delivered late, repeated,
- * in any order or never, any voter crashed and started again without its memory, one that wants to act or
- * gives the lease back at any time, and clocks of two paces.
+ * Model checking of the lease: explores every run of three voters up to a depth with the real step function.
+ * In a run, messages may be delivered late, repeatedly, in any order or never, a voter may restart without
+ * its state, any voter may request or release the lease at any time, and clocks may run at two rates.
  */
 class LeaseSearchTest {
 
   private static final List<String> NAMES = List.of("a", "b", "c");
   private static final int[] EVEN = {1, 1, 1};
-  private static final int DEPTH = Integer.getInteger("lease.depth", 9); // a longer search names more
+  private static final int DEPTH = Integer.getInteger("lease.depth", 9); // higher for a longer search
 
-  /** A message on its way. */
-  private record Flight(int from, Outgoing say) {}
+  /** A message that was sent by a voter. */
+  private record SentMessage(int from, Outgoing outgoing) {}
 
   /**
-   * All there is at one moment; lives count the starts of each voter. What was said stays: it may come at any
-   * later time, again, or never.
+   * The state of the whole system. Sent messages are kept, because they may be delivered at any later time,
+   * repeatedly, or never.
+   *
+   * @param lives the number of starts of each voter
+   * @param acquisitions the number of requests that may still be made
+   * @param crashes the number of crashes that may still occur
    */
-  private record World(int time, List<LeaseState> states, List<Integer> lives, Set<Flight> said, int wants,
-      int crashes) {}
+  private record SystemState(int time, List<LeaseState> states, List<Integer> lives, Set<SentMessage> sent,
+      int acquisitions, int crashes) {}
 
-  /** A voter's step, and its start: the real ones, or ones with a mistake. */
+  /** The start and the step function of a voter: the real ones, or variants with a fault. */
   private interface Rules {
 
-    default LeaseState start(LeaseSettings terms, double now) {
-      return LeaseState.started(terms, now, Epoch.NONE);
+    default LeaseState start(LeaseSettings settings, double now) {
+      return LeaseState.started(settings, now, Epoch.NONE);
     }
 
-    default Step step(LeaseSettings terms, Lease lease, LeaseState state, double now, LeaseEvent event) {
+    default Step step(LeaseSettings settings, Lease lease, LeaseState state, double now, LeaseEvent event) {
       return lease.step(state, now, event);
     }
   }
 
-  /** One walk over all worlds. */
+  /** A breadth-first search over all states of the system. */
   private static final class Search {
 
-    private final int[] paces;
-    private final LeaseSettings terms;
+    private final int[] rates;
+    private final LeaseSettings settings;
     private final Rules rules;
-    private long worlds;
+    private long stateCount;
 
-    /** Clocks of these paces; the stated drift is that of the fastest. */
-    Search(int[] paces, Rules rules) {
-      this.paces = paces;
+    /** Creates a search with the given clock rates; the configured drift covers the fastest clock. */
+    Search(int[] rates, Rules rules) {
+      this.rates = rates;
       this.rules = rules;
-      int fastest = Arrays.stream(paces).max().orElseThrow();
-      this.terms = new LeaseSettings(new TreeSet<>(NAMES), 2 * fastest, 1 - 1.0 / fastest);
+      int fastest = Arrays.stream(rates).max().orElseThrow();
+      this.settings = new LeaseSettings(new TreeSet<>(NAMES), 2 * fastest, 1 - 1.0 / fastest);
     }
 
     private double clock(int voter, int time) {
-      return 100.0 * voter + paces[voter] * time; // no two show the same
+      return 100.0 * voter + rates[voter] * time; // a different offset for each voter
     }
 
-    private World begin() {
+    private SystemState initial() {
       List<LeaseState> all = new ArrayList<>();
       for (int i = 0; i < NAMES.size(); i++) {
-        // Started long ago: all may promise.
-        all.add(LeaseState.started(terms, clock(i, 0) - terms.length(), Epoch.NONE));
+        // Started more than one lease ago, so that all voters may promise.
+        all.add(LeaseState.started(settings, clock(i, 0) - settings.length(), Epoch.NONE));
       }
-      return new World(0, all, List.of(1, 1, 1), Set.of(), 3, 1);
+      return new SystemState(0, all, List.of(1, 1, 1), Set.of(), 3, 1);
     }
 
-    private World happened(World w, int voter, LeaseEvent event, int wants) {
-      Lease lease = new Lease(terms, NAMES.get(voter), w.lives.get(voter));
-      Step step = rules.step(terms, lease, w.states.get(voter), clock(voter, w.time), event);
-      List<LeaseState> next = new ArrayList<>(w.states);
+    private SystemState after(SystemState system, int voter, LeaseEvent event, int acquisitions) {
+      Lease lease = new Lease(settings, NAMES.get(voter), system.lives.get(voter));
+      Step step = rules.step(settings, lease, system.states.get(voter), clock(voter, system.time), event);
+      List<LeaseState> next = new ArrayList<>(system.states);
       next.set(voter, step.state());
-      Set<Flight> said = w.said;
+      Set<SentMessage> sent = system.sent;
       if (!step.messages().isEmpty()) {
-        said = new HashSet<>(said);
-        for (Outgoing say : step.messages()) {
-          said.add(new Flight(voter, say));
+        sent = new HashSet<>(sent);
+        for (Outgoing outgoing : step.messages()) {
+          sent.add(new SentMessage(voter, outgoing));
         }
       }
-      return new World(w.time, next, w.lives, said, wants, w.crashes);
+      return new SystemState(system.time, next, system.lives, sent, acquisitions, system.crashes);
     }
 
-    private World crashed(World w, int voter) {
-      List<LeaseState> restarted = new ArrayList<>(w.states);
-      restarted.set(voter, rules.start(terms, clock(voter, w.time)));
-      List<Integer> lives = new ArrayList<>(w.lives);
+    private SystemState afterRestart(SystemState system, int voter) {
+      List<LeaseState> restarted = new ArrayList<>(system.states);
+      restarted.set(voter, rules.start(settings, clock(voter, system.time)));
+      List<Integer> lives = new ArrayList<>(system.lives);
       lives.set(voter, lives.get(voter) + 1);
-      return new World(w.time, restarted, lives, w.said, w.wants, w.crashes - 1);
+      return new SystemState(system.time, restarted, lives, system.sent, system.acquisitions,
+          system.crashes - 1);
     }
 
-    private List<World> next(World w) {
-      List<World> all = new ArrayList<>();
-      all.add(new World(w.time + 1, w.states, w.lives, w.said, w.wants, w.crashes));
+    private List<SystemState> next(SystemState system) {
+      List<SystemState> all = new ArrayList<>();
+      all.add(new SystemState(system.time + 1, system.states, system.lives, system.sent, system.acquisitions,
+          system.crashes));
       for (int i = 0; i < NAMES.size(); i++) {
-        if (w.wants > 0) {
-          all.add(happened(w, i, new LeaseEvent.Acquire(), w.wants - 1));
+        if (system.acquisitions > 0) {
+          all.add(after(system, i, new LeaseEvent.Acquire(), system.acquisitions - 1));
         }
-        if (w.states.get(i).isHolder(clock(i, w.time))) {
-          all.add(happened(w, i, new LeaseEvent.Relinquish(), w.wants));
+        if (system.states.get(i).isHolder(clock(i, system.time))) {
+          all.add(after(system, i, new LeaseEvent.Relinquish(), system.acquisitions));
         }
-        if (w.crashes > 0) {
-          all.add(crashed(w, i));
+        if (system.crashes > 0) {
+          all.add(afterRestart(system, i));
         }
       }
-      for (Flight flight : w.said) {
-        LeaseEvent event = new Received(NAMES.get(flight.from), flight.say.message());
-        all.add(happened(w, NAMES.indexOf(flight.say.to()), event, w.wants));
+      for (SentMessage sent : system.sent) {
+        LeaseEvent event = new Received(NAMES.get(sent.from), sent.outgoing.message());
+        all.add(after(system, NAMES.indexOf(sent.outgoing.to()), event, system.acquisitions));
       }
       return all;
     }
 
-    /** What is wrong in a world, or null. */
-    private String wrong(World w) {
-      int acting = -1;
+    /** Describes the violation of an invariant in a state; null if there is none. */
+    private String violation(SystemState system) {
+      int holder = -1;
       for (int i = 0; i < NAMES.size(); i++) {
-        LeaseState state = w.states.get(i);
-        if (!state.isHolder(clock(i, w.time))) {
+        LeaseState state = system.states.get(i);
+        if (!state.isHolder(clock(i, system.time))) {
           continue;
         }
-        if (acting >= 0) {
-          return NAMES.get(acting) + " and " + NAMES.get(i) + " may act at once";
+        if (holder >= 0) {
+          return NAMES.get(holder) + " and " + NAMES.get(i) + " hold the lease at once";
         }
-        acting = i;
-        int bound = 0; // can promise nobody else now
+        holder = i;
+        int bound = 0; // voters that cannot promise another epoch now
         for (int v = 0; v < NAMES.size(); v++) {
-          LeaseState voter = w.states.get(v);
+          LeaseState voter = system.states.get(v);
           boolean own = voter.promised().equals(state.requested()) || voter.promised().equals(Epoch.NONE);
-          bound += own && clock(v, w.time) < voter.promisedUntil() ? 1 : 0;
+          bound += own && clock(v, system.time) < voter.promisedUntil() ? 1 : 0;
         }
-        if (bound < terms.majority()) {
-          return NAMES.get(i) + " may act by the promises of " + bound;
+        if (bound < settings.majority()) {
+          return NAMES.get(i) + " holds the lease with the promises of " + bound;
         }
         Epoch epoch = state.requested();
-        if (!epoch.holder().equals(NAMES.get(i)) || epoch.life() != w.lives.get(i)) {
-          return NAMES.get(i) + " acts under an epoch of another: " + epoch;
+        if (!epoch.holder().equals(NAMES.get(i)) || epoch.life() != system.lives.get(i)) {
+          return NAMES.get(i) + " holds the lease under the epoch of another process: " + epoch;
         }
       }
       return null;
     }
 
-    /** Walks all worlds up to a depth; the first mistake, or null. */
+    /** Searches all states up to a depth; returns the first violation, or null. */
     private String search(int depth) {
-      Set<World> seen = new HashSet<>();
-      List<World> level = List.of(begin());
+      Set<SystemState> seen = new HashSet<>();
+      List<SystemState> level = List.of(initial());
       for (int i = 0; i <= depth; i++) {
-        List<World> further = new ArrayList<>();
-        for (World w : level) {
-          String mistake = wrong(w);
-          if (mistake != null) {
-            return mistake + " at depth " + i + ": " + w;
+        List<SystemState> further = new ArrayList<>();
+        for (SystemState system : level) {
+          String violation = violation(system);
+          if (violation != null) {
+            return violation + " at depth " + i + ": " + system;
           }
-          for (World next : i < depth ? next(w) : List.<World>of()) {
+          for (SystemState next : i < depth ? next(system) : List.<SystemState>of()) {
             if (seen.add(next)) {
               further.add(next);
             }
@@ -172,47 +178,47 @@
         }
         level = further;
       }
-      worlds = seen.size();
+      stateCount = seen.size();
       return null;
     }
   }
 
   @Test
-  void noTwoMayActAndNoneWithoutAMajorityInAnyRun() {
-    for (int[] paces : new int[][] {EVEN, {1, 2, 1}, {2, 1, 1}}) {
-      Search search = new Search(paces, new Rules() {});
+  void atMostOneVoterHoldsTheLeaseAndOnlyWithAMajorityInEveryRun() {
+    for (int[] rates : new int[][] {EVEN, {1, 2, 1}, {2, 1, 1}}) {
+      Search search = new Search(rates, new Rules() {});
       assertNull(search.search(DEPTH));
-      assertTrue(search.worlds > 50_000, "worlds: " + search.worlds);
+      assertTrue(search.stateCount > 50_000, "states: " + search.stateCount);
     }
   }
 
-  private static void assertFound(int[] paces, Rules mistaken) {
-    String mistake = new Search(paces, mistaken).search(DEPTH);
-    assertNotNull(mistake, "the search passed over a mistake");
+  private static void assertFound(int[] rates, Rules faulty) {
+    String violation = new Search(rates, faulty).search(DEPTH);
+    assertNotNull(violation, "the search did not find the fault");
   }
 
   @Test
-  void theSearchFindsAHolderThatCountsFromTheAnswer() {
+  void theSearchFindsAHolderThatMeasuresTheLeaseFromTheAnswer() {
     assertFound(new int[] {1, 2, 1}, new Rules() {
       @Override
-      public Step step(LeaseSettings terms, Lease lease, LeaseState state, double now, LeaseEvent event) {
+      public Step step(LeaseSettings settings, Lease lease, LeaseState state, double now, LeaseEvent event) {
         Step step = lease.step(state, now, event);
         boolean promised = event instanceof Received e && e.message() instanceof Promise
-            && step.state().mayActUntil() > state.mayActUntil();
+            && step.state().heldUntil() > state.heldUntil();
         LeaseState s = step.state();
-        return !promised ? step : new Step(new LeaseState(s.fence(), s.known(), s.promised(),
-            s.promisedUntil(), s.requested(), s.round(), s.askedAt(), s.promises(), now + terms.held()),
-            step.messages());
+        return !promised ? step : new Step(new LeaseState(s.fence(), s.highestKnown(), s.promised(),
+            s.promisedUntil(), s.requested(), s.round(), s.requestedAt(), s.promises(),
+            now + settings.holdTime()), step.messages());
       }
     });
   }
 
   @Test
-  void theSearchFindsAVoterThatPromisesRightAfterItsStart() {
+  void theSearchFindsAVoterThatPromisesDirectlyAfterItsStart() {
     assertFound(new int[] {1, 1, 1}, new Rules() {
       @Override
-      public LeaseState start(LeaseSettings terms, double now) {
-        return LeaseState.started(terms, now - terms.length(), Epoch.NONE);
+      public LeaseState start(LeaseSettings settings, double now) {
+        return LeaseState.started(settings, now - settings.length(), Epoch.NONE);
       }
     });
   }
@@ -221,35 +227,36 @@
   void theSearchFindsAVoterThatPromisesTwice() {
     assertFound(new int[] {1, 1, 1}, new Rules() {
       @Override
-      public Step step(LeaseSettings terms, Lease lease, LeaseState s, double now, LeaseEvent event) {
-        LeaseState free = new LeaseState(s.fence(), s.known(), s.promised(), 0, s.requested(), s.round(),
-            s.askedAt(), s.promises(), s.mayActUntil());
+      public Step step(LeaseSettings settings, Lease lease, LeaseState s, double now, LeaseEvent event) {
+        LeaseState free = new LeaseState(s.fence(), s.highestKnown(), s.promised(), 0, s.requested(),
+            s.round(), s.requestedAt(), s.promises(), s.heldUntil());
         return lease.step(free, now, event);
       }
     });
   }
 
   @Test
-  void aLeaseIsHeldRenewedAndGivenBack() {
-    LeaseSettings terms = new LeaseSettings(new TreeSet<>(NAMES), 4, 0.5);
-    Lease a = new Lease(terms, "a", 1);
-    Lease b = new Lease(terms, "b", 1);
-    LeaseState stateA = LeaseState.started(terms, 0, Epoch.NONE);
-    assertEquals(List.of(), a.step(stateA, 3, new LeaseEvent.Acquire()).messages(), "too soon after its start");
-    Step asked = a.step(stateA, 4, new LeaseEvent.Acquire());
-    Step answered = b.step(LeaseState.started(terms, 0, Epoch.NONE), 5,
-        new Received("a", asked.messages().get(0).message()));
-    Step held = a.step(asked.state(), 5, new Received("b", answered.messages().get(0).message()));
-    assertTrue(held.state().isHolder(5) && !held.state().isHolder(4 + terms.held()));
-    assertTrue(b.step(answered.state(), 6, new LeaseEvent.Acquire()).messages().isEmpty(), "b leaves it to a");
+  void aLeaseIsAcquiredRenewedAndReleased() {
+    LeaseSettings settings = new LeaseSettings(new TreeSet<>(NAMES), 4, 0.5);
+    Lease a = new Lease(settings, "a", 1);
+    Lease b = new Lease(settings, "b", 1);
+    LeaseState stateA = LeaseState.started(settings, 0, Epoch.NONE);
+    assertEquals(List.of(), a.step(stateA, 3, new LeaseEvent.Acquire()).messages(),
+        "less than one lease after the start");
+    Step requested = a.step(stateA, 4, new LeaseEvent.Acquire());
+    Step granted = b.step(LeaseState.started(settings, 0, Epoch.NONE), 5,
+        new Received("a", requested.messages().get(0).message()));
+    Step held = a.step(requested.state(), 5, new Received("b", granted.messages().get(0).message()));
+    assertTrue(held.state().isHolder(5) && !held.state().isHolder(4 + settings.holdTime()));
+    assertTrue(b.step(granted.state(), 6, new LeaseEvent.Acquire()).messages().isEmpty(), "b has promised a");
     Step renewed = a.step(held.state(), 5.5, new LeaseEvent.Acquire());
     assertEquals(held.state().requested(), renewed.state().requested());
     assertTrue(renewed.state().isHolder(5.5));
-    Step back = a.step(renewed.state(), 5.6, new LeaseEvent.Relinquish());
-    Step freed = b.step(answered.state(), 6, new Received("a", back.messages().get(0).message()));
-    assertEquals(2, b.step(freed.state(), 6, new LeaseEvent.Acquire()).messages().size());
-    Step passed = a.step(held.state(), 5, new LeaseEvent.EpochObserved(new Epoch(9, "c", 1)));
-    assertTrue(!passed.state().isHolder(5));
-    assertEquals(10, a.step(passed.state(), 9, new LeaseEvent.Acquire()).state().requested().number());
+    Step released = a.step(renewed.state(), 5.6, new LeaseEvent.Relinquish());
+    Step available = b.step(granted.state(), 6, new Received("a", released.messages().get(0).message()));
+    assertEquals(2, b.step(available.state(), 6, new LeaseEvent.Acquire()).messages().size());
+    Step superseded = a.step(held.state(), 5, new LeaseEvent.EpochObserved(new Epoch(9, "c", 1)));
+    assertTrue(!superseded.state().isHolder(5));
+    assertEquals(10, a.step(superseded.state(), 9, new LeaseEvent.Acquire()).state().requested().number());
   }
 }
