--- a/src/main/java/beampoint/fleet/transport/Datagrams.java
+++ b/src/main/java/beampoint/fleet/transport/Datagrams.java
@@ -26,31 +26,36 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * Short messages between members, by UDP. What is no message of this cluster is counted and dropped, and so
- * is what comes faster than it can be taken.
+ * Sends and receives short messages between members by UDP. Datagrams that are not messages of this cluster
+ * are counted and dropped, and so are those that arrive faster than they can be processed.
  */
 public final class Datagrams {
 
   /**
-   * Messages that have been read and wait for the loop: one of each member, as after a pause of the loop in
-   * which all have sent. Guards against memory that grows while messages come faster than they are taken.
+   * The maximum number of messages that were read and wait for the event loop: one per member, as after a
+   * pause of the loop in which every member has sent one. Without a limit, memory use would grow while
+   * messages arrive faster than they are processed.
    */
-  static final int MAX_WAITING = FleetSettings.MAX_MEMBERS;
+  static final int MAX_QUEUED = FleetSettings.MAX_MEMBERS;
 
   private final Codec codec;
   private final Executor loop;
   private final Counters counters;
-  private final Consumer<Message> received;
-  private final AtomicInteger waiting = new AtomicInteger();
+  private final Consumer<Message> receiver;
+  private final AtomicInteger queued = new AtomicInteger();
   private final UDPNIOTransport transport;
   private UDPNIOServerConnection socket;
 
-  /** What comes is told by tasks of the loop, as it decides. */
-  public Datagrams(Codec codec, Executor loop, Counters counters, Consumer<Message> received) {
+  /**
+   * Creates a transport that is not listening yet.
+   *
+   * @param loop the event loop, in whose tasks messages are decoded and passed to the receiver
+   */
+  public Datagrams(Codec codec, Executor loop, Counters counters, Consumer<Message> receiver) {
     this.codec = codec;
     this.loop = loop;
     this.counters = counters;
-    this.received = received;
+    this.receiver = receiver;
     this.transport = UDPNIOTransportBuilder.newInstance()
         .setIOStrategy(SameThreadIOStrategy.getInstance())
         .setSelectorRunnersCount(1)
@@ -58,12 +63,12 @@
             .setThreadFactory(task -> new Thread(task, "members")))
         .setReadBufferSize(2 * Codec.MAX_DATAGRAM_BYTES)
         .build();
-    transport.setProcessor(FilterChainBuilder.stateless().add(new TransportFilter()).add(new Events())
+    transport.setProcessor(FilterChainBuilder.stateless().add(new TransportFilter()).add(new ReadFilter())
         .build());
   }
 
-  /** Hands on what was read, as tasks of the loop. */
-  private final class Events extends BaseFilter {
+  /** Passes the bytes that were read to the event loop. */
+  private final class ReadFilter extends BaseFilter {
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
@@ -72,32 +77,32 @@
       message.get(bytes);
       message.tryDispose();
       counters.add(Counter.MEMBER_BYTES_RECEIVED, bytes.length);
-      if (waiting.incrementAndGet() > MAX_WAITING) {
-        waiting.decrementAndGet();
+      if (queued.incrementAndGet() > MAX_QUEUED) {
+        queued.decrementAndGet();
         counters.add(Counter.MEMBER_MESSAGES_DROPPED);
       } else {
-        loop.execute(() -> take(bytes));
+        loop.execute(() -> process(bytes));
       }
       return ctx.getStopAction();
     }
   }
 
-  private void take(byte[] bytes) {
-    waiting.decrementAndGet();
+  private void process(byte[] bytes) {
+    queued.decrementAndGet();
     try {
-      received.accept(codec.read(bytes, bytes.length));
+      receiver.accept(codec.read(bytes, bytes.length));
     } catch (MalformedMessageException e) {
       counters.add(Counter.MEMBER_MESSAGES_DROPPED);
     }
   }
 
-  /** Begins to listen. */
+  /** Starts to listen. */
   public void listen(InetSocketAddress address) throws IOException {
     transport.start();
     socket = transport.bind(address);
   }
 
-  /** Sends a message, which may be lost. */
+  /** Sends a message without acknowledgement; it may be lost. */
   public void send(SocketAddress to, Message message) {
     byte[] bytes = codec.write(message);
     counters.add(Counter.MEMBER_MESSAGES_SENT);
@@ -105,7 +110,7 @@
     socket.write(to, Buffers.wrap(transport.getMemoryManager(), bytes), null);
   }
 
-  /** Listens and sends no longer. */
+  /** Stops listening and sending. */
   public void close() throws IOException {
     transport.shutdownNow();
   }
--- a/src/main/java/beampoint/fleet/transport/ViewExchanger.java
+++ b/src/main/java/beampoint/fleet/transport/ViewExchanger.java
@@ -28,17 +28,18 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Exchanges whole views, by TCP: who asks sends its own and gets the other's, each behind its length in four
- * bytes. Few at a time, none for long, and none longer than a view may be.
+ * Exchanges whole views by TCP: the initiator sends its own view and receives that of the other side. Each
+ * view is preceded by its length in four bytes. The number of concurrent exchanges, the duration of each and
+ * the length of a view are limited.
  */
 public final class ViewExchanger {
 
   /**
-   * Exchanges that may be open at once, whoever began them. Each member begins one in 30 s, less often in a
-   * fleet of over a hundred, with a member that it draws, so about as many come to each, and last
-   * milliseconds. What is more
-   * would take descriptors and, at 1.3 MB a view, memory that requests need; who is turned away asks another
-   * member at its next turn, and hears of changes by datagrams meanwhile.
+   * The maximum number of concurrent exchanges, whichever side initiated them. Each member initiates one in
+   * 30 s with a random member, less often in a fleet of over a hundred members. So each member receives about
+   * as many, and they last milliseconds. More exchanges would take file descriptors and, at 1.3 MB per view,
+   * memory that requests need. A member that is rejected tries another one at its next exchange and receives
+   * changes by datagrams meanwhile.
    */
   public static final int MAX_EXCHANGES = 16;
   private static final long MAX_EXCHANGE_MS = 2_000;
@@ -48,32 +49,41 @@
   private final ScheduledExecutorService loop;
   private final Codec codec;
   private final Counters counters;
-  private final Supplier<List<MemberState>> own;
-  private final Consumer<List<MemberState>> received;
-  private final AtomicInteger open = new AtomicInteger();
+  private final Supplier<List<MemberState>> ownView;
+  private final Consumer<List<MemberState>> receiver;
+  private final AtomicInteger openExchanges = new AtomicInteger();
 
-  /** The own view is asked for, and others' are told, in tasks of the loop. */
-  public ViewExchanger(TCPNIOTransport transport, ScheduledExecutorService loop, Codec codec, Counters counters,
-      Supplier<List<MemberState>> own, Consumer<List<MemberState>> received) {
+  /**
+   * Creates an exchanger that is not listening yet.
+   *
+   * @param loop the event loop, in whose tasks the own view is read and received views are passed on
+   * @param ownView supplies the view to send
+   * @param receiver accepts the views of other members
+   */
+  public ViewExchanger(TCPNIOTransport transport, ScheduledExecutorService loop, Codec codec,
+      Counters counters, Supplier<List<MemberState>> ownView,
+      Consumer<List<MemberState>> receiver) {
     this.transport = transport;
     this.loop = loop;
     this.codec = codec;
     this.counters = counters;
-    this.own = own;
-    this.received = received;
+    this.ownView = ownView;
+    this.receiver = receiver;
   }
 
-  /** Reads one view whole; who was asked answers with its own, and either ends the connection then. */
-  private final class Side extends BaseFilter {
-    private final boolean answers;
+  /**
+   * Reads one whole view. The responder then sends its own view; the initiator closes the connection.
+   */
+  private final class ExchangeFilter extends BaseFilter {
+    private final boolean isResponder;
 
-    Side(boolean answers) {
-      this.answers = answers;
+    ExchangeFilter(boolean isResponder) {
+      this.isResponder = isResponder;
     }
 
     @Override
     public NextAction handleAccept(FilterChainContext ctx) {
-      watch(ctx.getConnection());
+      limitExchange(ctx.getConnection());
       return ctx.getInvokeAction();
     }
 
@@ -94,35 +104,38 @@
       bytes.get(view);
       Connection<?> connection = ctx.getConnection();
       counters.add(Counter.MEMBER_BYTES_RECEIVED, LENGTH_BYTES + length);
-      loop.execute(() -> take(connection, view, answers));
+      loop.execute(() -> process(connection, view, isResponder));
       return ctx.getStopAction();
     }
 
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
-      open.decrementAndGet();
+      openExchanges.decrementAndGet();
       return ctx.getInvokeAction();
     }
   }
 
-  /** Guards against peers that connect and say nothing, or too many at once. */
-  private void watch(Connection<?> connection) {
-    if (open.incrementAndGet() > MAX_EXCHANGES) {
+  /**
+   * Closes a connection that exceeds the maximum number of exchanges, and any other after the maximum
+   * duration, which peers that connect and send nothing would exceed.
+   */
+  private void limitExchange(Connection<?> connection) {
+    if (openExchanges.incrementAndGet() > MAX_EXCHANGES) {
       connection.terminateSilently();
     } else {
       loop.schedule(connection::terminateSilently, MAX_EXCHANGE_MS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void take(Connection<?> connection, byte[] bytes, boolean answers) {
+  private void process(Connection<?> connection, byte[] bytes, boolean isResponder) {
     try {
       List<MemberState> view = codec.readView(bytes);
-      if (answers) {
-        write(connection, own.get());
+      if (isResponder) {
+        write(connection, ownView.get());
       } else {
         connection.terminateSilently();
       }
-      received.accept(view);
+      receiver.accept(view);
     } catch (MalformedMessageException e) {
       counters.add(Counter.MEMBER_MESSAGES_DROPPED);
       connection.terminateSilently();
@@ -138,26 +151,29 @@
     ((Connection<SocketAddress>) connection).write(frame, new EmptyCompletionHandler<>() {});
   }
 
-  private FilterChain chain(boolean answers) {
-    return FilterChainBuilder.stateless().add(new PeerFilter()).add(new Side(answers)).build();
+  private FilterChain chain(boolean isResponder) {
+    return FilterChainBuilder.stateless().add(new PeerFilter()).add(new ExchangeFilter(isResponder)).build();
   }
 
-  /** Listens to those that ask; returns the address, with the port that the system picks where it is 0. */
+  /**
+   * Listens for exchanges; returns the bound address, with the port chosen by the system if the given one is
+   * 0.
+   */
   public InetSocketAddress listen(InetSocketAddress address) throws IOException {
     return (InetSocketAddress) TCPNIOBindingHandler.builder(transport).processor(chain(true)).build()
         .bind(address).getLocalAddress();
   }
 
-  /** Asks a member: it gets this one's view and its own comes back, or nothing does. */
-  public void exchange(InetSocketAddress with) {
-    TCPNIOConnectorHandler.builder(transport).processor(chain(false)).build().connect(with)
+  /** Initiates an exchange with a member; a failure is not reported. */
+  public void exchange(InetSocketAddress peer) {
+    TCPNIOConnectorHandler.builder(transport).processor(chain(false)).build().connect(peer)
         .addCompletionHandler(new EmptyCompletionHandler<>() {
           @Override
           public void completed(@SuppressWarnings("rawtypes") Connection connection) {
-            Connection<?> made = connection;
+            Connection<?> opened = connection;
             loop.execute(() -> {
-              watch(made);
-              write(made, own.get());
+              limitExchange(opened);
+              write(opened, ownView.get());
             });
           }
         });
--- a/src/test/java/beampoint/fleet/transport/DatagramsTest.java
+++ b/src/test/java/beampoint/fleet/transport/DatagramsTest.java
@@ -18,54 +18,54 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Messages that wait for a loop that stands still. */
+/** The limit on messages that wait while the event loop does not run. */
 @Timeout(60)
 class DatagramsTest {
 
-  private final Queue<Runnable> waiting = new ConcurrentLinkedQueue<>();
-  private final AtomicInteger came = new AtomicInteger();
-  private final AtomicInteger taken = new AtomicInteger();
+  private final Queue<Runnable> queued = new ConcurrentLinkedQueue<>();
+  private final AtomicInteger queuedCount = new AtomicInteger();
+  private final AtomicInteger processed = new AtomicInteger();
   private final Counters counters = new Counters();
   private final Codec codec = new Codec("north");
 
   private void run(Runnable task) {
-    waiting.add(task);
-    came.incrementAndGet();
+    queued.add(task);
+    queuedCount.incrementAndGet();
   }
 
-  /** Sends one, and waits until it was read: the system's own buffer holds fewer. */
+  /** Sends a message and waits until it was read, because the socket buffer cannot hold all of them. */
   private void send(DatagramSocket from, InetSocketAddress to) throws Exception {
     MemberState self = new MemberState("n1", "127.0.0.1:1", Status.ALIVE, 1, false, "n1");
     byte[] bytes = codec.write(new Message(Message.Kind.PING, 1, self, "", List.of()));
-    long before = came.get() + counters.get(Counter.MEMBER_MESSAGES_DROPPED);
+    long before = queuedCount.get() + counters.get(Counter.MEMBER_MESSAGES_DROPPED);
     from.send(new DatagramPacket(bytes, bytes.length, to));
-    while (came.get() + counters.get(Counter.MEMBER_MESSAGES_DROPPED) == before) {
+    while (queuedCount.get() + counters.get(Counter.MEMBER_MESSAGES_DROPPED) == before) {
       Thread.onSpinWait();
     }
   }
 
-  /** Guards against a limit under which a message of each member of the largest fleet can't wait. */
+  /** The queue must be able to hold one message of every member of the largest fleet. */
   @Test
-  void aMessageOfEachMemberMayWaitAndOneMoreIsDroppedAndCounted() throws Exception {
+  void oneMessageOfEachMemberIsQueuedAndOneMoreIsDroppedAndCounted() throws Exception {
     InetSocketAddress address;
     try (DatagramSocket free = new DatagramSocket(0, java.net.InetAddress.getByName("127.0.0.1"))) {
       address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
     }
-    Datagrams datagrams = new Datagrams(codec, this::run, counters, m -> taken.incrementAndGet());
+    Datagrams datagrams = new Datagrams(codec, this::run, counters, m -> processed.incrementAndGet());
     datagrams.listen(address);
     try (DatagramSocket peer = new DatagramSocket()) {
-      while (came.get() < Datagrams.MAX_WAITING - 1) {
+      while (queuedCount.get() < Datagrams.MAX_QUEUED - 1) {
         send(peer, address);
       }
-      assertEquals(0, counters.get(Counter.MEMBER_MESSAGES_DROPPED), "one below");
+      assertEquals(0, counters.get(Counter.MEMBER_MESSAGES_DROPPED), "one below the limit");
       send(peer, address);
-      assertEquals(0, counters.get(Counter.MEMBER_MESSAGES_DROPPED), "as many as may wait");
+      assertEquals(0, counters.get(Counter.MEMBER_MESSAGES_DROPPED), "at the limit");
       send(peer, address);
-      assertEquals(1, counters.get(Counter.MEMBER_MESSAGES_DROPPED), "one above");
-      waiting.forEach(Runnable::run);
-      assertEquals(Datagrams.MAX_WAITING, taken.get());
+      assertEquals(1, counters.get(Counter.MEMBER_MESSAGES_DROPPED), "one above the limit");
+      queued.forEach(Runnable::run);
+      assertEquals(Datagrams.MAX_QUEUED, processed.get());
       send(peer, address);
-      assertEquals(1, counters.get(Counter.MEMBER_MESSAGES_DROPPED), "there is room again");
+      assertEquals(1, counters.get(Counter.MEMBER_MESSAGES_DROPPED), "the queue is empty again");
     } finally {
       datagrams.close();
     }
--- a/src/test/java/beampoint/fleet/transport/ViewExchangerTest.java
+++ b/src/test/java/beampoint/fleet/transport/ViewExchangerTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Whole views over sockets, up to the largest fleet that there may be. */
+/** Exchanges of whole views over sockets, up to the largest supported fleet. */
 @Timeout(60)
 class ViewExchangerTest {
 
@@ -37,19 +37,21 @@
   private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
   private final Counters counters = new Counters();
   private final Codec codec = new Codec("north");
-  private final LinkedBlockingQueue<List<MemberState>> toAsked = new LinkedBlockingQueue<>();
-  private final LinkedBlockingQueue<List<MemberState>> toAsking = new LinkedBlockingQueue<>();
-  private volatile List<MemberState> ofAsked = List.of();
-  private volatile List<MemberState> ofAsking = List.of();
-  private ViewExchanger asking;
+  private final LinkedBlockingQueue<List<MemberState>> receivedByResponder = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<List<MemberState>> receivedByInitiator = new LinkedBlockingQueue<>();
+  private volatile List<MemberState> responderView = List.of();
+  private volatile List<MemberState> initiatorView = List.of();
+  private ViewExchanger initiator;
   private InetSocketAddress address;
 
   @BeforeEach
   void start() throws IOException {
     transport.start();
-    address = new ViewExchanger(transport, loop, codec, counters, () -> ofAsked, toAsked::add)
+    address = new ViewExchanger(transport, loop, codec, counters, () -> responderView,
+        receivedByResponder::add)
         .listen(new InetSocketAddress("127.0.0.1", 0));
-    asking = new ViewExchanger(transport, loop, codec, counters, () -> ofAsking, toAsking::add);
+    initiator = new ViewExchanger(transport, loop, codec, counters, () -> initiatorView,
+        receivedByInitiator::add);
   }
 
   @AfterEach
@@ -64,68 +66,74 @@
         .toList();
   }
 
-  /** Guards against a fleet that has grown past a limit of its exchanges, and learns by datagrams only. */
+  /**
+   * If a limit of the exchange were below the size of the fleet, members would receive changes by datagrams
+   * only.
+   */
   @Test
-  void bothSidesGetTheWholeViewOfTheOtherAtAnySizeOfTheFleet() throws Exception {
+  void bothSidesReceiveTheOthersWholeViewAtEveryFleetSize() throws Exception {
     for (int members : new int[] {1, 2_300, Codec.MAX_VIEW_MEMBERS - 1, Codec.MAX_VIEW_MEMBERS}) {
-      ofAsked = view(members);
-      ofAsking = view(members - 1);
-      asking.exchange(address);
-      assertEquals(ofAsking, toAsked.poll(10, TimeUnit.SECONDS), "to the member that was asked: " + members);
-      assertEquals(ofAsked, toAsking.poll(10, TimeUnit.SECONDS), "to the member that asked: " + members);
+      responderView = view(members);
+      initiatorView = view(members - 1);
+      initiator.exchange(address);
+      assertEquals(initiatorView, receivedByResponder.poll(10, TimeUnit.SECONDS),
+          "received by the responder: " + members);
+      assertEquals(responderView, receivedByInitiator.poll(10, TimeUnit.SECONDS),
+          "received by the initiator: " + members);
     }
     assertEquals(0, counters.get(Counter.MEMBER_MESSAGES_DROPPED));
-    ofAsking = view(Codec.MAX_VIEW_MEMBERS + 1);
-    asking.exchange(address);
+    initiatorView = view(Codec.MAX_VIEW_MEMBERS + 1);
+    initiator.exchange(address);
     while (counters.get(Counter.MEMBER_MESSAGES_DROPPED) == 0) {
       Thread.onSpinWait();
     }
-    assertTrue(toAsked.isEmpty());
+    assertTrue(receivedByResponder.isEmpty());
   }
 
-  /** A length is taken up to that of the longest view, and ends the connection one above. */
+  /** A length prefix up to that of the longest view is accepted; a greater one closes the connection. */
   @Test
-  void aStatedLengthIsWaitedForUpToThatOfTheLongestView() throws Exception {
+  void aLengthPrefixIsAcceptedUpToTheLongestView() throws Exception {
     int[] lengths = {Codec.MAX_VIEW_BYTES - 1, Codec.MAX_VIEW_BYTES, Codec.MAX_VIEW_BYTES + 1};
     for (int length : lengths) {
       try (Socket peer = new Socket(address.getAddress(), address.getPort())) {
         peer.getOutputStream().write(ByteBuffer.allocate(4).putInt(length).array());
         if (length > Codec.MAX_VIEW_BYTES) {
-          assertEquals(-1, peer.getInputStream().read(), "it is ended");
+          assertEquals(-1, peer.getInputStream().read(), "the connection is closed");
           assertEquals(3, counters.get(Counter.MEMBER_MESSAGES_DROPPED));
         } else {
-          peer.getOutputStream().write(new byte[length]); // no view, and read to its end
+          peer.getOutputStream().write(new byte[length]); // not a valid view, but read to its end
           assertEquals(-1, peer.getInputStream().read());
         }
       }
     }
   }
 
-  /** As many exchanges as may be open are; one more is turned away, and the next is taken when one ends. */
+  /** At the maximum of open exchanges, one more is rejected; the next is accepted once one has ended. */
   @Test
-  void oneExchangeMoreThanMayBeOpenIsTurnedAway() throws Exception {
-    ofAsked = view(1);
-    ofAsking = view(2);
+  void anExchangeAboveTheMaximumIsRejected() throws Exception {
+    responderView = view(1);
+    initiatorView = view(2);
     List<Socket> open = new ArrayList<>();
     try {
       while (open.size() < ViewExchanger.MAX_EXCHANGES - 1) {
         open.add(new Socket(address.getAddress(), address.getPort()));
       }
-      asking.exchange(address);
-      assertEquals(ofAsking, toAsked.poll(5, TimeUnit.SECONDS), "there is room for one");
-      assertEquals(ofAsked, toAsking.poll(5, TimeUnit.SECONDS));
+      initiator.exchange(address);
+      assertEquals(initiatorView, receivedByResponder.poll(5, TimeUnit.SECONDS),
+          "one more exchange is allowed");
+      assertEquals(responderView, receivedByInitiator.poll(5, TimeUnit.SECONDS));
       Socket last = new Socket(address.getAddress(), address.getPort());
-      while (ends(last, 200)) { // the end of the exchange may not have been seen yet
+      while (isClosed(last, 200)) { // the end of the exchange may not have been processed yet
         last.close();
         last = new Socket(address.getAddress(), address.getPort());
       }
       open.add(last);
       try (Socket oneMore = new Socket(address.getAddress(), address.getPort())) {
-        assertTrue(ends(oneMore, 1_000), "there is no room");
+        assertTrue(isClosed(oneMore, 1_000), "the maximum is reached");
       }
       open.remove(0).close();
-      while (toAsked.isEmpty()) {
-        asking.exchange(address);
+      while (receivedByResponder.isEmpty()) {
+        initiator.exchange(address);
         Thread.sleep(20);
       }
     } finally {
@@ -135,9 +143,9 @@
     }
   }
 
-  /** True where the other side ends the connection within so many ms. */
-  private static boolean ends(Socket socket, int within) throws IOException {
-    socket.setSoTimeout(within);
+  /** Returns true if the other side closes the connection within the given time in ms. */
+  private static boolean isClosed(Socket socket, int timeoutMs) throws IOException {
+    socket.setSoTimeout(timeoutMs);
     try {
       return socket.getInputStream().read() < 0;
     } catch (SocketTimeoutException e) {
