--- a/src/main/java/beampoint/fleet/membership/Gossip.java
+++ b/src/main/java/beampoint/fleet/membership/Gossip.java
@@ -12,22 +12,22 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Dissemination: what this member sends, and the news that ride on it. All changes of the table pass through
- * here, as each is news to others.
+ * Dissemination: builds the messages that this member sends and piggybacks membership updates on them. Every
+ * change of the member table passes through here, because it has to be passed on to other members.
  */
 final class Gossip {
 
-  private static final int FANOUT = 3; // members that are sent news in a step
-  private static final int FANOUT_OF_LEAVING = FANOUT * FANOUT;
-  private static final int NEWS_IN_A_MESSAGE = 10;
-  private static final double EXCHANGE_GAP = 500; // ms between two exchanges at the least
+  private static final int FANOUT = 3; // members that receive updates per tick
+  private static final int LEAVE_FANOUT = FANOUT * FANOUT;
+  private static final int MAX_UPDATES_PER_MESSAGE = 10;
+  private static final double MIN_EXCHANGE_INTERVAL_MS = 500;
 
   private final MemberTable table;
   private final LocalMember local;
   private final UniformRandomProvider random;
   private final GossipQueue queue = new GossipQueue();
   private final List<MemberAction> actions = new ArrayList<>();
-  private double exchangedAt = Double.NEGATIVE_INFINITY;
+  private double lastExchangeAt = Double.NEGATIVE_INFINITY;
 
   Gossip(MemberTable table, LocalMember local, UniformRandomProvider random) {
     this.table = table;
@@ -35,79 +35,88 @@
     this.random = random;
   }
 
-  /** Takes out what is to be done. */
+  /** Returns the actions collected since the last call and forgets them. */
   List<MemberAction> takeActions() {
     List<MemberAction> taken = List.copyOf(actions);
     actions.clear();
     return taken;
   }
 
-  /** Passes on what this member says of itself. */
-  void spreadSelf() {
-    queue.add(local.news());
+  /** Queues the local member's own state for dissemination. */
+  void enqueueSelf() {
+    queue.add(local.state());
   }
 
-  /** Passes on that a member is known now. */
-  void added(Peer peer) {
-    queue.add(peer.news);
-    actions.add(new Changed(peer.news));
+  /** Disseminates and reports a member that was added to the table. */
+  void memberAdded(Peer peer) {
+    queue.add(peer.state);
+    actions.add(new Changed(peer.state));
   }
 
-  /** Replaces what is known of a member, and passes it on. */
-  void update(Peer peer, MemberState news) {
-    boolean isChange = peer.news.status() != news.status() || peer.news.notReceiving() != news.notReceiving();
-    table.update(peer, news);
-    queue.add(news);
+  /** Replaces the state of a member in the table and disseminates it. */
+  void update(Peer peer, MemberState update) {
+    boolean isChange = peer.state.status() != update.status()
+        || peer.state.notReceiving() != update.notReceiving();
+    table.update(peer, update);
+    queue.add(update);
     if (isChange) {
-      actions.add(new Changed(news));
+      actions.add(new Changed(update));
     }
   }
 
-  /** Passes on what leaves the table as it is. */
-  void spread(MemberState news) {
-    queue.add(news);
+  /** Disseminates an update that does not change the table. */
+  void enqueue(MemberState update) {
+    queue.add(update);
   }
 
-  /** Sends news to some while there are any; they don't wait for the next probe. */
+  /** Sends queued updates to random members at each tick, without waiting for the next probe. */
   void tick() {
     if (!queue.isEmpty()) {
-      sendToAny(FANOUT);
+      sendToRandom(FANOUT);
     }
   }
 
-  /** Tells many at once, as nobody will pass it on for a process that is gone. */
-  void sendToManyAtTheEnd() {
-    sendToAny(FANOUT_OF_LEAVING);
+  /**
+   * Sends the queued updates to more members than a tick does, because this process ends and cannot send them
+   * again.
+   */
+  void sendLeave() {
+    sendToRandom(LEAVE_FANOUT);
   }
 
-  private void sendToAny(int count) {
-    table.living().draw(count, random, null).forEach(peer -> send(peer, Kind.GOSSIP, 0, ""));
+  private void sendToRandom(int count) {
+    table.live().draw(count, random, null).forEach(peer -> send(peer, Kind.GOSSIP, 0, ""));
   }
 
-  /** Who is suspected, or held for dead, or has started anew, is told so with whatever it is sent. */
-  void send(Peer to, Kind kind, long number, String about) {
-    send(to, kind, number, about, List.of());
+  /**
+   * Sends a message. A receiver that is not considered alive, or that has restarted, gets its own state as
+   * known here with it, so that it can refute.
+   */
+  void send(Peer to, Kind kind, long number, String target) {
+    send(to, kind, number, target, List.of());
   }
 
-  /** The same, with some news before all others. */
-  void send(Peer to, Kind kind, long number, String about, List<MemberState> first) {
-    List<MemberState> news = new ArrayList<>(first);
-    if (to.news.status() != Status.ALIVE || to.isBehind()) {
-      news.add(to.news);
+  /** Sends a message that carries the given updates before all others. */
+  void send(Peer to, Kind kind, long number, String target, List<MemberState> priorityUpdates) {
+    List<MemberState> updates = new ArrayList<>(priorityUpdates);
+    if (to.state.status() != Status.ALIVE || to.hasStaleIncarnation()) {
+      updates.add(to.state);
     }
-    Peer asked = table.get(about); // who asked for it may hear nothing of that one by itself
-    if (asked != null) {
-      news.add(asked.news);
+    Peer targetPeer = table.get(target); // the receiver may get no message from the target itself
+    if (targetPeer != null) {
+      updates.add(targetPeer.state);
     }
-    news.addAll(queue.next(NEWS_IN_A_MESSAGE - news.size(), 1 + table.living().size()));
-    actions.add(new Send(to.news, new Message(kind, number, local.news(), about, news)));
+    updates.addAll(queue.next(MAX_UPDATES_PER_MESSAGE - updates.size(), 1 + table.live().size()));
+    actions.add(new Send(to.state, new Message(kind, number, local.state(), target, updates)));
   }
 
-  /** Exchanges whole views with a member, unless one was begun a moment ago. */
-  void exchange(Peer with, double now) {
-    if (now - exchangedAt >= EXCHANGE_GAP) {
-      exchangedAt = now;
-      actions.add(new Exchange(with.news));
+  /**
+   * Exchanges whole views with a member, unless the minimum interval since the last exchange has not passed.
+   */
+  void exchange(Peer peer, double now) {
+    if (now - lastExchangeAt >= MIN_EXCHANGE_INTERVAL_MS) {
+      lastExchangeAt = now;
+      actions.add(new Exchange(peer.state));
     }
   }
 }
--- a/src/main/java/beampoint/fleet/membership/GossipQueue.java
+++ b/src/main/java/beampoint/fleet/membership/GossipQueue.java
@@ -9,9 +9,8 @@
 import java.util.TreeSet;
 
 /**
- * News that are to be passed on, the newest of each member, in the order of how often each was sent: those
- * that were sent least go first, and none more than a multiple of the logarithm of the members' number (SWIM,
- * section 4.1).
+ * Updates to be passed on, the newest of each member, ordered by how often each was sent: those sent least go
+ * first, and each is sent at most a multiple of the logarithm of the number of members (SWIM, section 4.1).
  */
 final class GossipQueue {
 
@@ -19,29 +18,29 @@
   private static final double LOG_2 = Math.log(2);
 
   private static final class Entry {
-    private final MemberState news;
-    private int sent;
+    private final MemberState update;
+    private int timesSent;
 
-    Entry(MemberState news) {
-      this.news = news;
+    Entry(MemberState update) {
+      this.update = update;
     }
 
     String member() {
-      return news.member();
+      return update.member();
     }
 
-    int sent() {
-      return sent;
+    int timesSent() {
+      return timesSent;
     }
   }
 
   private final Map<String, Entry> byMember = new HashMap<>();
   private final TreeSet<Entry> leastSent =
-      new TreeSet<>(Comparator.comparingInt(Entry::sent).thenComparing(Entry::member));
+      new TreeSet<>(Comparator.comparingInt(Entry::timesSent).thenComparing(Entry::member));
 
-  /** Takes news in place of older ones of the same member. */
-  void add(MemberState news) {
-    Entry entry = new Entry(news);
+  /** Adds an update; it replaces an older one of the same member. */
+  void add(MemberState update) {
+    Entry entry = new Entry(update);
     Entry older = byMember.put(entry.member(), entry);
     if (older != null) {
       leastSent.remove(older);
@@ -53,27 +52,31 @@
     return leastSent.isEmpty();
   }
 
-  /** The next so many, for one message among so many members. */
-  List<MemberState> next(int most, int members) {
+  /**
+   * Returns the updates for the next message and counts them as sent once more.
+   *
+   * @param members the number of members, which limits how often an update is sent
+   */
+  List<MemberState> next(int maxUpdates, int members) {
     if (leastSent.isEmpty()) {
       return List.of();
     }
-    List<Entry> chosen = new ArrayList<>(most);
-    while (chosen.size() < most && !leastSent.isEmpty()) {
+    List<Entry> chosen = new ArrayList<>(maxUpdates);
+    while (chosen.size() < maxUpdates && !leastSent.isEmpty()) {
       chosen.add(leastSent.pollFirst());
     }
     int limit = retransmitLimit(members);
-    List<MemberState> news = new ArrayList<>(chosen.size());
+    List<MemberState> updates = new ArrayList<>(chosen.size());
     for (Entry entry : chosen) {
-      news.add(entry.news);
-      entry.sent++;
-      if (entry.sent < limit) {
+      updates.add(entry.update);
+      entry.timesSent++;
+      if (entry.timesSent < limit) {
         leastSent.add(entry);
       } else {
         byMember.remove(entry.member());
       }
     }
-    return news;
+    return updates;
   }
 
   private static int retransmitLimit(int members) {
--- a/src/main/java/beampoint/fleet/membership/LocalMember.java
+++ b/src/main/java/beampoint/fleet/membership/LocalMember.java
@@ -3,25 +3,28 @@
 import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Status;
 
-/** This member itself: what it says of itself, and its health as it can judge it (Lifeguard). */
+/**
+ * The local member: the state that it announces, and its own estimate of its health (Lifeguard, "local health
+ * awareness").
+ */
 final class LocalMember {
 
-  private static final double RAISE_EVERY = 1_000; // ms, while it hears nobody
+  private static final double RAISE_INTERVAL_MS = 1_000; // while no message is received
 
-  private final MembershipSettings terms;
+  private final MembershipSettings settings;
   private MemberState self;
-  private double heardAt; // anybody
-  private double raisedAt = Double.NEGATIVE_INFINITY;
-  private int failuresInARow;
-  private boolean doubted; // at the last look
+  private double lastReceivedAt; // from any member
+  private double incarnationRaisedAt = Double.NEGATIVE_INFINITY;
+  private int consecutiveFailures;
+  private boolean wasMaybeIsolated; // at the last call of isolationEnded
 
-  LocalMember(MembershipSettings terms, String name, String address, double now) {
-    this.terms = terms;
+  LocalMember(MembershipSettings settings, String name, String address, double now) {
+    this.settings = settings;
     this.self = new MemberState(name, address, Status.ALIVE, 1, false, name);
-    this.heardAt = now;
+    this.lastReceivedAt = now;
   }
 
-  MemberState news() {
+  MemberState state() {
     return self;
   }
 
@@ -29,44 +32,52 @@
     return self.member();
   }
 
-  void heardSomebody(double now) {
-    heardAt = now;
+  void messageReceived(double now) {
+    lastReceivedAt = now;
   }
 
   void probeSucceeded() {
-    failuresInARow = 0;
+    consecutiveFailures = 0;
   }
 
   void probeFailed() {
-    failuresInARow++;
+    consecutiveFailures++;
   }
 
-  /** True while there is reason to think that it is cut off, or that all others are gone. */
+  /**
+   * True while this member may be cut off from the others: it receives no messages, or too many of its probes
+   * in a row have failed. It cannot tell this from a failure of all other members.
+   */
   boolean mayBeIsolated() {
-    return self.notReceiving() || failuresInARow >= terms.failuresOfDoubt();
+    return self.notReceiving() || consecutiveFailures >= settings.isolationProbeFailures();
   }
 
-  /** True where it has doubted itself at the last call, and does no longer. */
-  boolean doubtHasEnded() {
-    boolean ended = doubted && !mayBeIsolated();
-    doubted = mayBeIsolated();
+  /** True if {@link #mayBeIsolated} was true at the last call of this method and no longer is. */
+  boolean isolationEnded() {
+    boolean ended = wasMaybeIsolated && !mayBeIsolated();
+    wasMaybeIsolated = mayBeIsolated();
     return ended;
   }
 
-  /** True while it has heard nobody for long, though others live in its view. */
-  boolean isDeaf(double now, boolean hasLivingPeers) {
-    return hasLivingPeers && now - heardAt > terms.deafAfter();
+  /** True if no message has been received for the receive timeout although the view has live peers. */
+  boolean isNotReceiving(double now, boolean hasLivePeers) {
+    return hasLivePeers && now - lastReceivedAt > settings.receiveTimeout();
   }
 
-  /** True where others have to be told whether it hears: each second anew while it does not. */
-  boolean hasToTell(boolean deaf, double now) {
-    return deaf && now - raisedAt >= RAISE_EVERY || !deaf && self.notReceiving();
+  /**
+   * True if the receiving status has to be announced: once per {@link #RAISE_INTERVAL_MS} while nothing is
+   * received, and once when messages arrive again.
+   */
+  boolean needsAnnouncement(boolean notReceiving, double now) {
+    return notReceiving && now - incarnationRaisedAt >= RAISE_INTERVAL_MS
+        || !notReceiving && self.notReceiving();
   }
 
-  /** Goes above an incarnation, which refutes what others say under it. */
-  void raiseAbove(long incarnation, boolean deaf, double now) {
-    raisedAt = now;
-    self = new MemberState(self.member(), self.address(), self.status(), incarnation + 1, deaf, self.member());
+  /** Takes an incarnation above the given one, which refutes what others report under that one. */
+  void raiseIncarnation(long incarnation, boolean notReceiving, double now) {
+    incarnationRaisedAt = now;
+    self = new MemberState(self.member(), self.address(), self.status(), incarnation + 1, notReceiving,
+        self.member());
   }
 
   void leave() {
--- a/src/main/java/beampoint/fleet/membership/MemberAction.java
+++ b/src/main/java/beampoint/fleet/membership/MemberAction.java
@@ -3,15 +3,15 @@
 import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Message;
 
-/** What a member may do. */
+/** An action that the membership state machine requests. */
 public sealed interface MemberAction {
 
   /** Sends a datagram to a member. */
   record Send(MemberState to, Message message) implements MemberAction {}
 
-  /** Exchanges the whole view with a member: each gets the other's. */
+  /** Exchanges whole views with a member: each side receives the other's. */
   record Exchange(MemberState peer) implements MemberAction {}
 
-  /** A member stands otherwise than before. */
+  /** The state of a member has changed in this member's view. */
   record Changed(MemberState state) implements MemberAction {}
 }
--- a/src/main/java/beampoint/fleet/membership/MemberEvent.java
+++ b/src/main/java/beampoint/fleet/membership/MemberEvent.java
@@ -4,18 +4,18 @@
 import beampoint.fleet.message.Message;
 import java.util.List;
 
-/** What a member observes. */
+/** An event that the membership state machine handles. */
 public sealed interface MemberEvent {
 
-  /** A step's time has passed. */
+  /** A tick interval has passed. */
   record Tick() implements MemberEvent {}
 
-  /** A datagram has come. */
+  /** A datagram was received. */
   record Received(Message message) implements MemberEvent {}
 
-  /** Another's whole view has come. */
+  /** The whole view of another member was received. */
   record ViewReceived(List<MemberState> view) implements MemberEvent {}
 
-  /** This member is about to end in order. */
+  /** This member is about to leave in an orderly shutdown. */
   record Leave() implements MemberEvent {}
 }
--- a/src/main/java/beampoint/fleet/membership/MemberTable.java
+++ b/src/main/java/beampoint/fleet/membership/MemberTable.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** All members that one knows of, itself not among them, with indexes of the living and of the dead. */
+/** All members known to the local member, excluding itself, with indexes of the live and of the dead ones. */
 final class MemberTable {
 
   private final Map<String, Peer> byName = new HashMap<>();
   private final SortedPeers all = new SortedPeers();
-  private final SortedPeers living = new SortedPeers();
+  private final SortedPeers live = new SortedPeers();
   private final SortedPeers dead = new SortedPeers();
   private final int capacity;
 
@@ -19,7 +19,7 @@
     this.capacity = capacity;
   }
 
-  /** A member by its name; null where it is not known. */
+  /** Returns a member by its name, or null if it is not known. */
   Peer get(String name) {
     return byName.get(name);
   }
@@ -29,51 +29,51 @@
     return all.asList();
   }
 
-  /** Those that are alive or suspected. */
-  SortedPeers living() {
-    return living;
+  /** The members that are alive or suspected. */
+  SortedPeers live() {
+    return live;
   }
 
-  /** Those that were declared dead; who left is not among them. */
+  /** The members that were declared dead; those that left are not included. */
   SortedPeers dead() {
     return dead;
   }
 
-  /** Takes one that was not known; null where there is no room. */
-  Peer add(MemberState news) {
+  /** Adds a member that is not known yet; returns null if the table is full. */
+  Peer add(MemberState state) {
     if (byName.size() >= capacity) {
       return null;
     }
-    Peer peer = new Peer(news);
+    Peer peer = new Peer(state);
     byName.put(peer.name(), peer);
     all.add(peer);
     index(peer);
     return peer;
   }
 
-  /** Replaces what is known of a member. */
-  void update(Peer peer, MemberState news) {
-    boolean sameIndex = indexOf(peer.news.status()) == indexOf(news.status());
+  /** Replaces the state of a member and keeps the indexes consistent. */
+  void update(Peer peer, MemberState state) {
+    boolean sameIndex = indexOf(peer.state.status()) == indexOf(state.status());
     if (!sameIndex) {
-      living.remove(peer);
+      live.remove(peer);
       dead.remove(peer);
     }
-    peer.news = news;
+    peer.state = state;
     if (!sameIndex) {
       index(peer);
     }
   }
 
   private void index(Peer peer) {
-    SortedPeers index = indexOf(peer.news.status());
+    SortedPeers index = indexOf(peer.state.status());
     if (index != null) {
       index.add(peer);
     }
   }
 
   private SortedPeers indexOf(Status status) {
-    if (Peer.isLiving(status)) {
-      return living;
+    if (Peer.isLive(status)) {
+      return live;
     }
     return status == Status.DEAD ? dead : null;
   }
--- a/src/main/java/beampoint/fleet/membership/Membership.java
+++ b/src/main/java/beampoint/fleet/membership/Membership.java
@@ -13,22 +13,23 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Who lives, as one member sees it: SWIM (Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-
- * style Process Group Membership Protocol", 2002) with what Lifeguard adds (Dadgar, Phillips, Currey,
- * "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2017): suspicions that are
- * confirmed run out sooner, who is suspected is told so with the next probe, and a member that has reason to
- * doubt itself accuses nobody. A state machine: a time and an event in, actions out.
+ * Membership and failure detection as seen by one member: SWIM (Das, Gupta, Motivala, "SWIM: Scalable
+ * Weakly-consistent Infection-style Process Group Membership Protocol", 2002) with the additions of Lifeguard
+ * (Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2017):
+ * confirmed suspicions time out sooner, a suspected member is informed with the next probe, and a member that
+ * may itself be isolated suspects no other. A state machine: takes a time and an event, returns actions. All
+ * times are in ms.
  *
- * <p>An event costs O(log N) in a fleet of N. Whole views cost O(N), and a member that comes or goes moves
- * the references of an index; a pause or the end of a doubt restarts all suspicions there are.
+ * <p>An event costs O(log N) in a fleet of N. Whole views cost O(N), and so do references moved in an index
+ * when a member joins or leaves. A pause or the end of a possible isolation restarts all current suspicions.
  */
 public final class Membership {
 
-  private static final double REACH_OUT_EVERY = 1_000; // ms, to one that is held for dead
-  private static final double EXCHANGE_EVERY = 30_000; // ms, with one that lives, in a fleet of usual size
-  private static final int USUAL_SIZE = 100; // members, up to which whole views are exchanged that often
+  private static final double DEAD_PROBE_INTERVAL_MS = 1_000; // one random dead member each
+  private static final double EXCHANGE_INTERVAL_MS = 30_000; // up to the reference fleet size
+  private static final int REFERENCE_FLEET_SIZE = 100; // members
 
-  private final MembershipSettings terms;
+  private final MembershipSettings settings;
   private final UniformRandomProvider random;
   private final MemberTable table;
   private final LocalMember local;
@@ -37,39 +38,43 @@
   private final Prober prober;
   private double now;
   private double lastEventAt;
-  private double reachOutAt;
-  private double exchangeAt;
+  private double nextDeadProbeAt;
+  private double nextExchangeAt;
   private boolean hasLeft;
 
-  /** One member that knows the addresses of some others, which may be gone. */
-  public Membership(MembershipSettings terms, String name, String address, List<MemberState> known,
+  /**
+   * Creates a member.
+   *
+   * @param known other members whose addresses are known at the start; they may be gone
+   */
+  public Membership(MembershipSettings settings, String name, String address, List<MemberState> known,
       UniformRandomProvider random, double now) {
-    this.terms = terms;
+    this.settings = settings;
     this.random = random;
-    this.table = new MemberTable(terms.mostMembers());
-    this.local = new LocalMember(terms, name, address, now);
+    this.table = new MemberTable(settings.maxMembers());
+    this.local = new LocalMember(settings, name, address, now);
     this.gossip = new Gossip(table, local, random);
-    this.suspicions = new SuspicionHandler(terms, table, local, gossip);
-    this.prober = new Prober(terms, table, local, gossip, suspicions, random, now);
+    this.suspicions = new SuspicionHandler(settings, table, local, gossip);
+    this.prober = new Prober(settings, table, local, gossip, suspicions, random, now);
     this.now = now;
     this.lastEventAt = now;
-    this.reachOutAt = now;
-    this.exchangeAt = now;
-    known.stream().filter(news -> !news.member().equals(name)).forEach(this::addKnown);
-    gossip.spreadSelf();
+    this.nextDeadProbeAt = now;
+    this.nextExchangeAt = now;
+    known.stream().filter(update -> !update.member().equals(name)).forEach(this::addKnown);
+    gossip.enqueueSelf();
   }
 
-  private void addKnown(MemberState news) {
-    Peer peer = table.get(news.member()) == null ? table.add(news) : null;
+  private void addKnown(MemberState update) {
+    Peer peer = table.get(update.member()) == null ? table.add(update) : null;
     if (peer != null) {
       suspicions.begin(peer, 0);
     }
   }
 
-  /** Takes one event; the time never goes back. */
+  /** Handles one event and returns the resulting actions. The time must not decrease between calls. */
   public List<MemberAction> handle(double time, MemberEvent event) {
     now = time;
-    noticePause();
+    handlePause();
     if (hasLeft) {
       return List.of();
     }
@@ -78,91 +83,95 @@
     } else if (event instanceof Received e) {
       receive(e.message());
     } else if (event instanceof ViewReceived e) {
-      local.heardSomebody(now);
-      e.view().forEach(this::learn);
+      local.messageReceived(now);
+      e.view().forEach(this::apply);
     } else if (event instanceof Leave) {
       leave();
     }
     return gossip.takeActions();
   }
 
-  /** This member, as it tells of itself. */
+  /** The state that this member announces of itself. */
   public MemberState self() {
-    return local.news();
+    return local.state();
   }
 
-  /** The whole view, itself included. */
+  /** The whole view, including this member. */
   public List<MemberState> view() {
     List<MemberState> view = new ArrayList<>(1 + table.all().size());
-    view.add(local.news());
-    table.all().forEach(peer -> view.add(peer.news));
+    view.add(local.state());
+    table.all().forEach(peer -> view.add(peer.state));
     return view;
   }
 
-  /** How many live in this member's view, itself included. */
+  /** The number of alive or suspected members in this member's view, including itself. */
   public int liveCount() {
-    return 1 + table.living().size();
+    return 1 + table.live().size();
   }
 
-  /** True while this member has reason to think that it is cut off, or that all others are gone. */
+  /** True while this member may be cut off from the others, or all others are gone. */
   public boolean mayBeIsolated() {
     return local.mayBeIsolated();
   }
 
-  /** Guards against a process that stood still, and wakes to find that nobody has answered in its absence. */
-  private void noticePause() {
+  /**
+   * Detects a pause of this process between two events. Probes that were pending during the pause are dropped
+   * and suspicions restarted, because answers that arrived meanwhile have not been read.
+   */
+  private void handlePause() {
     double gap = now - lastEventAt;
     lastEventAt = now;
-    if (gap > terms.stillAfter()) {
+    if (gap > settings.pauseThreshold()) {
       prober.clear();
-      local.heardSomebody(now);
+      local.messageReceived(now);
       suspicions.restartAll(now);
     }
   }
 
   private void tick() {
     checkOwnHealth();
-    prober.endOverdue(now);
+    prober.handleTimeouts(now);
     suspicions.tick(now);
-    prober.beginDue(now);
-    if (now >= reachOutAt) {
-      reachOutAt = now + REACH_OUT_EVERY;
+    prober.startDueProbes(now);
+    if (now >= nextDeadProbeAt) {
+      nextDeadProbeAt = now + DEAD_PROBE_INTERVAL_MS;
       table.dead().draw(1, random, null).forEach(peer -> gossip.send(peer, Kind.PING, 0, ""));
     }
-    if (now >= exchangeAt) {
-      exchangeAt = now + exchangeInterval();
-      table.living().draw(1, random, null).forEach(peer -> gossip.exchange(peer, now));
+    if (now >= nextExchangeAt) {
+      nextExchangeAt = now + exchangeInterval();
+      table.live().draw(1, random, null).forEach(peer -> gossip.exchange(peer, now));
     }
     gossip.tick();
   }
 
   /**
-   * Grows with the fleet beyond the usual size, so that whole views cost a member the same bytes a second in
-   * every larger one. Guards against views that take more than all control may: each is as long as the fleet
-   * is large, and repairs only what gossip has missed.
+   * The interval between exchanges of whole views. Above the reference size it grows in proportion to the
+   * fleet, as the length of a view does, so that exchanges cost a member the same bytes per second in every
+   * larger fleet. With a fixed interval, they would exceed the bandwidth limit of all control traffic,
+   * although they repair only what gossip has missed.
    */
   private double exchangeInterval() {
-    return EXCHANGE_EVERY * Math.max(1, (double) liveCount() / USUAL_SIZE);
+    return EXCHANGE_INTERVAL_MS * Math.max(1, (double) liveCount() / REFERENCE_FLEET_SIZE);
   }
 
   /**
-   * Who hears nobody is suspected before long, and will not hear of it: it refutes ahead, under ever higher
-   * incarnations, and tells the others not to wait for its answers.
+   * A member that receives no messages will soon be suspected and will not learn of it. It refutes in
+   * advance, with rising incarnations, and announces that it cannot answer probes.
    */
   private void checkOwnHealth() {
-    boolean deaf = local.isDeaf(now, !table.living().isEmpty());
-    if (local.hasToTell(deaf, now)) {
-      refute(local.news().incarnation(), deaf);
+    boolean notReceiving = local.isNotReceiving(now, !table.live().isEmpty());
+    if (local.needsAnnouncement(notReceiving, now)) {
+      refute(local.state().incarnation(), notReceiving);
     }
-    // Guards against suspicions that ran out in doubt, and would kill at the moment at which it ends.
-    if (local.doubtHasEnded()) {
+    // Otherwise suspicions that expired during a possible isolation would declare members dead at once.
+    if (local.isolationEnded()) {
       suspicions.restartAll(now);
     }
   }
 
-  private void refute(long incarnation, boolean deaf) {
-    local.raiseAbove(incarnation, deaf, now);
-    gossip.spreadSelf();
+  private void refute(long incarnation, boolean notReceiving) {
+    local.raiseIncarnation(incarnation, notReceiving, now);
+    gossip.enqueueSelf();
   }
 
   private void receive(Message message) {
@@ -170,85 +179,85 @@
     if (from.equals(local.name())) {
       return;
     }
-    local.heardSomebody(now);
-    learn(message.from());
+    local.messageReceived(now);
+    apply(message.from());
     Peer sender = table.get(from);
     if (sender == null) {
       return;
     }
-    sender.heardAt = now;
-    sender.said = Math.max(sender.said, message.from().incarnation());
-    boolean wasHeldForGone = message.news().stream().anyMatch(this::saysThisIsGone);
-    message.news().forEach(this::learn);
-    if (wasHeldForGone) {
-      gossip.exchange(sender, now); // what else it missed; and the sender may hold others for gone as well
+    sender.lastDatagramAt = now;
+    sender.announcedIncarnation = Math.max(sender.announcedIncarnation, message.from().incarnation());
+    boolean wasConsideredGone = message.updates().stream().anyMatch(this::reportsThisMemberGone);
+    message.updates().forEach(this::apply);
+    if (wasConsideredGone) {
+      gossip.exchange(sender, now); // each side may have missed further updates
     }
     switch (message.kind()) {
-      case PING -> gossip.send(sender, Kind.ACK, message.number(), message.about());
-      case ACK -> prober.answered(message);
-      case RELAY -> prober.relay(sender, message, now);
+      case PING -> gossip.send(sender, Kind.ACK, message.number(), message.target());
+      case ACK -> prober.ackReceived(message);
+      case RELAY -> prober.relayProbe(sender, message, now);
       default -> {
       }
     }
-    if ((sender.isBehind() || !sender.isLiving()) && message.kind() != Kind.ACK) {
-      gossip.send(sender, Kind.GOSSIP, 0, ""); // it is told what is said of it, and refutes
+    if ((sender.hasStaleIncarnation() || !sender.isLive()) && message.kind() != Kind.ACK) {
+      gossip.send(sender, Kind.GOSSIP, 0, ""); // carries its state as known here, for it to refute
     }
   }
 
-  private boolean saysThisIsGone(MemberState news) {
-    return news.member().equals(local.name()) && !Peer.isLiving(news.status())
-        && news.incarnation() >= local.news().incarnation();
+  private boolean reportsThisMemberGone(MemberState update) {
+    return update.member().equals(local.name()) && !Peer.isLive(update.status())
+        && update.incarnation() >= local.state().incarnation();
   }
 
-  private void learn(MemberState news) {
-    if (news.member().equals(local.name())) {
-      learnOfItself(news);
+  private void apply(MemberState update) {
+    if (update.member().equals(local.name())) {
+      applyToSelf(update);
       return;
     }
-    Peer peer = table.get(news.member());
+    Peer peer = table.get(update.member());
     if (peer == null) {
-      learnOfNew(news);
-    } else if (news.status() == Status.SUSPECT) {
-      suspicions.suspect(peer, news.incarnation(), news.reporter(), now);
-    } else if (news.status() == Status.DEAD && peer.news.status() == Status.ALIVE) {
-      // Its suspicion was not heard of, so this may come from the other side of a cut.
-      prober.askAbout(peer, news);
-    } else if (news.overrides(peer.news)) {
-      learnOfChange(peer, news);
-    }
-  }
-
-  private void learnOfItself(MemberState news) {
-    boolean isAlive = news.status() == Status.ALIVE;
-    long own = local.news().incarnation();
-    if (news.incarnation() > own || !isAlive && news.incarnation() == own) {
-      refute(news.incarnation(), local.news().notReceiving());
+      applyNewMember(update);
+    } else if (update.status() == Status.SUSPECT) {
+      suspicions.suspect(peer, update.incarnation(), update.reporter(), now);
+    } else if (update.status() == Status.DEAD && peer.state.status() == Status.ALIVE) {
+      // No suspicion preceded this report, so it may come from the other side of a network partition.
+      prober.verifyDeath(peer, update);
+    } else if (update.overrides(peer.state)) {
+      applyChange(peer, update);
+    }
+  }
+
+  private void applyToSelf(MemberState update) {
+    boolean isAlive = update.status() == Status.ALIVE;
+    long own = local.state().incarnation();
+    if (update.incarnation() > own || !isAlive && update.incarnation() == own) {
+      refute(update.incarnation(), local.state().notReceiving());
     } else if (!isAlive) {
-      gossip.spreadSelf(); // it was refuted before, and not all have heard of that
+      gossip.enqueueSelf(); // refuted before, but not all members know
     }
   }
 
-  private void learnOfNew(MemberState news) {
-    Peer peer = Peer.isLiving(news.status()) ? table.add(news) : null;
+  private void applyNewMember(MemberState update) {
+    Peer peer = Peer.isLive(update.status()) ? table.add(update) : null;
     if (peer != null) {
-      peer.freshAt = now;
+      peer.selfReportedAt = now;
       suspicions.begin(peer, now);
-      gossip.added(peer);
+      gossip.memberAdded(peer);
     }
   }
 
-  private void learnOfChange(Peer peer, MemberState news) {
-    if (news.status() == Status.ALIVE) {
-      peer.freshAt = now;
+  private void applyChange(Peer peer, MemberState update) {
+    if (update.status() == Status.ALIVE) {
+      peer.selfReportedAt = now;
     }
-    suspicions.clear(peer, news);
+    suspicions.clear(peer, update);
   }
 
-  /** Ends in order. */
+  /** Leaves the fleet in an orderly shutdown. */
   private void leave() {
     local.leave();
-    gossip.spreadSelf();
-    gossip.sendToManyAtTheEnd();
+    gossip.enqueueSelf();
+    gossip.sendLeave();
     hasLeft = true;
   }
 }
--- a/src/main/java/beampoint/fleet/membership/MembershipSettings.java
+++ b/src/main/java/beampoint/fleet/membership/MembershipSettings.java
@@ -1,30 +1,36 @@
 package beampoint.fleet.membership;
 
 /**
- * The figures of membership, the same at every member; times in ms.
+ * The parameters of the membership protocol, which must be the same at every member. All times are in ms.
  *
- * @param tickInterval how often a member acts by itself
- * @param probeEvery how often it probes: its successor and one drawn by turns
- * @param answerWithin how long it waits for a direct answer before it asks others to try
- * @param suspectFor how long a member is suspected, at the least, before it is declared dead
- * @param stillAfter a pause between two of its own events after which it stood still
- * @param deafAfter how long it may hear nobody before it holds itself for deaf
- * @param failuresOfDoubt probes in a row without one answer after which it doubts itself
- * @param mostMembers that it keeps in its table, those that are gone included
+ * @param tickInterval the interval between two ticks of the state machine
+ * @param probeInterval the interval between probes; each probes the successor and one other member by turns
+ * @param directProbeTimeout how long a member waits for a direct answer before it requests relayed probes
+ * @param minSuspicionTime the shortest time for which a member is suspected before it is declared dead
+ * @param pauseThreshold the time between two events above which the process is considered to have been paused
+ * @param receiveTimeout how long a member may receive no message before it announces that it receives none
+ * @param isolationProbeFailures failed probes in a row after which a member considers itself possibly
+ *     isolated
+ * @param maxMembers the capacity of the member table, including members that are gone
  */
-public record MembershipSettings(double tickInterval, double probeEvery, double answerWithin, double suspectFor,
-    double stillAfter, double deafAfter, int failuresOfDoubt, int mostMembers) {
+public record MembershipSettings(double tickInterval, double probeInterval, double directProbeTimeout,
+    double minSuspicionTime,
+    double pauseThreshold, double receiveTimeout, int isolationProbeFailures, int maxMembers) {
 
-  /** The same without suspicion and own doubt, to compare with: who gives no answer is dead at once. */
+  /**
+   * The same parameters with suspicion and the detection of isolation and pauses disabled, for comparison: a
+   * member that does not answer is declared dead at once.
+   */
   public MembershipSettings withoutSuspicion() {
     double never = Double.POSITIVE_INFINITY;
-    return new MembershipSettings(tickInterval, probeEvery, answerWithin, 0, never, never, Integer.MAX_VALUE, mostMembers);
+    return new MembershipSettings(tickInterval, probeInterval, directProbeTimeout, 0, never, never,
+        Integer.MAX_VALUE, maxMembers);
   }
 
-  /** Sized for a fleet of 2,300, with room for members that came back under new names. */
+  /** Sized for a fleet of 2,300 members, with room for members that return under new names. */
   private static final int MAX_MEMBERS = 4_096;
 
-  /** A pause of 3 s is outlived, a crash known within 5 s. */
+  /** The default parameters: a member survives a pause of 3 s, and a crash is detected within 5 s. */
   public static MembershipSettings defaults() {
     return new MembershipSettings(100, 400, 150, 3_400, 500, 1_200, 8, MAX_MEMBERS);
   }
--- a/src/main/java/beampoint/fleet/membership/Peer.java
+++ b/src/main/java/beampoint/fleet/membership/Peer.java
@@ -3,43 +3,50 @@
 import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Status;
 
-/** Another member, as this one knows it: state without decisions. */
+/** Another member as the local one knows it. Holds state and makes no decisions. */
 final class Peer {
 
-  /** Changed by {@link MemberTable#update} alone, which keeps its indexes by it. */
-  MemberState news;
-  /** When it was last heard of by its own word, however that came; and by its own datagram. */
-  double freshAt = Double.NEGATIVE_INFINITY;
-  double heardAt = Double.NEGATIVE_INFINITY;
-  /** The highest incarnation that it has said of itself. */
-  long said;
-  /** While it is suspected, else null. */
+  /** Changed only by {@link MemberTable#update}, which keeps its indexes consistent with it. */
+  MemberState state;
+  /**
+   * When the member was first learned of or its own report (status ALIVE) was last accepted, directly or
+   * through other members.
+   */
+  double selfReportedAt = Double.NEGATIVE_INFINITY;
+  /** When the last datagram sent by the member itself was received. */
+  double lastDatagramAt = Double.NEGATIVE_INFINITY;
+  /** The highest incarnation seen in the member's own datagrams; 0 if none was received. */
+  long announcedIncarnation;
+  /** Set while the member is suspected, otherwise null. */
   Suspicion suspicion;
 
-  Peer(MemberState news) {
-    this.news = news;
+  Peer(MemberState state) {
+    this.state = state;
   }
 
   String name() {
-    return news.member();
+    return state.member();
   }
 
-  /** True while it is alive or suspected. */
-  boolean isLiving() {
-    return isLiving(news.status());
+  /** True while the member is alive or suspected. */
+  boolean isLive() {
+    return isLive(state.status());
   }
 
-  /** It has started anew, and does not know what is said of it. */
-  boolean isBehind() {
-    return said > 0 && said < news.incarnation();
+  /**
+   * True if the member's own datagrams carry a lower incarnation than the one known here: it has restarted
+   * and does not know yet what is reported about it.
+   */
+  boolean hasStaleIncarnation() {
+    return announcedIncarnation > 0 && announcedIncarnation < state.incarnation();
   }
 
-  /** It has said of late that it hears nobody: it can't answer, and is not held to it. */
-  boolean isKnownDeaf(double now, MembershipSettings terms) {
-    return news.notReceiving() && now - freshAt < terms.suspectFor();
+  /** True if the member has recently announced that it receives no messages: it cannot answer probes. */
+  boolean isKnownNotReceiving(double now, MembershipSettings settings) {
+    return state.notReceiving() && now - selfReportedAt < settings.minSuspicionTime();
   }
 
-  static boolean isLiving(Status status) {
+  static boolean isLive(Status status) {
     return status == Status.ALIVE || status == Status.SUSPECT;
   }
 }
--- a/src/main/java/beampoint/fleet/membership/PendingProbes.java
+++ b/src/main/java/beampoint/fleet/membership/PendingProbes.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Probes that wait for an answer, by their numbers: this member's own, and those it makes for others. As all
- * of a kind wait for the same time, the order of their numbers is that of their ends.
+ * Probes that wait for an answer, by number: this member's own and those relayed for others. All probes of a
+ * kind have the same timeout, so the order of their numbers is that of their deadlines.
  */
 final class PendingProbes {
 
@@ -17,45 +17,45 @@
   static final class Probe {
     final long number;
     final String target;
-    final double directUntil;
-    final double until;
+    final double directDeadline;
+    final double deadline;
     boolean relayed;
 
-    Probe(long number, String target, double directUntil, double until) {
+    Probe(long number, String target, double directDeadline, double deadline) {
       this.number = number;
       this.target = target;
-      this.directUntil = directUntil;
-      this.until = until;
+      this.directDeadline = directDeadline;
+      this.deadline = deadline;
     }
   }
 
-  /** One that another asked for, under that one's number. */
-  record RelayedProbe(String asker, long askersNumber, String target, double until) {}
+  /** A probe made for another member, with the number that the requester gave it. */
+  record RelayedProbe(String requester, long requesterNumber, String target, double deadline) {}
 
   private final Map<Long, Probe> own = new LinkedHashMap<>();
   private final Map<Long, RelayedProbe> relayed = new LinkedHashMap<>();
   private long lastNumber;
 
   /** Begins a probe of this member's own. */
-  Probe begin(String target, double directUntil, double until) {
-    Probe probe = new Probe(++lastNumber, target, directUntil, until);
+  Probe begin(String target, double directDeadline, double deadline) {
+    Probe probe = new Probe(++lastNumber, target, directDeadline, deadline);
     own.put(probe.number, probe);
     return probe;
   }
 
-  /** Begins one for another; returns its number here. */
+  /** Begins a probe for another member; returns its local number. */
   long begin(RelayedProbe probe) {
     relayed.put(++lastNumber, probe);
     return lastNumber;
   }
 
-  /** Ends a probe of this member's own; false where there is none under that number. */
-  boolean end(long number) {
+  /** Removes a probe of this member's own; returns false if none has that number. */
+  boolean complete(long number) {
     return own.remove(number) != null;
   }
 
-  /** Ends one that was made for another, and returns it; null where there is none under that number. */
-  RelayedProbe endRelayed(long number) {
+  /** Removes and returns a probe made for another member; null if none has that number. */
+  RelayedProbe completeRelayed(long number) {
     return relayed.remove(number);
   }
 
@@ -63,18 +63,18 @@
     return own.values().stream().anyMatch(probe -> probe.target.equals(target));
   }
 
-  /** This member's own, two for each interval of probing at the most, in the order of their ends. */
+  /** This member's own probes, at most two per probe interval, in the order of their deadlines. */
   Collection<Probe> own() {
     return own.values();
   }
 
-  /** Takes out those of others whose time is over. */
-  List<RelayedProbe> takeOverdue(double now) {
+  /** Removes and returns the probes made for others whose deadline has passed. */
+  List<RelayedProbe> removeExpired(double now) {
     List<RelayedProbe> overdue = new ArrayList<>();
     Iterator<RelayedProbe> probes = relayed.values().iterator();
     while (probes.hasNext()) {
       RelayedProbe probe = probes.next();
-      if (probe.until > now) {
+      if (probe.deadline > now) {
         break;
       }
       probes.remove();
--- a/src/main/java/beampoint/fleet/membership/ProbeRound.java
+++ b/src/main/java/beampoint/fleet/membership/ProbeRound.java
@@ -4,39 +4,42 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Whom to probe next: all that live, each once a round, in an order drawn anew for each round (SWIM, section
- * 4.3). Each is inserted at a drawn place of the order so far.
+ * The order of probes: each live member once per round, in a new random order for each round (SWIM, section
+ * 4.3). Each member is inserted at a random position of the order built so far.
  */
 final class ProbeRound {
 
   private final MemberTable table;
   private final UniformRandomProvider random;
   private Peer[] order = {};
-  private int rest; // how many of the order are still to be probed, the last of them first
+  private int remaining; // entries of the order still to be probed, from the last one on
 
   ProbeRound(MemberTable table, UniformRandomProvider random) {
     this.table = table;
     this.random = random;
   }
 
-  /** The next that still lives; null where the round ends without one. */
+  /** Returns the next member that is still live, or null if the round ends without one. */
   Peer next() {
-    if (rest == 0) {
-      begin(table.living().asList());
+    if (remaining == 0) {
+      startRound(table.live().asList());
     }
-    while (rest > 0) {
-      rest--;
-      Peer peer = order[rest];
-      if (peer.isLiving()) {
+    while (remaining > 0) {
+      remaining--;
+      Peer peer = order[remaining];
+      if (peer.isLive()) {
         return peer;
       }
     }
     return null;
   }
 
-  /** The last inserted stands where it was inserted; each before it in one of the places then left. */
-  private void begin(List<Peer> living) {
-    int size = living.size();
+  /**
+   * Draws the insertion positions, then places the members from the last to the first: the last one inserted
+   * keeps its position, and each earlier one gets the free place of that rank.
+   */
+  private void startRound(List<Peer> live) {
+    int size = live.size();
     int[] insertedAt = new int[size];
     for (int i = 0; i < size; i++) {
       insertedAt[i] = random.nextInt(i + 1);
@@ -44,14 +47,14 @@
     FreePlaces free = new FreePlaces(size);
     order = new Peer[size];
     for (int i = size - 1; i >= 0; i--) {
-      order[free.take(insertedAt[i])] = living.get(i);
+      order[free.take(insertedAt[i])] = live.get(i);
     }
-    rest = size;
+    remaining = size;
   }
 
-  /** Places of which any free one is found by its rank in O(log N): a binary indexed tree of counts. */
+  /** Finds a free place by its rank in O(log N), with a binary indexed tree (Fenwick tree) of counts. */
   private static final class FreePlaces {
-    private final int[] counts; // from 1 on; each of a range of places that ends at its index
+    private final int[] counts; // 1-based; each counts the free places in a range that ends at its index
     private final int highestStep;
 
     FreePlaces(int size) {
@@ -62,7 +65,7 @@
       highestStep = Integer.highestOneBit(size);
     }
 
-    /** Takes the free place that has so many free ones before it. */
+    /** Takes and returns the free place that has {@code rank} free places before it. */
     int take(int rank) {
       int place = 0;
       int before = rank;
--- a/src/main/java/beampoint/fleet/membership/Prober.java
+++ b/src/main/java/beampoint/fleet/membership/Prober.java
@@ -13,14 +13,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Probing (SWIM, section 3.1): asks members for a sign of life, has others ask one that gave no direct
- * answer, and accuses one that nobody reached.
+ * Failure detection by probes (SWIM, section 3.1): pings members, asks other members to ping one that gave no
+ * direct answer, and suspects one that none of them reached.
  */
 final class Prober {
 
-  private static final int HELPERS = 3; // that are asked to try a member which gave no direct answer
+  private static final int RELAYS = 3; // members that are asked for an indirect probe
 
-  private final MembershipSettings terms;
+  private final MembershipSettings settings;
   private final MemberTable table;
   private final LocalMember local;
   private final Gossip gossip;
@@ -28,34 +28,34 @@
   private final UniformRandomProvider random;
   private final PendingProbes pending = new PendingProbes();
   private final ProbeRound round;
-  private final Map<String, MemberState> claims = new LinkedHashMap<>(); // deaths to be verified, by member
-  private boolean isTurnOfClaims;
-  private double probeAt;
+  private final Map<String, MemberState> deathClaims = new LinkedHashMap<>(); // to be verified, by member
+  private boolean isClaimTurn;
+  private double nextProbeAt;
 
-  Prober(MembershipSettings terms, MemberTable table, LocalMember local, Gossip gossip, SuspicionHandler suspicions,
-      UniformRandomProvider random, double now) {
-    this.terms = terms;
+  Prober(MembershipSettings settings, MemberTable table, LocalMember local, Gossip gossip,
+      SuspicionHandler suspicions, UniformRandomProvider random, double now) {
+    this.settings = settings;
     this.table = table;
     this.local = local;
     this.gossip = gossip;
     this.suspicions = suspicions;
     this.random = random;
     this.round = new ProbeRound(table, random);
-    this.probeAt = now + random.nextDouble() * terms.probeEvery();
+    this.nextProbeAt = now + random.nextDouble() * settings.probeInterval();
   }
 
-  /** Forgets all that waits for an answer. */
+  /** Drops all pending probes. */
   void clear() {
     pending.clear();
   }
 
-  /** Probes the successor on the ring of names and the next of the round, where it is time. */
-  void beginDue(double now) {
-    if (now < probeAt) {
+  /** Once per probe interval, probes the successor on the ring of names and the next member of the round. */
+  void startDueProbes(double now) {
+    if (now < nextProbeAt) {
       return;
     }
-    probeAt = Math.max(probeAt + terms.probeEvery(), now);
-    Peer successor = table.living().after(local.name());
+    nextProbeAt = Math.max(nextProbeAt + settings.probeInterval(), now);
+    Peer successor = table.live().after(local.name());
     if (successor != null) {
       probe(successor, now);
       probe(nextTarget(), now);
@@ -63,106 +63,114 @@
   }
 
   /**
-   * Probes a member next that others hold for dead, and that lives here and is not suspected: it is not held
-   * for dead by that alone, and is told what is said of it.
+   * Schedules a probe of a member that another member reports as dead while it is alive and not suspected
+   * here. The report alone does not mark it dead; the probe carries the report so that the member can refute
+   * it.
    */
-  void askAbout(Peer peer, MemberState claim) {
-    if (claim.overrides(peer.news)) {
-      claims.put(peer.name(), claim);
+  void verifyDeath(Peer peer, MemberState claim) {
+    if (claim.overrides(peer.state)) {
+      deathClaims.put(peer.name(), claim);
     }
   }
 
-  /** By turns one whose death is to be verified, and one of the round; the former until it is settled. */
+  /**
+   * Alternates between members whose reported death is to be verified and members of the round. A report is
+   * verified until it is resolved.
+   */
   private Peer nextTarget() {
-    isTurnOfClaims = !isTurnOfClaims;
-    Peer claimed = isTurnOfClaims ? nextClaimed() : null;
+    isClaimTurn = !isClaimTurn;
+    Peer claimed = isClaimTurn ? nextClaimed() : null;
     return claimed != null ? claimed : round.next();
   }
 
   private Peer nextClaimed() {
-    while (!claims.isEmpty()) {
-      String name = claims.keySet().iterator().next();
-      MemberState claim = claims.remove(name);
+    while (!deathClaims.isEmpty()) {
+      String name = deathClaims.keySet().iterator().next();
+      MemberState claim = deathClaims.remove(name);
       Peer peer = table.get(name);
-      if (isOpen(claim, peer)) {
-        claims.put(name, claim); // behind all others
+      if (isUnresolved(claim, peer)) {
+        deathClaims.put(name, claim); // moves it to the end of the order
         return peer;
       }
     }
     return null;
   }
 
-  private static boolean isOpen(MemberState claim, Peer peer) {
-    return peer.news.status() == Status.ALIVE && claim.overrides(peer.news);
+  private static boolean isUnresolved(MemberState claim, Peer peer) {
+    return peer.state.status() == Status.ALIVE && claim.overrides(peer.state);
   }
 
   private void probe(Peer target, double now) {
-    if (target == null || pending.isProbed(target.name()) || target.isKnownDeaf(now, terms)) {
+    if (target == null || pending.isProbed(target.name()) || target.isKnownNotReceiving(now, settings)) {
       return;
     }
-    Probe probe = pending.begin(target.name(), now + terms.answerWithin(), now + terms.probeEvery());
-    MemberState claim = claims.get(target.name());
-    if (claim != null && isOpen(claim, target)) {
+    Probe probe = pending.begin(target.name(), now + settings.directProbeTimeout(),
+        now + settings.probeInterval());
+    MemberState claim = deathClaims.get(target.name());
+    if (claim != null && isUnresolved(claim, target)) {
       gossip.send(target, Kind.PING, probe.number, "", List.of(claim));
     } else {
       gossip.send(target, Kind.PING, probe.number, "");
     }
   }
 
-  /** Acts on probes that have had no answer in their time. */
-  void endOverdue(double now) {
+  /**
+   * Handles probes without an answer: requests relayed probes after the direct timeout, reports a failure
+   * after the probe interval, and sends a NACK for expired probes that were made for others.
+   */
+  void handleTimeouts(double now) {
     Iterator<Probe> own = pending.own().iterator();
     while (own.hasNext()) {
       Probe probe = own.next();
-      if (now >= probe.until) {
+      if (now >= probe.deadline) {
         own.remove();
-        failed(probe, now);
-      } else if (now >= probe.directUntil && !probe.relayed) {
+        probeFailed(probe, now);
+      } else if (now >= probe.directDeadline && !probe.relayed) {
         probe.relayed = true;
-        askHelpers(probe);
+        requestRelays(probe);
       }
     }
-    for (RelayedProbe probe : pending.takeOverdue(now)) {
-      Peer asker = table.get(probe.asker());
-      if (asker != null) {
-        gossip.send(asker, Kind.NACK, probe.askersNumber(), probe.target());
+    for (RelayedProbe probe : pending.removeExpired(now)) {
+      Peer requester = table.get(probe.requester());
+      if (requester != null) {
+        gossip.send(requester, Kind.NACK, probe.requesterNumber(), probe.target());
       }
     }
   }
 
-  private void failed(Probe probe, double now) {
+  private void probeFailed(Probe probe, double now) {
     local.probeFailed();
     Peer target = table.get(probe.target);
-    if (target != null && !local.mayBeIsolated() && !target.isKnownDeaf(now, terms)) {
-      suspicions.suspect(target, target.news.incarnation(), local.name(), now);
+    if (target != null && !local.mayBeIsolated() && !target.isKnownNotReceiving(now, settings)) {
+      suspicions.suspect(target, target.state.incarnation(), local.name(), now);
     }
   }
 
-  private void askHelpers(Probe probe) {
-    table.living().draw(HELPERS, random, table.get(probe.target))
-        .forEach(helper -> gossip.send(helper, Kind.RELAY, probe.number, probe.target));
+  private void requestRelays(Probe probe) {
+    table.live().draw(RELAYS, random, table.get(probe.target))
+        .forEach(relay -> gossip.send(relay, Kind.RELAY, probe.number, probe.target));
   }
 
-  /** An answer has come, to a probe of its own or to one that another asked for. */
-  void answered(Message message) {
-    if (pending.end(message.number())) {
+  /** Handles an ACK for a probe of this member or for one that it relays for another. */
+  void ackReceived(Message message) {
+    if (pending.complete(message.number())) {
       local.probeSucceeded();
       return;
     }
-    RelayedProbe relayed = pending.endRelayed(message.number());
-    Peer asker = relayed == null ? null : table.get(relayed.asker());
-    if (asker != null) {
-      gossip.send(asker, Kind.ACK, relayed.askersNumber(), relayed.target());
+    RelayedProbe relayed = pending.completeRelayed(message.number());
+    Peer requester = relayed == null ? null : table.get(relayed.requester());
+    if (requester != null) {
+      gossip.send(requester, Kind.ACK, relayed.requesterNumber(), relayed.target());
     }
   }
 
-  /** Probes a member for another. */
-  void relay(Peer asker, Message message, double now) {
-    Peer target = table.get(message.about());
+  /** Probes a member on behalf of another. */
+  void relayProbe(Peer requester, Message message, double now) {
+    Peer target = table.get(message.target());
     if (target != null) {
-      double until = now + terms.probeEvery() - terms.answerWithin();
+      double deadline = now + settings.probeInterval() - settings.directProbeTimeout();
       long number = pending.begin(
-          new RelayedProbe(asker.name(), message.number(), message.about(), until));
+          new RelayedProbe(requester.name(), message.number(), message.target(), deadline));
       gossip.send(target, Kind.PING, number, "");
     }
   }
--- a/src/main/java/beampoint/fleet/membership/SortedPeers.java
+++ b/src/main/java/beampoint/fleet/membership/SortedPeers.java
@@ -7,8 +7,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Peers in the order of their names, by index. Finding and drawing cost O(log N); adding and removing move
- * the references behind, which are some kilobytes for thousands of members.
+ * Peers sorted by name and accessible by index. Searching and drawing cost O(log N). Adding and removing
+ * shift the following references, which are a few kilobytes for thousands of members.
  */
 final class SortedPeers {
 
@@ -42,7 +42,7 @@
     }
   }
 
-  /** The first after a name, on a ring; null where there is none at all. */
+  /** Returns the first peer after a name on the ring of names, or null if there are no peers. */
   Peer after(String name) {
     if (peers.isEmpty()) {
       return null;
@@ -61,30 +61,31 @@
   }
 
   /**
-   * Any so many, without repeats, as if each drawn one were replaced by the last of the rest (the shuffle of
-   * Fisher and Yates, of which only the places that were touched are kept).
+   * Draws random peers without repetition: a Fisher-Yates shuffle that stores only the positions it touched,
+   * in which each drawn peer is replaced by the last of the remaining ones.
    *
-   * @param except that is not drawn; null for none
+   * @param count the number of peers; fewer are returned if there are not as many
+   * @param except a peer that is not drawn; null for none
    */
   List<Peer> draw(int count, UniformRandomProvider random, Peer except) {
     int excluded = except == null ? -1 : indexOf(except);
-    int rest = peers.size() - (excluded >= 0 ? 1 : 0);
-    int draws = Math.min(count, rest);
+    int remaining = peers.size() - (excluded >= 0 ? 1 : 0);
+    int draws = Math.min(count, remaining);
     int[] replaced = new int[draws];
     int[] replacedBy = new int[draws];
     List<Peer> drawn = new ArrayList<>(draws);
     for (int i = 0; i < draws; i++) {
-      int place = random.nextInt(rest);
+      int place = random.nextInt(remaining);
       int index = lookUp(place, replaced, replacedBy, i);
       drawn.add(peers.get(excluded >= 0 && index >= excluded ? index + 1 : index));
-      rest--;
-      replacedBy[i] = lookUp(rest, replaced, replacedBy, i);
+      remaining--;
+      replacedBy[i] = lookUp(remaining, replaced, replacedBy, i);
       replaced[i] = place;
     }
     return drawn;
   }
 
-  /** What stands at a place after so many replacements, of which the latest counts. */
+  /** The index that a position holds after the given number of replacements; the latest one counts. */
   private static int lookUp(int place, int[] replaced, int[] replacedBy, int replacements) {
     for (int i = replacements - 1; i >= 0; i--) {
       if (replaced[i] == place) {
--- a/src/main/java/beampoint/fleet/membership/Suspicion.java
+++ b/src/main/java/beampoint/fleet/membership/Suspicion.java
@@ -3,19 +3,21 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** That a member is suspected: since when, by whom, and until when it may refute. State without decisions. */
+/**
+ * The suspicion of a member: its start, its accusers and the deadline for a refutation. Makes no decisions.
+ */
 final class Suspicion {
 
   final Peer peer;
   final Set<String> accusers = new TreeSet<>();
-  double since;
+  double startedAt;
   double deadline;
-  /** Whether it was asked for a sign of life one last time. */
+  /** Whether the final probe before the deadline was sent. */
   boolean lastProbeSent;
 
-  Suspicion(Peer peer, double since) {
+  Suspicion(Peer peer, double startedAt) {
     this.peer = peer;
-    this.since = since;
+    this.startedAt = startedAt;
   }
 
   double deadline() {
--- a/src/main/java/beampoint/fleet/membership/SuspicionHandler.java
+++ b/src/main/java/beampoint/fleet/membership/SuspicionHandler.java
@@ -8,72 +8,74 @@
 import java.util.TreeMap;
 
 /**
- * Suspicion (SWIM, section 4.2; Lifeguard, "Dogpile"): who failed a probe has time to refute, the less the
- * more members accuse it; then it is declared dead.
+ * Suspicion (SWIM, section 4.2; Lifeguard, "Dogpile"): a member that failed a probe has time to refute before
+ * it is declared dead. The time becomes shorter as more members accuse it.
  */
 final class SuspicionHandler {
 
-  private static final int ENOUGH_ACCUSERS = 3; // after which a suspicion runs out soonest
-  private static final double MAX_SUSPICION = 2; // times the least, with one accuser
+  private static final int MAX_ACCUSERS = 3; // more do not shorten a suspicion further
+  private static final double MAX_SUSPICION_FACTOR = 2; // of the shortest time, with one accuser
 
-  private final MembershipSettings terms;
+  private final MembershipSettings settings;
   private final MemberTable table;
   private final LocalMember local;
   private final Gossip gossip;
   private final SuspicionQueue queue = new SuspicionQueue();
-  private int possibleAccusers; // by which the deadlines in the queue were computed
+  private int possibleAccusers; // for which the deadlines in the queue were computed
 
-  SuspicionHandler(MembershipSettings terms, MemberTable table, LocalMember local, Gossip gossip) {
-    this.terms = terms;
+  SuspicionHandler(MembershipSettings settings, MemberTable table, LocalMember local, Gossip gossip) {
+    this.settings = settings;
     this.table = table;
     this.local = local;
     this.gossip = gossip;
   }
 
-  /** Takes an accusation of a member under an incarnation. */
+  /** Handles an accusation of a member under an incarnation; one under an older incarnation is ignored. */
   void suspect(Peer peer, long incarnation, String accuser, double now) {
-    if (incarnation < peer.news.incarnation()) {
+    if (incarnation < peer.state.incarnation()) {
       return;
     }
-    if (peer.news.status() == Status.ALIVE) {
-      gossip.update(peer, peer.news.as(Status.SUSPECT, accuser));
+    if (peer.state.status() == Status.ALIVE) {
+      gossip.update(peer, peer.state.as(Status.SUSPECT, accuser));
       begin(peer, now);
     }
     Suspicion suspicion = peer.suspicion;
-    if (suspicion != null && suspicion.accusers.size() < ENOUGH_ACCUSERS && suspicion.accusers.add(accuser)) {
+    if (suspicion != null && suspicion.accusers.size() < MAX_ACCUSERS && suspicion.accusers.add(accuser)) {
       queue.put(suspicion, deadline(suspicion));
-      gossip.spread(peer.news.as(Status.SUSPECT, accuser));
+      gossip.enqueue(peer.state.as(Status.SUSPECT, accuser));
     }
   }
 
-  /** Begins the suspicion of one that has just become a suspect, or was one when it became known. */
-  void begin(Peer peer, double since) {
-    if (peer.news.status() == Status.SUSPECT) {
-      peer.suspicion = new Suspicion(peer, since);
+  /** Begins the suspicion of a member that became a suspect or was one when it was added. */
+  void begin(Peer peer, double startedAt) {
+    if (peer.state.status() == Status.SUSPECT) {
+      peer.suspicion = new Suspicion(peer, startedAt);
       queue.put(peer.suspicion, deadline(peer.suspicion));
     }
   }
 
-  /** Replaces what is known of a member by news that make it no suspect. */
-  void clear(Peer peer, MemberState news) {
+  /** Replaces the state of a member by one that is not suspected, and ends its suspicion. */
+  void clear(Peer peer, MemberState update) {
     if (peer.suspicion != null) {
       queue.remove(peer.suspicion);
       peer.suspicion = null;
     }
-    gossip.update(peer, news);
+    gossip.update(peer, update);
   }
 
-  /** What was not heard meanwhile tells nothing: who is suspected gets its whole time again. */
+  /**
+   * Restarts the time of every suspicion, after a time in which this member could not receive refutations.
+   */
   void restartAll(double now) {
     for (Suspicion suspicion : List.copyOf(queue.all())) {
       queue.unlink(suspicion);
-      suspicion.since = now;
+      suspicion.startedAt = now;
       suspicion.lastProbeSent = false;
       queue.put(suspicion, deadline(suspicion));
     }
   }
 
-  /** Sends last probes, and declares dead whose time is over, in the order of names. */
+  /** Sends final probes and declares members dead whose time has expired, in the order of names. */
   void tick(double now) {
     recomputeDeadlines();
     NavigableMap<String, Suspicion> due = due(now);
@@ -88,9 +90,9 @@
 
   private NavigableMap<String, Suspicion> due(double now) {
     NavigableMap<String, Suspicion> due = new TreeMap<>();
-    queue.collectBeforeLastProbe(now, terms.probeEvery(), due);
+    queue.collectBeforeLastProbe(now, settings.probeInterval(), due);
     if (!local.mayBeIsolated()) {
-      queue.collectOver(now, due);
+      queue.collectExpired(now, due);
     }
     return due;
   }
@@ -98,19 +100,24 @@
   private void handleDue(Suspicion suspicion, double now) {
     Peer peer = suspicion.peer;
     if (!suspicion.lastProbeSent) {
-      queue.lastProbeSent(suspicion);
+      queue.markLastProbeSent(suspicion);
       gossip.send(peer, Kind.PING, 0, "");
-    } else if (peer.heardAt < suspicion.since) {
-      clear(peer, peer.news.as(Status.DEAD, local.name()));
+    } else if (peer.lastDatagramAt < suspicion.startedAt) {
+      clear(peer, peer.state.as(Status.DEAD, local.name()));
     } else {
       queue.unlink(suspicion);
     }
   }
 
-  /** True where so few live, or no longer so few, that the deadlines are others. */
+  /**
+   * Recomputes all deadlines if the number of possible accusers has changed, as it does in fleets of few
+   * members.
+   *
+   * @return true if it has changed
+   */
   private boolean recomputeDeadlines() {
-    // Neither this member nor the accused accuses.
-    int possible = Math.min(ENOUGH_ACCUSERS, table.living().size() - 1);
+    // Neither the local member nor the suspect is counted.
+    int possible = Math.min(MAX_ACCUSERS, table.live().size() - 1);
     if (possible == possibleAccusers) {
       return false;
     }
@@ -121,17 +128,17 @@
     return true;
   }
 
-  /** The fewer accuse it, the longer it has to refute. */
+  /** The fewer members accuse it, the later the deadline. */
   private double deadline(Suspicion suspicion) {
-    return suspicion.since + duration(suspicion.accusers.size());
+    return suspicion.startedAt + duration(suspicion.accusers.size());
   }
 
   private double duration(int accusers) {
     if (possibleAccusers <= 1) {
-      return terms.suspectFor();
+      return settings.minSuspicionTime();
     }
     double part = Math.log(Math.max(1, accusers)) / Math.log(possibleAccusers);
-    double longest = terms.suspectFor() * MAX_SUSPICION;
-    return Math.max(terms.suspectFor(), longest - (longest - terms.suspectFor()) * part);
+    double longest = settings.minSuspicionTime() * MAX_SUSPICION_FACTOR;
+    return Math.max(settings.minSuspicionTime(), longest - (longest - settings.minSuspicionTime()) * part);
   }
 }
--- a/src/main/java/beampoint/fleet/membership/SuspicionQueue.java
+++ b/src/main/java/beampoint/fleet/membership/SuspicionQueue.java
@@ -8,8 +8,9 @@
 import java.util.TreeSet;
 
 /**
- * Suspicions in the order of their deadlines: those that await their last probe, and those that had it. One
- * that can't end in death any more, as its member was heard since, is in neither until it is restarted.
+ * Suspicions ordered by their deadlines, before and after their last probe. A suspicion that cannot end in a
+ * death any more, because a datagram of its member has arrived since, is in neither order until it is
+ * restarted.
  */
 final class SuspicionQueue {
 
@@ -24,7 +25,7 @@
     return all;
   }
 
-  /** Adds a suspicion, or puts one where it belongs by a new deadline; it is the only way to set one. */
+  /** Adds a suspicion, or reorders one by a new deadline. Deadlines must be set only through this method. */
   void put(Suspicion suspicion, double deadline) {
     unlink(suspicion);
     all.add(suspicion);
@@ -32,13 +33,13 @@
     (suspicion.lastProbeSent ? afterLastProbe : beforeLastProbe).add(suspicion);
   }
 
-  void lastProbeSent(Suspicion suspicion) {
+  void markLastProbeSent(Suspicion suspicion) {
     beforeLastProbe.remove(suspicion);
     suspicion.lastProbeSent = true;
     afterLastProbe.add(suspicion);
   }
 
-  /** Keeps it as a suspicion that has no end. */
+  /** Removes a suspicion from the orders by deadline but keeps it among all suspicions. */
   void unlink(Suspicion suspicion) {
     beforeLastProbe.remove(suspicion);
     afterLastProbe.remove(suspicion);
@@ -49,13 +50,16 @@
     all.remove(suspicion);
   }
 
-  /** Adds those whose last probe is due within so long, by their names. */
+  /**
+   * Adds the suspicions that await their last probe and whose deadline is within the given time, by member
+   * name.
+   */
   void collectBeforeLastProbe(double now, double within, NavigableMap<String, Suspicion> due) {
     collect(beforeLastProbe, now, within, due);
   }
 
-  /** Adds those that had their last probe and whose time is over, by their names. */
-  void collectOver(double now, NavigableMap<String, Suspicion> due) {
+  /** Adds the suspicions whose last probe was sent and whose deadline has passed, by member name. */
+  void collectExpired(double now, NavigableMap<String, Suspicion> due) {
     collect(afterLastProbe, now, 0, due);
   }
 
--- a/src/main/java/beampoint/fleet/message/Codec.java
+++ b/src/main/java/beampoint/fleet/message/Codec.java
@@ -13,30 +13,31 @@
 import java.util.List;
 
 /**
- * Messages in CBOR (RFC 8949): one array that begins with the cluster's name and the version of the form. Any
- * bytes may come: what can't be read is a {@link MalformedMessageException} and nothing else.
+ * Reads and writes messages in CBOR (RFC 8949): one array that begins with the name of the cluster and the
+ * version of the format. The input may be any bytes: whatever cannot be read results in a {@link
+ * MalformedMessageException} and in no other exception.
  */
 public final class Codec {
 
-  /** The most bytes of a datagram: no usual network cuts it. */
+  /** The maximum length of a datagram, which common networks transport without fragmentation. */
   public static final int MAX_DATAGRAM_BYTES = 1_400;
 
-  /** The most members of a whole view: all others that a proxy may be told of, and itself. */
+  /** The maximum number of members in a whole view: all others that can be configured, and the sender. */
   public static final int MAX_VIEW_MEMBERS = FleetSettings.MAX_MEMBERS + 1;
 
   /**
-   * The most bytes of one member in a view: two names of the longest that a configuration may have, an
-   * address of up to 100 characters and the figures.
+   * The maximum length of one member in a view: two names of the maximum configurable length, an address of
+   * up to 100 characters and the numbers.
    */
   private static final int MAX_VIEW_MEMBER_BYTES = 320;
 
-  /** The most bytes of a whole view: a fleet of the largest size fits in one exchange. */
+  /** The maximum length of a whole view: a fleet of the largest size fits into one exchange. */
   public static final int MAX_VIEW_BYTES = MAX_VIEW_MEMBERS * MAX_VIEW_MEMBER_BYTES;
 
   private static final int VERSION = 1;
-  private static final int MAX_NEWS = 32; // of a datagram, which holds fewer of any usual length
-  private static final int MAX_TEXT_LENGTH = 200; // of a name or an address
-  private static final CBORFactory FORM = CBORFactory.builder()
+  private static final int MAX_UPDATES = 32; // per datagram; fewer fit at common lengths
+  private static final int MAX_TEXT_LENGTH = 200; // characters of a name or an address
+  private static final CBORFactory CBOR = CBORFactory.builder()
       .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(4)
           .maxStringLength(MAX_TEXT_LENGTH).maxNumberLength(20).build())
       .build();
@@ -47,28 +48,28 @@
     this.cluster = cluster;
   }
 
-  /** The bytes of a message; news that would make it too long for a datagram are left out. */
+  /** Encodes a message; updates that would make it too long for a datagram are omitted. */
   public byte[] write(Message message) {
-    for (int news = message.news().size();; news--) {
-      byte[] bytes = write(message, news);
-      if (bytes.length <= MAX_DATAGRAM_BYTES || news == 0) {
+    for (int updates = message.updates().size();; updates--) {
+      byte[] bytes = write(message, updates);
+      if (bytes.length <= MAX_DATAGRAM_BYTES || updates == 0) {
         return bytes;
       }
     }
   }
 
-  private byte[] write(Message message, int news) {
-    return bytes(message.news().subList(0, news), out -> {
+  private byte[] write(Message message, int updates) {
+    return bytes(message.updates().subList(0, updates), out -> {
       out.writeNumber(message.kind().ordinal());
       out.writeNumber(message.number());
-      out.writeString(message.about());
+      out.writeString(message.target());
       write(out, message.from());
     });
   }
 
   /**
-   * The bytes of a whole view. Guards against one that nobody reads: where addresses are so long that not all
-   * members fit, some of the last are left out, of which datagrams tell.
+   * Encodes a whole view. If addresses are so long that it would exceed the maximum length, which every
+   * receiver rejects, some of the last members are omitted; gossip still propagates them.
    */
   public byte[] writeView(List<MemberState> view) {
     for (int members = view.size();; members -= 1 + members / 16) {
@@ -79,107 +80,109 @@
     }
   }
 
-  /** What stands between the beginning and the news. */
-  private interface Middle {
+  /** Writes the fields between the common header and the member states. */
+  private interface HeaderFields {
     void write(JsonGenerator out) throws IOException;
   }
 
-  private byte[] bytes(List<MemberState> news, Middle middle) {
+  private byte[] bytes(List<MemberState> states, HeaderFields fields) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    try (JsonGenerator out = FORM.createGenerator(bytes)) {
+    try (JsonGenerator out = CBOR.createGenerator(bytes)) {
       out.writeStartArray();
       out.writeString(cluster);
       out.writeNumber(VERSION);
-      middle.write(out);
-      for (MemberState item : news) {
-        write(out, item);
+      fields.write(out);
+      for (MemberState state : states) {
+        write(out, state);
       }
       out.writeEndArray();
     } catch (IOException e) {
-      throw new IllegalStateException("bytes in memory can't be written", e);
+      throw new IllegalStateException("cannot encode a message in memory", e);
     }
     return bytes.toByteArray();
   }
 
-  /** Reads a whole view of this cluster. */
+  /** Decodes a whole view of this cluster. */
   public List<MemberState> readView(byte[] bytes) throws MalformedMessageException {
-    try (JsonParser in = FORM.createParser(bytes)) {
-      begin(in);
-      return newsToTheEnd(in, MAX_VIEW_MEMBERS);
+    try (JsonParser in = CBOR.createParser(bytes)) {
+      readHeader(in);
+      return readStates(in, MAX_VIEW_MEMBERS);
     } catch (IOException | RuntimeException e) {
-      throw new MalformedMessageException("no view: " + e.getMessage());
+      throw new MalformedMessageException("invalid view: " + e.getMessage());
     }
   }
 
-  private void begin(JsonParser in) throws IOException, MalformedMessageException {
+  private void readHeader(JsonParser in) throws IOException, MalformedMessageException {
     expect(in, JsonToken.START_ARRAY);
     if (!text(in).equals(cluster)) {
-      throw new MalformedMessageException("of another cluster");
+      throw new MalformedMessageException("sent by another cluster");
     }
     long version = number(in);
     if (version != VERSION) {
-      throw new MalformedMessageException("of an unknown version: " + version);
+      throw new MalformedMessageException("unsupported version: " + version + ", expected " + VERSION);
     }
   }
 
-  private static List<MemberState> newsToTheEnd(JsonParser in, int most)
+  private static List<MemberState> readStates(JsonParser in, int maxStates)
       throws IOException, MalformedMessageException {
-    List<MemberState> news = new ArrayList<>();
-    while (in.nextToken() == JsonToken.START_ARRAY && news.size() < most) {
-      news.add(news(in));
+    List<MemberState> states = new ArrayList<>();
+    while (in.nextToken() == JsonToken.START_ARRAY && states.size() < maxStates) {
+      states.add(readState(in));
     }
     if (in.currentToken() != JsonToken.END_ARRAY || in.nextToken() != null) {
-      throw new MalformedMessageException("with more than there may be");
+      throw new MalformedMessageException("too many entries, or data after the end");
     }
-    return List.copyOf(news);
+    return List.copyOf(states);
   }
 
-  private static void write(JsonGenerator out, MemberState news) throws IOException {
+  private static void write(JsonGenerator out, MemberState state) throws IOException {
     out.writeStartArray();
-    out.writeString(news.member());
-    out.writeString(news.address());
-    out.writeNumber(news.status().ordinal());
-    out.writeNumber(news.incarnation());
-    out.writeBoolean(news.notReceiving());
-    out.writeString(news.reporter());
+    out.writeString(state.member());
+    out.writeString(state.address());
+    out.writeNumber(state.status().ordinal());
+    out.writeNumber(state.incarnation());
+    out.writeBoolean(state.notReceiving());
+    out.writeString(state.reporter());
     out.writeEndArray();
   }
 
-  /** Reads a message of this cluster. */
+  /** Decodes a message of this cluster from the first {@code length} bytes. */
   public Message read(byte[] bytes, int length) throws MalformedMessageException {
     if (length > MAX_DATAGRAM_BYTES) {
-      throw new MalformedMessageException("longer than a datagram of members: " + length);
+      throw new MalformedMessageException("datagram too long: " + length + " bytes, the limit is "
+          + MAX_DATAGRAM_BYTES);
     }
-    try (JsonParser in = FORM.createParser(bytes, 0, length)) {
-      begin(in);
-      Kind kind = of(Kind.values(), number(in));
+    try (JsonParser in = CBOR.createParser(bytes, 0, length)) {
+      readHeader(in);
+      Kind kind = decodeEnum(Kind.values(), number(in));
       long number = number(in);
-      String about = text(in);
+      String target = text(in);
       expect(in, JsonToken.START_ARRAY);
-      return new Message(kind, number, news(in), about, newsToTheEnd(in, MAX_NEWS));
+      return new Message(kind, number, readState(in), target, readStates(in, MAX_UPDATES));
     } catch (IOException | RuntimeException e) {
-      throw new MalformedMessageException("no message: " + e.getMessage());
+      throw new MalformedMessageException("invalid message: " + e.getMessage());
     }
   }
 
-  private static MemberState news(JsonParser in) throws IOException, MalformedMessageException {
+  private static MemberState readState(JsonParser in) throws IOException, MalformedMessageException {
     String member = text(in);
     String address = text(in);
-    Status status = of(Status.values(), number(in));
+    Status status = decodeEnum(Status.values(), number(in));
     long incarnation = number(in);
-    JsonToken deaf = in.nextToken();
-    boolean flag = deaf == JsonToken.VALUE_TRUE || deaf == JsonToken.VALUE_FALSE;
-    if (!flag || member.isEmpty() || incarnation < 0) {
-      throw new MalformedMessageException("with odd news");
+    JsonToken notReceiving = in.nextToken();
+    boolean isBoolean = notReceiving == JsonToken.VALUE_TRUE || notReceiving == JsonToken.VALUE_FALSE;
+    if (!isBoolean || member.isEmpty() || incarnation < 0) {
+      throw new MalformedMessageException("invalid member state");
     }
-    MemberState news = new MemberState(member, address, status, incarnation, deaf == JsonToken.VALUE_TRUE, text(in));
+    MemberState state = new MemberState(member, address, status, incarnation,
+        notReceiving == JsonToken.VALUE_TRUE, text(in));
     expect(in, JsonToken.END_ARRAY);
-    return news;
+    return state;
   }
 
-  private static <T> T of(T[] values, long number) throws MalformedMessageException {
+  private static <T> T decodeEnum(T[] values, long number) throws MalformedMessageException {
     if (number < 0 || number >= values.length) {
-      throw new MalformedMessageException("with an unknown number: " + number);
+      throw new MalformedMessageException("unknown code: " + number);
     }
     return values[(int) number];
   }
@@ -187,9 +190,10 @@
   private static String text(JsonParser in) throws IOException, MalformedMessageException {
     expect(in, JsonToken.VALUE_STRING);
     String text = in.getText();
-    // Guards against a name that can be read and not written, which who passes it on would fall over.
+    // Rejects names that can be decoded but not encoded: forwarding them would fail.
     if (text.length() > MAX_TEXT_LENGTH || !text.chars().allMatch(c -> c >= ' ' && c <= '~')) {
-      throw new MalformedMessageException("with a text that is no name");
+      throw new MalformedMessageException(
+          "text longer than " + MAX_TEXT_LENGTH + " characters or not printable ASCII");
     }
     return text;
   }
@@ -201,7 +205,7 @@
 
   private static void expect(JsonParser in, JsonToken token) throws IOException, MalformedMessageException {
     if (in.nextToken() != token) {
-      throw new MalformedMessageException("cut off, or of another form");
+      throw new MalformedMessageException("truncated or in another format");
     }
   }
 }
--- a/src/main/java/beampoint/fleet/message/MalformedMessageException.java
+++ b/src/main/java/beampoint/fleet/message/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package beampoint.fleet.message;
 
-/** Bytes that are no message of this cluster, or of no version that this program reads. */
+/** Thrown for bytes that are not a message of this cluster in the supported version of the format. */
 public final class MalformedMessageException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/src/main/java/beampoint/fleet/message/MemberState.java
+++ b/src/main/java/beampoint/fleet/message/MemberState.java
@@ -1,25 +1,28 @@
 package beampoint.fleet.message;
 
 /**
- * What is said of one member.
+ * The reported state of one member.
  *
- * @param address where it is reached, as {@code host:port}
- * @param incarnation raised by the member alone, to refute what others say of it
- * @param notReceiving it says of itself that it hears nobody: it lives, though it answers no probe
- * @param reporter who found it so: itself, or who accuses it or declared it dead
+ * @param address the address of the member, as {@code host:port}
+ * @param incarnation a number that only the member itself raises, to refute reports of others
+ * @param notReceiving whether the member has announced that it receives no messages: it is alive although it
+ *     answers no probe
+ * @param reporter the member that reports this state: the member itself, an accuser, or one that declared it
+ *     dead
  */
-public record MemberState(String member, String address, Status status, long incarnation, boolean notReceiving, String reporter) {
+public record MemberState(String member, String address, Status status, long incarnation,
+    boolean notReceiving, String reporter) {
 
   /**
-   * True where this goes before the other news of the same member (SWIM, section 4.2): what the member says
-   * under a higher incarnation, or under one what is worse.
+   * True if this state takes precedence over another one of the same member (SWIM, section 4.2): it has a
+   * higher incarnation, or the same incarnation and a later status in the order of {@link Status}.
    */
   public boolean overrides(MemberState other) {
     return incarnation > other.incarnation
         || incarnation == other.incarnation && rank() > other.rank();
   }
 
-  /** The same member, as somebody found it. */
+  /** The same member with another status, as reported by the given member. */
   public MemberState as(Status next, String by) {
     return new MemberState(member, address, next, incarnation, notReceiving, by);
   }
--- a/src/main/java/beampoint/fleet/message/Message.java
+++ b/src/main/java/beampoint/fleet/message/Message.java
@@ -3,16 +3,19 @@
 import java.util.List;
 
 /**
- * What one member says to another in a datagram.
+ * A datagram from one member to another.
  *
- * @param number of a probe, echoed by its answers
- * @param from who says it, as that stands in its own view
- * @param about whom a probe is for; empty for the receiver itself
- * @param news what goes along with it
+ * @param number the number of a probe, which its answers echo
+ * @param from the sender's own state
+ * @param target the member that a relayed probe is for; empty for the receiver itself
+ * @param updates the member states that are piggybacked on the message
  */
-public record Message(Kind kind, long number, MemberState from, String about, List<MemberState> news) {
+public record Message(Kind kind, long number, MemberState from, String target, List<MemberState> updates) {
 
-  /** PING asks for a sign of life, RELAY asks to ping another, NACK says that this one did not answer. */
+  /**
+   * The kind of a message: PING asks for an ACK, RELAY asks the receiver to ping another member, NACK reports
+   * that the other member did not answer, GOSSIP only carries updates.
+   */
   public enum Kind {
     PING, ACK, RELAY, NACK, GOSSIP
   }
--- a/src/main/java/beampoint/fleet/message/Status.java
+++ b/src/main/java/beampoint/fleet/message/Status.java
@@ -1,4 +1,7 @@
 package beampoint.fleet.message;
 
-/** How a member stands in another's view. */
+/**
+ * The status of a member in another's view. The ordinals are the codes on the wire and the order of
+ * precedence.
+ */
 public enum Status { ALIVE, SUSPECT, DEAD, LEFT }
--- a/src/main/java/beampoint/fleet/node/FleetNode.java
+++ b/src/main/java/beampoint/fleet/node/FleetNode.java
@@ -9,7 +9,7 @@
 import beampoint.fleet.membership.MemberEvent;
 import beampoint.fleet.membership.Membership;
 import beampoint.fleet.membership.MembershipSettings;
-import beampoint.fleet.membership.Siblings;
+import beampoint.fleet.membership.SiblingCount;
 import beampoint.fleet.message.Codec;
 import beampoint.fleet.message.MemberState;
 import beampoint.fleet.message.Status;
@@ -29,124 +29,135 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
-/** A proxy as a member of its fleet: tells the state machine what comes, and carries out what it decides. */
+/**
+ * A proxy as a member of its fleet: passes received messages and ticks to the membership state machine and
+ * executes the resulting actions.
+ */
 public final class FleetNode {
 
   private static final Log LOG = Log.of("fleet");
-  private static final double SETTLED_MS = 5_000; // that fewer members have to be seen before it counts
+  private static final double SIBLING_SETTLE_MS = 5_000; // before a lower number of members is used
 
   private final FleetSettings settings;
   private final String name;
   private final long seed;
-  private final MembershipSettings terms;
+  private final MembershipSettings membershipSettings;
   private final ScheduledExecutorService loop;
   private final DoubleSupplier clock;
   private final Counters counters;
   private final Datagrams datagrams;
-  private final ViewExchanger views;
-  private final Siblings siblings;
-  private final IntConsumer shared;
-  private Membership membership; // belongs to the loop
+  private final ViewExchanger viewExchanger;
+  private final SiblingCount siblingCount;
+  private final IntConsumer siblingListener;
+  private Membership membership; // accessed only in the event loop
   private volatile boolean started;
 
   /**
-   * A member that is not listening yet.
+   * Creates a member that is not listening yet.
    *
-   * @param configured how many proxies there are by the settings
-   * @param shared told, in the loop and with every step, among how many the load is shared
+   * @param seed the seed of the random numbers of the state machine
+   * @param configured the configured number of proxies
+   * @param siblingListener receives the number of proxies that share the load, in the event loop at every
+   *     tick
+   * @param clock the time in ms
    */
-  public FleetNode(FleetSettings settings, String name, long seed, MembershipSettings terms, int configured,
-      IntConsumer shared, TCPNIOTransport transport, ScheduledExecutorService loop, DoubleSupplier clock,
-      Counters counters) {
-    this.siblings = new Siblings(configured, SETTLED_MS);
-    this.shared = shared;
+  public FleetNode(FleetSettings settings, String name, long seed, MembershipSettings membershipSettings,
+      int configured, IntConsumer siblingListener, TCPNIOTransport transport, ScheduledExecutorService loop,
+      DoubleSupplier clock, Counters counters) {
+    this.siblingCount = new SiblingCount(configured, SIBLING_SETTLE_MS);
+    this.siblingListener = siblingListener;
     this.settings = settings;
     this.name = name;
     this.seed = seed;
-    this.terms = terms;
+    this.membershipSettings = membershipSettings;
     this.loop = loop;
     this.clock = clock;
     this.counters = counters;
     Codec codec = new Codec(settings.cluster());
-    this.datagrams = new Datagrams(codec, loop, counters, m -> give(new MemberEvent.Received(m)));
-    this.views = new ViewExchanger(transport, loop, codec, counters, () -> membership.view(),
-        view -> give(new MemberEvent.ViewReceived(view)));
+    this.datagrams = new Datagrams(codec, loop, counters, m -> handle(new MemberEvent.Received(m)));
+    this.viewExchanger = new ViewExchanger(transport, loop, codec, counters, () -> membership.view(),
+        view -> handle(new MemberEvent.ViewReceived(view)));
   }
 
-  /** Listens, and joins those that are there; the transport for views has been started. */
+  /** Starts to listen and joins the fleet. The transport for views must have been started. */
   public void start() throws IOException {
     started = true;
-    InetSocketAddress address = views.listen(settings.listen());
+    InetSocketAddress address = viewExchanger.listen(settings.listen());
     datagrams.listen(address);
     List<MemberState> known = new ArrayList<>();
     settings.peers()
-        .forEach((peer, at) -> known.add(new MemberState(peer, Address.text(at), Status.ALIVE, 0, false, peer)));
+        .forEach((peer, at) -> known
+            .add(new MemberState(peer, Address.text(at), Status.ALIVE, 0, false, peer)));
     LOG.info(name + " is a member of " + settings.cluster() + " at " + Address.text(address));
-    long step = (long) terms.tickInterval();
+    long tickMs = (long) membershipSettings.tickInterval();
     loop.execute(() -> {
-      membership = new Membership(terms, name, Address.text(address), known,
+      membership = new Membership(membershipSettings, name, Address.text(address), known,
           RandomSource.XO_SHI_RO_256_PP.create(seed), clock.getAsDouble());
-      loop.scheduleWithFixedDelay(this::step, 0, step, TimeUnit.MILLISECONDS);
+      loop.scheduleWithFixedDelay(this::tick, 0, tickMs, TimeUnit.MILLISECONDS);
     });
   }
 
-  private void step() {
-    give(new MemberEvent.Tick());
-    shared.accept(siblings.number(clock.getAsDouble(), membership.liveCount(), membership.mayBeIsolated()));
+  private void tick() {
+    handle(new MemberEvent.Tick());
+    siblingListener.accept(
+        siblingCount.update(clock.getAsDouble(), membership.liveCount(), membership.mayBeIsolated()));
   }
 
-  /** Leaves in order, and listens no longer; from the loop. */
+  /**
+   * Leaves the fleet in an orderly shutdown; later messages are ignored. Must be called in the event loop.
+   */
   public void leave() {
-    give(new MemberEvent.Leave());
+    handle(new MemberEvent.Leave());
   }
 
-  /** Stops at once, as a crash does. */
+  /** Closes the datagram socket without leaving the fleet, as a crash would. */
   public void close() throws IOException {
     if (started) {
       datagrams.close();
     }
   }
 
-  /** How this member sees all; from the loop. */
+  /** The view of this member, empty before its start. Must be called in the event loop. */
   public List<MemberState> view() {
     return membership == null ? List.of() : membership.view();
   }
 
-  private void give(MemberEvent event) {
+  private void handle(MemberEvent event) {
     if (membership != null) {
-      membership.handle(clock.getAsDouble(), event).forEach(this::carryOut);
+      membership.handle(clock.getAsDouble(), event).forEach(this::execute);
     }
   }
 
-  private void carryOut(MemberAction action) {
+  private void execute(MemberAction action) {
     if (action instanceof Send a) {
-      InetSocketAddress to = dial(a.to());
+      InetSocketAddress to = resolve(a.to());
       if (to != null) {
         datagrams.send(to, a.message());
       }
     } else if (action instanceof Exchange a) {
-      InetSocketAddress with = dial(a.peer());
-      if (with != null) {
-        views.exchange(with);
+      InetSocketAddress peer = resolve(a.peer());
+      if (peer != null) {
+        viewExchanger.exchange(peer);
       }
     } else if (action instanceof Changed a) {
-      tell(a.state());
+      report(a.state());
     }
   }
 
-  /** Where a member is reached from here; null where it gave no address. */
-  private InetSocketAddress dial(MemberState member) {
-    InetSocketAddress other = settings.dial().get(member.member());
-    return other != null ? other : Address.parse(member.address());
+  /** The address at which a member can be reached from here; null if it announced none. */
+  private InetSocketAddress resolve(MemberState member) {
+    InetSocketAddress override = settings.dial().get(member.member());
+    return override != null ? override : Address.parse(member.address());
   }
 
-  private void tell(MemberState news) {
-    if (news.status() == Status.DEAD) {
+  private void report(MemberState state) {
+    if (state.status() == Status.DEAD) {
       counters.add(Counter.MEMBERS_DIED);
-    } else if (news.status() == Status.ALIVE) {
+    } else if (state.status() == Status.ALIVE) {
       counters.add(Counter.MEMBERS_BACK);
     }
-    LOG.info("member " + news.member() + " is " + news.status() + (news.notReceiving() ? ", and hears nobody" : "")
-        + ", by " + news.reporter() + ", incarnation " + news.incarnation());
+    LOG.info("member " + state.member() + " is " + state.status()
+        + (state.notReceiving() ? ", receives no messages" : "") + ", reported by " + state.reporter()
+        + ", incarnation " + state.incarnation());
   }
 }
--- a/src/test/java/beampoint/fleet/membership/RecordedFleet.java
+++ b/src/test/java/beampoint/fleet/membership/RecordedFleet.java
@@ -18,18 +18,20 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Membership state machines on a network in virtual time, with a digest over the text of every action of
- * every event. It depends on nothing but the state machine, so that a digest stays the same as long as the
- * decisions do, whatever becomes of the emulator.
+ * Runs membership state machines on a simulated network in virtual time and computes a digest over the text
+ * of all actions of all events. It depends only on the state machine and not on the emulator, so the digest
+ * stays the same as long as the decisions do.
  */
 final class RecordedFleet {
 
-  private static final int MAX_WAITING = 200;
+  private static final int MAX_QUEUED = 200;
 
-  /** Something that happens at a time; those of one time in the order in which they were planned. */
-  private record Planned(double time, long sequence, Runnable task) implements Comparable<Planned> {
+  /** A task to run at a time; tasks of the same time run in the order in which they were scheduled. */
+  private record ScheduledTask(double time, long sequence, Runnable task)
+      implements
+        Comparable<ScheduledTask> {
     @Override
-    public int compareTo(Planned other) {
+    public int compareTo(ScheduledTask other) {
       int byTime = Double.compare(time, other.time);
       return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
@@ -38,23 +40,23 @@
   private static final class Host {
     final int number;
     Membership membership; // null while it is down
-    int life;
+    int starts;
     boolean paused;
-    final List<MemberEvent> waiting = new ArrayList<>();
+    final List<MemberEvent> queued = new ArrayList<>();
 
     Host(int number) {
       this.number = number;
     }
   }
 
-  private final MembershipSettings terms;
+  private final MembershipSettings settings;
   private final List<MemberState> known;
   private final Random random;
-  private final PriorityQueue<Planned> planned = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledTask> schedule = new PriorityQueue<>();
   private final List<Host> hosts = new ArrayList<>();
   private final MessageDigest digest;
   private final StringBuilder text = new StringBuilder();
-  private BiPredicate<Integer, Integer> cut = (from, to) -> false;
+  private BiPredicate<Integer, Integer> cutLinks = (from, to) -> false;
   private double loss;
   private double now;
   private long sequence;
@@ -63,9 +65,9 @@
   private long exchanges;
   private long changes;
 
-  /** So many members, each of which knows the same others at its start. */
-  RecordedFleet(int members, MembershipSettings terms, List<MemberState> known, long seed) {
-    this.terms = terms;
+  /** Starts members that all know the same others at their start. */
+  RecordedFleet(int members, MembershipSettings settings, List<MemberState> known, long seed) {
+    this.settings = settings;
     this.known = known;
     this.random = new Random(seed);
     try {
@@ -83,13 +85,13 @@
     return String.format("m%04d", number);
   }
 
-  /** The first so many members, as others know them before they have heard of them. */
+  /** The first members by number, as others know them before receiving anything from them. */
   static List<MemberState> knownMembers(int count) {
-    List<MemberState> news = new ArrayList<>();
+    List<MemberState> states = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      news.add(new MemberState(name(i), address(i), Status.ALIVE, 0, false, name(i)));
+      states.add(new MemberState(name(i), address(i), Status.ALIVE, 0, false, name(i)));
     }
-    return news;
+    return states;
   }
 
   private static String address(int number) {
@@ -108,24 +110,24 @@
     return random;
   }
 
-  void loss(double part) {
-    loss = part;
+  void loss(double fraction) {
+    loss = fraction;
   }
 
-  /** Cuts the links for which it holds, in the direction from the first to the second. */
+  /** Cuts the links for which the predicate holds, in the direction from its first to its second member. */
   void cut(BiPredicate<Integer, Integer> links) {
-    cut = links;
+    cutLinks = links;
   }
 
   void start(int member) {
     Host host = hosts.get(member);
-    host.life++;
+    host.starts++;
     host.paused = false;
-    host.waiting.clear();
-    host.membership = new Membership(terms, name(member), address(member), known,
+    host.queued.clear();
+    host.membership = new Membership(settings, name(member), address(member), known,
         RandomSource.XO_SHI_RO_256_PP.create(random.nextLong()), now);
-    int life = host.life;
-    after(random.nextDouble() * terms.tickInterval(), () -> tick(host, life));
+    int starts = host.starts;
+    after(random.nextDouble() * settings.tickInterval(), () -> tick(host, starts));
   }
 
   boolean isUp(int member) {
@@ -134,7 +136,7 @@
 
   void kill(int member) {
     hosts.get(member).membership = null;
-    hosts.get(member).life++;
+    hosts.get(member).starts++;
   }
 
   void leave(int member) {
@@ -149,21 +151,21 @@
   void resume(int member) {
     Host host = hosts.get(member);
     host.paused = false;
-    List<MemberEvent> waited = List.copyOf(host.waiting);
-    host.waiting.clear();
-    waited.forEach(event -> handle(host, event));
+    List<MemberEvent> pending = List.copyOf(host.queued);
+    host.queued.clear();
+    pending.forEach(event -> handle(host, event));
   }
 
   void runTo(double time) {
-    while (!planned.isEmpty() && planned.peek().time() <= time) {
-      Planned next = planned.poll();
+    while (!schedule.isEmpty() && schedule.peek().time() <= time) {
+      ScheduledTask next = schedule.poll();
       now = next.time();
       next.task().run();
     }
     now = time;
   }
 
-  /** Counts and digest, in one line. */
+  /** Counts and digest on one line. */
   String summary() {
     flush();
     return String.format("events=%d sends=%d exchanges=%d changes=%d sha256=%s", events, sends, exchanges,
@@ -171,24 +173,24 @@
   }
 
   private void after(double wait, Runnable task) {
-    planned.add(new Planned(now + wait, sequence++, task));
+    schedule.add(new ScheduledTask(now + wait, sequence++, task));
   }
 
-  private void tick(Host host, int life) {
-    if (host.life == life) {
-      take(host, life, new MemberEvent.Tick());
-      after(terms.tickInterval(), () -> tick(host, life));
+  private void tick(Host host, int starts) {
+    if (host.starts == starts) {
+      deliver(host, starts, new MemberEvent.Tick());
+      after(settings.tickInterval(), () -> tick(host, starts));
     }
   }
 
-  private void take(Host host, int life, MemberEvent event) {
-    if (host.life != life) {
+  private void deliver(Host host, int starts, MemberEvent event) {
+    if (host.starts != starts) {
       return;
     }
     if (!host.paused) {
       handle(host, event);
-    } else if (host.waiting.size() < MAX_WAITING) {
-      host.waiting.add(event);
+    } else if (host.queued.size() < MAX_QUEUED) {
+      host.queued.add(event);
     }
   }
 
@@ -204,7 +206,7 @@
     if (text.length() > 1 << 16) {
       flush();
     }
-    actions.forEach(action -> carryOut(host, action));
+    actions.forEach(action -> execute(host, action));
   }
 
   private void flush() {
@@ -218,10 +220,10 @@
       text.append("send ");
       write(a.to());
       Message message = a.message();
-      text.append(message.kind()).append(' ').append(message.number()).append(' ').append(message.about())
+      text.append(message.kind()).append(' ').append(message.number()).append(' ').append(message.target())
           .append(' ');
       write(message.from());
-      message.news().forEach(this::write);
+      message.updates().forEach(this::write);
     } else if (action instanceof Exchange a) {
       exchanges++;
       text.append("exchange ");
@@ -234,13 +236,13 @@
     text.append('\n');
   }
 
-  private void write(MemberState news) {
-    text.append(news.member()).append('|').append(news.address()).append('|').append(news.status())
-        .append('|').append(news.incarnation()).append('|').append(news.notReceiving()).append('|').append(news.reporter())
-        .append(' ');
+  private void write(MemberState state) {
+    text.append(state.member()).append('|').append(state.address()).append('|').append(state.status())
+        .append('|').append(state.incarnation()).append('|').append(state.notReceiving()).append('|')
+        .append(state.reporter()).append(' ');
   }
 
-  private void carryOut(Host host, MemberAction action) {
+  private void execute(Host host, MemberAction action) {
     if (action instanceof Send a) {
       send(host.number, number(a.to()), a.message());
     } else if (action instanceof Exchange a) {
@@ -248,40 +250,40 @@
     }
   }
 
-  /** The number of a member; one that is only known by name, and does not exist, has none. */
-  private int number(MemberState news) {
-    int number = Integer.parseInt(news.member().substring(1));
+  /** The number of a member; -1 for one that is known by name but does not exist. */
+  private int number(MemberState state) {
+    int number = Integer.parseInt(state.member().substring(1));
     return number < hosts.size() ? number : -1;
   }
 
   private void send(int from, int to, Message message) {
-    if (to < 0 || cut.test(from, to) || random.nextDouble() < loss) {
+    if (to < 0 || cutLinks.test(from, to) || random.nextDouble() < loss) {
       return;
     }
     int copies = random.nextInt(50) == 0 ? 2 : 1;
     for (int i = 0; i < copies; i++) {
       Host receiver = hosts.get(to);
-      double late = random.nextInt(20) == 0 ? 80 * random.nextDouble() : 0;
-      after(0.5 + 2 * random.nextDouble() + late,
-          () -> take(receiver, receiver.life, new MemberEvent.Received(message)));
+      double extraDelay = random.nextInt(20) == 0 ? 80 * random.nextDouble() : 0;
+      after(0.5 + 2 * random.nextDouble() + extraDelay,
+          () -> deliver(receiver, receiver.starts, new MemberEvent.Received(message)));
     }
   }
 
-  private void exchange(Host one, int with) {
-    if (with < 0 || cut.test(one.number, with) || cut.test(with, one.number)) {
+  private void exchange(Host initiator, int peer) {
+    if (peer < 0 || cutLinks.test(initiator.number, peer) || cutLinks.test(peer, initiator.number)) {
       return;
     }
-    Host other = hosts.get(with);
-    if (other.membership == null || other.paused) {
+    Host responder = hosts.get(peer);
+    if (responder.membership == null || responder.paused) {
       return;
     }
-    List<MemberState> asked = one.membership.view();
-    int life = one.life;
+    List<MemberState> sentView = initiator.membership.view();
+    int starts = initiator.starts;
     after(3, () -> {
-      if (other.membership != null) {
-        List<MemberState> answer = other.membership.view();
-        handle(other, new MemberEvent.ViewReceived(asked));
-        after(2, () -> take(one, life, new MemberEvent.ViewReceived(answer)));
+      if (responder.membership != null) {
+        List<MemberState> returnedView = responder.membership.view();
+        handle(responder, new MemberEvent.ViewReceived(sentView));
+        after(2, () -> deliver(initiator, starts, new MemberEvent.ViewReceived(returnedView)));
       }
     });
   }
