--- a/src/main/java/beampoint/fleet/lease/Lease.java
+++ b/src/main/java/beampoint/fleet/lease/Lease.java
@@ -39,7 +39,7 @@
    */
   public Lease(LeaseSettings settings, String self, long life) {
     if (!settings.voters().contains(self)) {
-      throw new IllegalArgumentException("not a voter: " + self);
+      throw new IllegalArgumentException(self + " is not a voter");
     }
     this.settings = settings;
     this.self = self;
--- a/src/main/java/beampoint/fleet/message/Codec.java
+++ b/src/main/java/beampoint/fleet/message/Codec.java
@@ -119,7 +119,7 @@
     }
     long version = number(in);
     if (version != VERSION) {
-      throw new MalformedMessageException("unsupported version: " + version + ", expected " + VERSION);
+      throw new MalformedMessageException("version other than " + VERSION + ": " + version);
     }
   }
 
@@ -149,8 +149,7 @@
   /** Decodes a message of this cluster from the first {@code length} bytes. */
   public Message read(byte[] bytes, int length) throws MalformedMessageException {
     if (length > MAX_DATAGRAM_BYTES) {
-      throw new MalformedMessageException("datagram too long: " + length + " bytes, the limit is "
-          + MAX_DATAGRAM_BYTES);
+      throw new MalformedMessageException("datagram longer than " + MAX_DATAGRAM_BYTES + " bytes: " + length);
     }
     try (JsonParser in = CBOR.createParser(bytes, 0, length)) {
       readHeader(in);
--- a/src/test/java/beampoint/emulator/MemberScaleStudy.java
+++ b/src/test/java/beampoint/emulator/MemberScaleStudy.java
@@ -283,8 +283,8 @@
       copies[i] = new Membership(TERMS, "n0000", "10.0.0.0:7946", List.of(),
           RandomSource.XO_SHI_RO_256_PP.create(i), 0);
       copies[i].handle(0, new MemberEvent.ViewReceived(read));
-      for (double time = TERMS.tickInterval(); time < 400 * TERMS.tickInterval();
-          time += TERMS.tickInterval()) {
+      for (double time = TERMS.tickInterval(); time < 400 * TERMS.tickInterval(); time +=
+          TERMS.tickInterval()) {
         copies[i].handle(time, new MemberEvent.Tick()); // until all rumours have been told
         copies[i].handle(time, new MemberEvent.Received(
             new Message(Message.Kind.GOSSIP, 0, read.get(1), "", List.of())));
--- a/src/test/java/beampoint/fleet/membership/RecordedFleet.java
+++ b/src/test/java/beampoint/fleet/membership/RecordedFleet.java
@@ -27,11 +27,9 @@
   private static final int MAX_QUEUED = 200;
 
   /** A task to run at a time; tasks of the same time run in the order in which they were scheduled. */
-  private record ScheduledTask(double time, long sequence, Runnable task)
-      implements
-        Comparable<ScheduledTask> {
+  private record TimedTask(double time, long sequence, Runnable task) implements Comparable<TimedTask> {
     @Override
-    public int compareTo(ScheduledTask other) {
+    public int compareTo(TimedTask other) {
       int byTime = Double.compare(time, other.time);
       return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
@@ -52,7 +50,7 @@
   private final MembershipSettings settings;
   private final List<MemberState> known;
   private final Random random;
-  private final PriorityQueue<ScheduledTask> schedule = new PriorityQueue<>();
+  private final PriorityQueue<TimedTask> schedule = new PriorityQueue<>();
   private final List<Host> hosts = new ArrayList<>();
   private final MessageDigest digest;
   private final StringBuilder text = new StringBuilder();
@@ -158,7 +156,7 @@
 
   void runTo(double time) {
     while (!schedule.isEmpty() && schedule.peek().time() <= time) {
-      ScheduledTask next = schedule.poll();
+      TimedTask next = schedule.poll();
       now = next.time();
       next.task().run();
     }
@@ -173,7 +171,7 @@
   }
 
   private void after(double wait, Runnable task) {
-    schedule.add(new ScheduledTask(now + wait, sequence++, task));
+    schedule.add(new TimedTask(now + wait, sequence++, task));
   }
 
   private void tick(Host host, int starts) {
