--- a/src/main/java/beampoint/fleet/changes/ControlNode.java
+++ b/src/main/java/beampoint/fleet/changes/ControlNode.java
@@ -15,8 +15,8 @@
 import beampoint.fleet.changes.LogMessage.RejoinAnswer;
 import beampoint.fleet.lease.Lease;
 import beampoint.fleet.lease.LeaseEvent;
+import beampoint.fleet.lease.LeaseSettings;
 import beampoint.fleet.lease.LeaseState;
-import beampoint.fleet.lease.LeaseTerms;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -38,7 +38,7 @@
   /** Candidates scatter over this part of a lease. */
   private static final double SCATTER = 0.4;
 
-  private final LeaseTerms leaseTerms;
+  private final LeaseSettings leaseTerms;
   private final Lease lease;
   private final Replica replica;
   private final RandomGenerator random;
@@ -56,7 +56,7 @@
    * @param life drawn at the start of the process; the lease and its epochs tell lives apart by it
    * @param kept what outlived the process, or {@link ReplicaState#started} where nothing did
    */
-  public ControlNode(LogTerms terms, LeaseTerms leaseTerms, String self, long life, ReplicaState kept,
+  public ControlNode(LogTerms terms, LeaseSettings leaseTerms, String self, long life, ReplicaState kept,
       double now, RandomGenerator random) {
     if (!terms.voters().equals(leaseTerms.voters())) {
       throw new IllegalArgumentException("the log and the lease have other voters");
@@ -77,7 +77,7 @@
 
   /** True where it leads and takes changes. */
   public boolean leads(double now) {
-    return state.leads() && leaseState.mayAct(now);
+    return state.leads() && leaseState.isHolder(now);
   }
 
   /** What keeps the log from going on, as far as this machine knows: an operator has to know of it. */
@@ -133,20 +133,20 @@
   /** Guards against a leader that goes on after a pause. */
   private void endWithLease(double now, List<LogAction> actions) {
     boolean led = state.leadership() != null;
-    if (led && !(leaseState.mayAct(now) && leaseState.asked().equals(state.leadership().epoch()))) {
+    if (led && !(leaseState.isHolder(now) && leaseState.requested().equals(state.leadership().epoch()))) {
       step(now, new LeaseEnded(), actions);
     }
   }
 
   private void renewOrWant(double now, List<LogAction> actions) {
-    if (leaseState.mayAct(now)) {
+    if (leaseState.isHolder(now)) {
       if (!state.leads() && now >= giveUpAt) {
         giveBack(now, actions);
         lastProblem = Problem.NO_QUORUM;
         actions.add(new GiveUp(lastProblem));
       } else if (now >= wantAt) {
         wantAt = now + leaseTerms.length() / RENEWALS;
-        leaseStep(now, new LeaseEvent.Want(), actions);
+        leaseStep(now, new LeaseEvent.Acquire(), actions);
       }
     } else if (candidate && now >= giveUpAt) {
       giveBack(now, actions);
@@ -155,7 +155,7 @@
     } else if (!candidate && now >= wantAt && now >= leaderHeardAt + leaseTerms.length() && mayLead()) {
       candidate = true;
       giveUpAt = now + PATIENCE * leaseTerms.length();
-      leaseStep(now, new LeaseEvent.Want(), actions);
+      leaseStep(now, new LeaseEvent.Acquire(), actions);
     }
   }
 
@@ -173,22 +173,22 @@
     candidate = false;
     wantAt = now + scatter();
     step(now, new LeaseEnded(), actions);
-    leaseStep(now, new LeaseEvent.Yield(), actions);
+    leaseStep(now, new LeaseEvent.Relinquish(), actions);
   }
 
   private void leaseStep(double now, LeaseEvent event, List<LogAction> actions) {
     Lease.Step step = lease.step(leaseState, now, event);
     leaseState = step.state();
-    step.says().forEach(say -> actions.add(new Send(say.to(), new OfLease(say.message()))));
+    step.messages().forEach(say -> actions.add(new Send(say.to(), new OfLease(say.message()))));
     if (leaseState.fence().compareTo(state.log().fence()) > 0) {
       step(now, new Promised(leaseState.fence()), actions);
     }
-    if (candidate && leaseState.mayAct(now)) {
+    if (candidate && leaseState.isHolder(now)) {
       candidate = false;
       giveUpAt = now + leaseTerms.length();
       wantAt = now + leaseTerms.length() / RENEWALS;
       lastProblem = null;
-      step(now, new Elected(leaseState.asked()), actions);
+      step(now, new Elected(leaseState.requested()), actions);
     }
   }
 
@@ -201,11 +201,11 @@
         candidate = false;
         lastProblem = giveUp.problem();
         wantAt = now + scatter() + (giveUp.problem() == Problem.FENCED ? 0 : leaseTerms.length());
-        leaseStep(now, new LeaseEvent.Yield(), actions);
+        leaseStep(now, new LeaseEvent.Relinquish(), actions);
       }
     }
     if (state.log().fence().compareTo(leaseState.fence()) > 0) {
-      leaseStep(now, new LeaseEvent.Seen(state.log().fence()), actions);
+      leaseStep(now, new LeaseEvent.EpochObserved(state.log().fence()), actions);
     }
   }
 }
--- a/src/main/java/beampoint/serve/Proxy.java
+++ b/src/main/java/beampoint/serve/Proxy.java
@@ -8,10 +8,10 @@
 import beampoint.client.Sessions;
 import beampoint.count.Counters;
 import beampoint.discovery.HostListWatcher;
-import beampoint.fleet.membership.MemberTerms;
-import beampoint.fleet.message.News;
+import beampoint.fleet.membership.MembershipSettings;
+import beampoint.fleet.message.MemberState;
 import beampoint.fleet.node.FleetNode;
-import beampoint.fleet.transport.Views;
+import beampoint.fleet.transport.ViewExchanger;
 import beampoint.log.Log;
 import beampoint.ops.AdminServer;
 import beampoint.upstream.Upstreams;
@@ -40,7 +40,7 @@
   private static final Log LOG = Log.of("serve");
   private static final int RESERVED_DESCRIPTORS = 32; // for the JVM, discovery and standard streams
   private static final int OPS_DESCRIPTORS = AdminServer.MAX_CONNECTIONS + 4; // including shared files
-  private static final int FLEET_DESCRIPTORS = Views.MAX_EXCHANGES + 4; // including both listeners
+  private static final int FLEET_DESCRIPTORS = ViewExchanger.MAX_EXCHANGES + 4; // including both listeners
   private static final long POLL_MS = 100; // for the files shared with another process of this proxy
   private static final double DISCOVERY_WAIT_MS = 1500; // of a new process, before it listens
   private static final int MANY_CLIENTS_DIVISOR = 4; // of all descriptors; clients may hold a third
@@ -117,7 +117,7 @@
     watcher.afterEachCall(hosts::onContact);
     this.reload = new Reload(config, names, decisions, upstreams, watcher, counters, loop);
     this.fleet = config.fleet() == null ? null : new FleetNode(config.fleet(), name, config.seed(),
-        MemberTerms.usual(), settings.siblings(), decisions::setSiblings, transport, loop, clock, counters);
+        MembershipSettings.defaults(), settings.siblings(), decisions::setSiblings, transport, loop, clock, counters);
     this.shutdown = new GracefulShutdown(sessions, decisions, loop, clock, this::hasOtherProcess);
     if (config.ops() == null) {
       this.operations = null;
@@ -317,7 +317,7 @@
   }
 
   /** The members of the fleet as this proxy sees them, for a test. */
-  List<News> members() throws InterruptedException, ExecutionException {
+  List<MemberState> members() throws InterruptedException, ExecutionException {
     return loop.submit(fleet::view).get();
   }
 
--- a/src/test/java/beampoint/emulator/MemberFaults.java
+++ b/src/test/java/beampoint/emulator/MemberFaults.java
@@ -1,6 +1,6 @@
 package beampoint.emulator;
 
-import beampoint.fleet.membership.MemberTerms;
+import beampoint.fleet.membership.MembershipSettings;
 import java.util.Arrays;
 import java.util.Random;
 import java.util.function.IntPredicate;
@@ -39,7 +39,7 @@
   MemberFaults(FleetTopology topology, long seed) {
     this.topology = topology;
     this.seed = seed;
-    this.fleet = MemberFleet.settled(topology.members(), MemberTerms.usual(), seed);
+    this.fleet = MemberFleet.settled(topology.members(), MembershipSettings.defaults(), seed);
     fleet.loseEverywhere(LOSS);
   }
 
@@ -85,8 +85,8 @@
     int cutOff = topology.membersOf(inside).length;
     int oneInside = topology.membersOf(inside)[0];
     int oneOutside = topology.membersOf(inside.negate())[0];
-    return fleet.membership(oneInside).living() == cutOff
-        && fleet.membership(oneOutside).living() == topology.members() - cutOff
+    return fleet.membership(oneInside).liveCount() == cutOff
+        && fleet.membership(oneOutside).liveCount() == topology.members() - cutOff
         && fleet.isOfOneView(inside) && fleet.isOfOneView(inside.negate());
   }
 
@@ -129,7 +129,7 @@
     double begin = fleet.now();
     while (fleet.now() < begin + GIVE_UP_AFTER) {
       fleet.runTo(fleet.now() + LOOK_EVERY);
-      if (fleet.isOfOneView() && fleet.membership(oneThatRuns()).living() == living) {
+      if (fleet.isOfOneView() && fleet.membership(oneThatRuns()).liveCount() == living) {
         return fleet.now() - begin;
       }
     }
