--- a/src/main/java/beampoint/discovery/HostListWatcher.java
+++ b/src/main/java/beampoint/discovery/HostListWatcher.java
@@ -66,10 +66,10 @@
   private Call before; // at the address that was left, until the new one has brought something
   private final Set<Call> late = new LinkedHashSet<>(); // without an answer, beside those made after them
   private long wait = FIRST_BACKOFF_MS;
-  private Consumer<Contact> afterCall = contact -> {}; // told of each outcome of a call
+  private Consumer<WatchResult> afterCall = contact -> {}; // told of each outcome of a call
 
   /** What a call has shown: a list or that nothing changed, or that discovery can't be reached for now. */
-  public enum Contact {
+  public enum WatchResult {
     RECEIVED, FAILED
   }
 
@@ -135,12 +135,12 @@
   }
 
   /** Runs a task with every sign of a call's outcome, after the list that it brought. */
-  public void afterEachCall(Consumer<Contact> task) {
+  public void onWatchResult(Consumer<WatchResult> task) {
     afterCall = task;
   }
 
   /** True while a call is out. */
-  public boolean isAsking() {
+  public boolean isWatching() {
     return call != null;
   }
 
@@ -257,7 +257,7 @@
     listen(own, silenceMs - answerMs, () -> end(own, "not answered"));
     counters.add(Counter.WATCHES_BROKEN);
     broken.run();
-    afterCall.accept(Contact.FAILED);
+    afterCall.accept(WatchResult.FAILED);
   }
 
   private void take(Call own, Buffer bytes) {
@@ -292,7 +292,7 @@
       counters.add(Counter.LISTS_RECEIVED);
       listed.accept(list);
     }
-    afterCall.accept(Contact.RECEIVED);
+    afterCall.accept(WatchResult.RECEIVED);
   }
 
   /**
@@ -318,7 +318,7 @@
     if (!replaced) {
       counters.add(Counter.WATCHES_BROKEN);
       broken.run();
-      afterCall.accept(Contact.FAILED);
+      afterCall.accept(WatchResult.FAILED);
     }
   }
 
--- a/src/main/java/beampoint/serve/HostListReceiver.java
+++ b/src/main/java/beampoint/serve/HostListReceiver.java
@@ -6,7 +6,7 @@
 import beampoint.Balancer.ListReceived;
 import beampoint.discovery.HostList;
 import beampoint.discovery.HostList.Host;
-import beampoint.discovery.HostListWatcher.Contact;
+import beampoint.discovery.HostListWatcher.WatchResult;
 import beampoint.upstream.Upstreams;
 import java.util.HashSet;
 import java.util.List;
@@ -65,8 +65,8 @@
   }
 
   /** Discovery was called. An answer without a list confirms the one that is remembered. */
-  void called(Contact contact) {
-    if (contact == Contact.RECEIVED && unconfirmed) {
+  void called(WatchResult contact) {
+    if (contact == WatchResult.RECEIVED && unconfirmed) {
       unconfirmed = false;
       decisions.give(new ListReceived(ListKind.CHANGES, List.of()));
     }
--- a/src/main/java/beampoint/serve/Proxy.java
+++ b/src/main/java/beampoint/serve/Proxy.java
@@ -108,7 +108,7 @@
         config.known().version(), hosts::receive, this::watchBroken, HostListWatcher.HEARTBEAT_TIMEOUT_MS,
         HostListWatcher.ANSWER_TIMEOUT_MS);
     decisions.carryOutWith(upstreams, watch);
-    watch.afterEachCall(hosts::called);
+    watch.onWatchResult(hosts::called);
     this.reload = new Reload(config, this.directory, decisions, upstreams, watch, counters, loop);
     this.fleet = config.fleet() == null ? null : new FleetNode(config.fleet(), name, config.seed(),
         MemberTerms.usual(), settings.siblings(), decisions::siblings, transport, loop, clock, counters);
@@ -207,7 +207,7 @@
     loop.execute(() -> {
       if (decisions.settings().listPushed()) {
         watch.follow();
-      } else if (!watch.isAsking()) {
+      } else if (!watch.isWatching()) {
         decisions.heardDiscovery(); // nothing comes until the module asks for it
       }
     });
