--- a/src/main/java/beampoint/serve/Reload.java
+++ b/src/main/java/beampoint/serve/Reload.java
@@ -5,7 +5,7 @@
 import beampoint.discovery.HostListWatcher;
 import beampoint.log.Log;
 import beampoint.settings.Transition;
-import beampoint.settings.Transition.Terms;
+import beampoint.settings.Transition.NamedSettings;
 import beampoint.upstream.Upstreams;
 
 /** Takes a new configuration while the proxy serves. Belongs to the decision thread. */
@@ -63,12 +63,13 @@
 
   /** The new settings hold at once, beside the old for requests of the old kind that are on their way. */
   private void retune(Config next) {
-    Terms present = new Terms(decisions.settings(), directory.names());
-    Terms taken = Transition.taken(present, new Terms(next.settings(), next.socketSettings()));
+    NamedSettings present = new NamedSettings(decisions.settings(), directory.names());
+    NamedSettings taken = Transition.keepStartupSettings(present,
+        new NamedSettings(next.settings(), next.socketSettings()));
     double longest = Math.max(Decisions.longestDeadline(decisions.settings()),
         Decisions.longestDeadline(taken.settings()));
     int reload = ++reloads;
-    change(Transition.meanwhile(present, taken));
+    change(Transition.duringTransition(present, taken));
     loop.after(longest + OLD_KIND_MS, () -> {
       if (reload == reloads) {
         change(taken);
@@ -76,8 +77,8 @@
     });
   }
 
-  private void change(Terms next) {
-    Terms present = new Terms(decisions.settings(), directory.names());
+  private void change(NamedSettings next) {
+    NamedSettings present = new NamedSettings(decisions.settings(), directory.names());
     if (!next.equals(present)) {
       LOG.info("classes: " + next.names().classes() + ", attempts: "
           + next.settings().limits().maxAttempts());
--- a/src/main/java/beampoint/settings/Transition.java
+++ b/src/main/java/beampoint/settings/Transition.java
@@ -14,13 +14,13 @@
   private Transition() {}
 
   /** Settings with the names that stand for their numbers. */
-  public record Terms(Settings settings, SocketSettings names) {}
+  public record NamedSettings(Settings settings, SocketSettings names) {}
 
   /** The next terms, but for what holds from a start on: how hosts are numbered and the list is followed. */
-  public static Terms taken(Terms present, Terms next) {
+  public static NamedSettings keepStartupSettings(NamedSettings present, NamedSettings next) {
     Settings old = present.settings();
     Settings now = next.settings();
-    return new Terms(
+    return new NamedSettings(
         new Settings(old.seed(), now.siblings(), old.zone(), old.listPushed(), old.weightSource(),
             old.originKind(), now.overShareWorth(), now.limits(), now.rules(), now.prices(), now.classes(),
             now.tenants()),
@@ -33,7 +33,7 @@
    * changed has the stricter of both. Guards against requests refused though they were right when they were
    * sent, and against an effect that happens twice as the rules changed under way.
    */
-  public static Terms meanwhile(Terms present, Terms next) {
+  public static NamedSettings duringTransition(NamedSettings present, NamedSettings next) {
     List<String> names = new ArrayList<>(next.names().classes());
     List<RequestClass> classes = new ArrayList<>(next.settings().classes());
     for (int i = 0; i < present.names().classes().size(); i++) {
@@ -48,7 +48,7 @@
       }
     }
     Settings s = next.settings();
-    return new Terms(
+    return new NamedSettings(
         new Settings(s.seed(), s.siblings(), s.zone(), s.listPushed(), s.weightSource(), s.originKind(),
             s.overShareWorth(), s.limits(), s.rules(), s.prices(), List.copyOf(classes), s.tenants()),
         new SocketSettings(List.copyOf(names), next.names().tenants(), next.names().zones(),
@@ -74,7 +74,7 @@
   }
 
   /** The event that takes the module from one set to the next. */
-  public static SettingsChanged change(Terms present, Terms next) {
+  public static SettingsChanged change(NamedSettings present, NamedSettings next) {
     return new SettingsChanged(next.settings(), places(next.names().classes(), present.names().classes()),
         places(next.names().tenants(), present.names().tenants()));
   }
--- a/src/test/java/beampoint/settings/TransitionTest.java
+++ b/src/test/java/beampoint/settings/TransitionTest.java
@@ -6,7 +6,7 @@
 import beampoint.Balancer.DedupGroup;
 import beampoint.Balancer.Idempotency;
 import beampoint.Balancer.RequestClass;
-import beampoint.settings.Transition.Terms;
+import beampoint.settings.Transition.NamedSettings;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.util.List;
@@ -21,15 +21,15 @@
         + "\",\"target-ms\":100,\"hard-limit-ms\":500" + more + "}";
   }
 
-  private static Terms terms(int attempts, String... lanes) throws InputException {
+  private static NamedSettings terms(int attempts, String... lanes) throws InputException {
     return inZones("[\"a\"]", attempts, lanes);
   }
 
-  private static Terms inZones(String zones, int attempts, String... lanes) throws InputException {
+  private static NamedSettings inZones(String zones, int attempts, String... lanes) throws InputException {
     JsonFields m = fields("{\"nonce64\":1,\"localities\":" + zones + ",\"skus\":[\"m\"],\"policy-limits\":"
         + "{\"max-attempts\":" + attempts + "},\"lanes\":[" + String.join(",", lanes) + "],"
         + "\"accounts\":[{\"name\":\"t" + attempts + "\"},{\"name\":\"both\"}]}");
-    return new Terms(SettingsReader.read(m), SocketSettings.read(m));
+    return new NamedSettings(SettingsReader.read(m), SocketSettings.read(m));
   }
 
   private static JsonFields fields(String json) {
@@ -37,14 +37,14 @@
   }
 
   private static RequestClass during(String before, String next) throws InputException {
-    return Transition.meanwhile(terms(2, before), terms(2, next)).settings().classes().get(0);
+    return Transition.duringTransition(terms(2, before), terms(2, next)).settings().classes().get(0);
   }
 
   @Test
   void aDroppedClassIsKnownForAWhileAndOneThatStaysKeepsWhatWasLearntByItsName() throws InputException {
-    Terms before = terms(4, lane("a", "safe", ""), lane("b", "safe", ""));
-    Terms next = terms(2, lane("new", "unsafe", ""), lane("b", "safe", ""));
-    Terms meanwhile = Transition.meanwhile(before, next);
+    NamedSettings before = terms(4, lane("a", "safe", ""), lane("b", "safe", ""));
+    NamedSettings next = terms(2, lane("new", "unsafe", ""), lane("b", "safe", ""));
+    NamedSettings meanwhile = Transition.duringTransition(before, next);
     assertEquals(List.of("new", "b", "a"), meanwhile.names().classes());
     assertEquals(2, meanwhile.settings().limits().maxAttempts());
     assertEquals(List.of(-1, 1, 0), Transition.change(before, meanwhile).formerClasses());
@@ -71,7 +71,8 @@
 
   @Test
   void howHostsAreNumberedStaysUntilTheNextStart() throws InputException {
-    Terms taken = Transition.taken(inZones("[\"a\",\"b\"]", 4), inZones("[\"b\",\"a\"]", 2));
+    NamedSettings taken =
+        Transition.keepStartupSettings(inZones("[\"a\",\"b\"]", 4), inZones("[\"b\",\"a\"]", 2));
     assertEquals(List.of("a", "b"), taken.names().zones());
     assertEquals(2, taken.settings().limits().maxAttempts());
   }
