--- a/src/main/java/beampoint/serve/Config.java
+++ b/src/main/java/beampoint/serve/Config.java
@@ -5,8 +5,8 @@
 import beampoint.settings.FleetSettings;
 import beampoint.settings.InputException;
 import beampoint.settings.JsonFields;
+import beampoint.settings.KeyPaths;
 import beampoint.settings.SettingsReader;
-import beampoint.settings.Shape;
 import beampoint.settings.SocketSettings;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
@@ -67,7 +67,7 @@
         top.text("ops", null) == null ? null : top.address("ops"),
         json.has("fleet") ? FleetSettings.read(top) : null, top.address("discovery"), seed,
         sockets, top.index("limits.memory_mb", 192), HostList.read(json.getAsJsonObject("known")),
-        SettingsReader.read(settings), SocketSettings.read(settings), Shape.of(own));
+        SettingsReader.read(settings), SocketSettings.read(settings), KeyPaths.of(own));
   }
 
   /** The same with a mark in place of the list of hosts, which has a form of its own and is long. */
--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -229,7 +229,7 @@
     }
     forget(exchange);
     give(new AttemptEnded(exchange.id(), attempt, endpoint, elapsed, result, exchange.isOver(),
-        directory.names().loads().named(load)));
+        directory.names().loads().parseNamed(load)));
   }
 
   @Override
--- a/src/main/java/beampoint/settings/Shape.java
+++ b/src/main/java/beampoint/settings/KeyPaths.java
@@ -7,9 +7,9 @@
 import java.util.TreeSet;
 
 /** Which keys a configuration has, at any depth; of the entries of a list, those that all have. */
-public final class Shape {
+public final class KeyPaths {
 
-  private Shape() {}
+  private KeyPaths() {}
 
   public static Set<String> of(JsonObject object) {
     Set<String> keys = new TreeSet<>();
--- a/src/main/java/beampoint/settings/LoadColumns.java
+++ b/src/main/java/beampoint/settings/LoadColumns.java
@@ -38,7 +38,7 @@
   }
 
   /** A report of names and values, as {@code queue=2,util=0.6}; null where none came or is to come. */
-  public Load named(String text) {
+  public Load parseNamed(String text) {
     if (text == null || names.isEmpty()) {
       return null;
     }
--- a/src/test/java/beampoint/settings/LoadColumnsTest.java
+++ b/src/test/java/beampoint/settings/LoadColumnsTest.java
@@ -55,19 +55,19 @@
     assertEquals(List.of("depth", "x1"), read(list).names());
     assertEquals(List.of("depth", "x1"), read(list.replace("[\"depth\",\"x1\"]", "\"depth,x1\"")).names());
     assertNull(read("{}").parse("1,2"));
-    assertNull(read("{}").named("queue=1"));
-    assertNull(read(list.replace("inline", "on_probe")).named("queue=1"));
+    assertNull(read("{}").parseNamed("queue=1"));
+    assertNull(read(list.replace("inline", "on_probe")).parseNamed("queue=1"));
   }
 
   @Test
   void aReportOfACacheNodeNamesItsValues() throws InputException {
     LoadColumns inline = new LoadColumns(List.of("depth", "load_share"));
-    assertEquals(new Load(2, 0.61), inline.named("inflight=7,queue=2,util=0.61"));
-    assertEquals(new Load(2, 0.61), inline.named("load_share=0.61,depth=2"));
-    assertTrue(Double.isNaN(inline.named("queue=2").utilisation()));
+    assertEquals(new Load(2, 0.61), inline.parseNamed("inflight=7,queue=2,util=0.61"));
+    assertEquals(new Load(2, 0.61), inline.parseNamed("load_share=0.61,depth=2"));
+    assertTrue(Double.isNaN(inline.parseNamed("queue=2").utilisation()));
     for (String odd : List.of("", ",", "=", "queue", "queue=", "=2", "queue=-1,util=x")) {
-      assertTrue(Double.isNaN(inline.named(odd).queue()), odd);
+      assertTrue(Double.isNaN(inline.parseNamed(odd).queue()), odd);
     }
-    assertNull(inline.named(null));
+    assertNull(inline.parseNamed(null));
   }
 }
--- a/src/test/java/beampoint/settings/TransitionTest.java
+++ b/src/test/java/beampoint/settings/TransitionTest.java
@@ -92,6 +92,6 @@
   void theShapeOfAListIsWhatAllItsEntriesHave() {
     JsonObject object = JsonParser.parseString(
         "{\"a\":{\"b\":1,\"none\":null},\"l\":[{\"x\":1,\"y\":2},{\"x\":3}],\"e\":[]}").getAsJsonObject();
-    assertEquals(Set.of("a", "a.b", "l", "l.*.x", "e"), Shape.of(object));
+    assertEquals(Set.of("a", "a.b", "l", "l.*.x", "e"), KeyPaths.of(object));
   }
 }
