--- a/src/main/java/beampoint/discovery/HostListWatcher.java
+++ b/src/main/java/beampoint/discovery/HostListWatcher.java
@@ -105,7 +105,7 @@
     this.answerMs = answerMs;
     this.writer = new HttpWriter(transport.getMemoryManager());
     FilterChainBuilder chain = FilterChainBuilder.stateless().add(new PeerFilter())
-        .add(new HttpFilter(HttpFilter.Side.ANSWERS)).add(new Events());
+        .add(new HttpFilter(HttpFilter.Side.RESPONSES)).add(new Events());
     this.connector = TCPNIOConnectorHandler.builder(transport).processor(chain.build()).build();
   }
 
--- a/src/main/java/beampoint/emulator/ControlScenario.java
+++ b/src/main/java/beampoint/emulator/ControlScenario.java
@@ -62,10 +62,10 @@
 
   private static ControlScenario parse(Yaml top) throws InputException {
     if (top.whole("version", Double.NaN, -1_000_000, 1_000_000) != VERSION) {
-      throw top.wrong("version", "this program reads version " + VERSION + " only");
+      throw top.invalid("version", "this program reads version " + VERSION + " only");
     }
     if (!top.text("model", null).equals(MODEL)) {
-      throw top.wrong("model", "only '" + MODEL + "' is known");
+      throw top.invalid("model", "only '" + MODEL + "' is known");
     }
     double seconds = top.number("seconds", Double.NaN, 1, LONGEST);
     Size size = size(top);
@@ -79,7 +79,7 @@
         membership(top.fields("membership"), size), top.whole("fan_out", 1, 0, 4),
         network(top.fields("network")), changes(top.fields("changes")), limits(top.fields("limits")),
         List.copyOf(faults));
-    top.end();
+    top.rejectUnknownFields();
     return scenario;
   }
 
@@ -94,7 +94,7 @@
   private static Membership membership(Yaml fields, Size size) throws InputException {
     Membership membership = new Membership(fields.whole("members", 0, 0, size.proxies()),
         fields.number("bytes_s", 1_114, 0, 1e6));
-    fields.end();
+    fields.rejectUnknownFields();
     return membership;
   }
 
@@ -103,7 +103,7 @@
         fields.number("region_ms", 5, 0, 1_000), fields.number("far_ms", 40, 0, 1_000),
         fields.number("jitter_ms", 5, 0, 1_000), fields.number("loss", 0, 0, 0.5),
         fields.number("repeats", 0, 0, 0.5));
-    fields.end();
+    fields.rejectUnknownFields();
     return network;
   }
 
@@ -111,7 +111,7 @@
     Changes changes = new Changes(fields.number("purges_per_s", 27, 0.1, 1_000),
         fields.number("configurations_per_day", 3_100, 0, 1e6) / SECONDS_A_DAY,
         fields.whole("document_bytes", 2_000, 2, 60_000));
-    fields.end();
+    fields.rejectUnknownFields();
     return changes;
   }
 
@@ -120,19 +120,19 @@
         fields.number("heap_mb", 32, 0.1, 1e5),
         fields.number("cpu_part", 0.032, 1e-6, 64), fields.number("purge_ms", 2_400, 1, 1e6),
         fields.number("config_ms", 18_000, 1, 1e6));
-    fields.end();
+    fields.rejectUnknownFields();
     return limits;
   }
 
   private static Fault fault(Yaml fields, Size size, double seconds) throws InputException {
-    What what = fields.word("what", null, What.class);
+    What what = fields.enumValue("what", null, What.class);
     String field = what == What.ZONE_LOST ? "zone" : "region";
     int most = what == What.ZONE_LOST ? size.zones() - 1 : size.regions() - 1;
     int place = fields.whole(field, Double.NaN, 0, most);
     double at = fields.number("at_s", Double.NaN, 0, seconds);
     Fault fault = new Fault(what, place, 1_000 * at,
         1_000 * fields.number("for_s", Double.NaN, 0.1, seconds - at));
-    fields.end();
+    fields.rejectUnknownFields();
     return fault;
   }
 
--- a/src/main/java/beampoint/emulator/Scenario.java
+++ b/src/main/java/beampoint/emulator/Scenario.java
@@ -95,7 +95,7 @@
 
   private static Scenario parse(Yaml top) throws InputException {
     if (top.whole("version", Double.NaN, -1_000_000, 1_000_000) != VERSION) {
-      throw top.wrong("version", "this program reads version " + VERSION + " only");
+      throw top.invalid("version", "this program reads version " + VERSION + " only");
     }
     double length = 1000 * top.number("seconds", Double.NaN, 1, DAY);
     int zones = top.whole("zones", 1, 1, MAX_ZONES);
@@ -108,7 +108,7 @@
       double quota = tenant.number("quota_per_s", Double.NaN, 0.001, 1e6);
       tenants.add(new Client(tenant.text("name", null), quota,
           tenant.number("sends_per_s", quota, 0.001, 1e6)));
-      tenant.end();
+      tenant.rejectUnknownFields();
     }
     List<Fault> faults = new ArrayList<>();
     for (Yaml fault : top.list("faults", 0)) {
@@ -122,19 +122,20 @@
         List.copyOf(tenants), keys(top.fields("keys")), caches(top.fields("caches")),
         origin(top.fields("origin")), clients(top.fields("clients")),
         top.number("discovery_ms", 1000, 0, 60_000), List.copyOf(faults));
-    top.end();
+    top.rejectUnknownFields();
     return scenario;
   }
 
   private static Kind kind(Yaml fields) throws InputException {
     double deadline = fields.number("deadline_ms", Double.NaN, 1, 600_000);
-    RequestClass rules = new RequestClass(fields.word("effect", Idempotency.SAFE, Idempotency.class),
-        fields.word("dedup", DedupGroup.ALL, DedupGroup.class), fields.number("dedup_ms", 2000, 0, 600_000),
-        fields.number("aim_ms", deadline, 1, deadline), deadline, fields.number("worth", 1, 0, 1000),
+    RequestClass rules = new RequestClass(fields.enumValue("effect", Idempotency.SAFE, Idempotency.class),
+        fields.enumValue("dedup", DedupGroup.ALL, DedupGroup.class),
+        fields.number("dedup_ms", 2000, 0, 600_000), fields.number("aim_ms", deadline, 1, deadline), deadline,
+        fields.number("worth", 1, 0, 1000),
         fields.number("late_worth", 0, 0, 1));
     Kind kind = new Kind(fields.text("name", null), fields.number("share", 1, 0, 1e6),
         fields.number("work_ms", Double.NaN, 0.001, 60_000), fields.flag("write", false), rules);
-    fields.end();
+    fields.rejectUnknownFields();
     return kind;
   }
 
@@ -142,7 +143,7 @@
     Limits limits = new Limits(fields.whole("attempts", 3, 1, 100), false, fields.flag("probes", false),
         fields.flag("retry_advice", true), fields.number("longest_advice_ms", 400, 0, 60_000),
         fields.number("connect_ms", 50, 1, 60_000));
-    fields.end();
+    fields.rejectUnknownFields();
     return limits;
   }
 
@@ -150,7 +151,7 @@
     Rules rules = new Rules(fields.number("drain_grace_ms", 1000, 0, 60_000),
         fields.number("fall_multiple", 3, 1, 100), fields.number("fall_window_ms", 2000, 1, 60_000),
         fields.number("cold_from", 0.2, 0.001, 1), fields.number("warm_up_ms", 20_000, 0, 600_000), 10_000);
-    fields.end();
+    fields.rejectUnknownFields();
     return rules;
   }
 
@@ -158,14 +159,14 @@
     Prices prices = new Prices(fields.number("hundred_connections", 0, 0, 1),
         fields.number("handshake", 0, 0, 1), fields.number("probe", 0.01, 0, 1),
         fields.number("cross_zone", 0, 0, 1));
-    fields.end();
+    fields.rejectUnknownFields();
     return prices;
   }
 
   private static Keys keys(Yaml fields) throws InputException {
     Keys keys = new Keys(fields.whole("count", 20_000, 1, 50_000_000), fields.number("zipf", 0.9, 0, 5),
         fields.number("drift_per_s", 0, 0, 1e6));
-    fields.end();
+    fields.rejectUnknownFields();
     return keys;
   }
 
@@ -175,7 +176,7 @@
         fields.whole("memory_keys", 2000, 1, 50_000_000), fields.whole("connections", 1000, 1, 1_000_000),
         fields.number("handshake_ms", 0.5, 0, 1000), fields.number("idle_ms", 10_000, 1, 3_600_000),
         fields.number("miss_part", 0.2, 0.001, 1), fields.number("filled", 1, 0, 1));
-    fields.end();
+    fields.rejectUnknownFields();
     return caches;
   }
 
@@ -184,7 +185,7 @@
         fields.number("work_ms", 100, 0.001, 60_000), fields.whole("queue", 200, 0, 1_000_000),
         fields.number("stop_multiple", 3, 1, 1000), fields.number("stop_window_ms", 3000, 1, 60_000),
         fields.number("stopped_ms", 3000, 0, 600_000));
-    fields.end();
+    fields.rejectUnknownFields();
     return origin;
   }
 
@@ -192,22 +193,22 @@
     Clients clients = new Clients(fields.whole("retries", 2, 0, 100),
         fields.number("wait_ms", 200, 0, 60_000), fields.number("try_part", 0.6, 0.01, 1),
         fields.number("front_notices_ms", 2000, 0, 60_000));
-    fields.end();
+    fields.rejectUnknownFields();
     return clients;
   }
 
   private static Fault fault(Yaml fields, int zones, List<Client> tenants) throws InputException {
-    What what = fields.word("what", null, What.class);
+    What what = fields.enumValue("what", null, What.class);
     String tenant = fields.text("tenant", "");
     if (what == What.SURGE && tenants.stream().noneMatch(t -> t.name().equals(tenant))) {
-      throw fields.wrong("tenant", "no tenant of this scenario: '" + tenant + "'");
+      throw fields.invalid("tenant", "no tenant of this scenario: '" + tenant + "'");
     }
     boolean errors = what == What.ERRORS;
     Fault fault = new Fault(what, 1000 * fields.number("at_s", Double.NaN, 0, DAY),
         1000 * fields.number("for_s", 5, 0, DAY), fields.number("part", 0.25, 0, 1),
         fields.number("factor", errors ? 0.5 : 4, 0, errors ? 1 : 1000), tenant,
         fields.whole("zone", -1, -1, zones - 1));
-    fields.end();
+    fields.rejectUnknownFields();
     return fault;
   }
 
--- a/src/main/java/beampoint/experiment/Plan.java
+++ b/src/main/java/beampoint/experiment/Plan.java
@@ -26,12 +26,12 @@
   public static Plan read(Path file) throws InputException {
     Yaml top = Yaml.read(file);
     if (top.whole("version", Double.NaN, -1_000_000, 1_000_000) != VERSION) {
-      throw top.wrong("version", "this program reads version " + VERSION + " only");
+      throw top.invalid("version", "this program reads version " + VERSION + " only");
     }
     Path scenario = file.toAbsolutePath().resolveSibling(top.text("scenario", null));
     int repeats = top.whole("repeats", Double.NaN, 1, 100_000);
     if (repeats < MIN_REPEATS) {
-      throw top.wrong("repeats", repeats + " are too few for an interval, which needs " + MIN_REPEATS);
+      throw top.invalid("repeats", repeats + " are too few for an interval, which needs " + MIN_REPEATS);
     }
     long firstSeed = (long) top.number("first_seed", 1, 0, 1e15);
     String named = top.text("figures", String.join(" ", DEFAULT_FIGURES));
@@ -39,21 +39,21 @@
     for (Yaml fields : top.list("variants", 2)) {
       String name = fields.text("name", null);
       if (variants.stream().anyMatch(v -> v.name().equals(name))) {
-        throw fields.wrong("name", "stands twice: '" + name + "'");
+        throw fields.invalid("name", "stands twice: '" + name + "'");
       }
       Map<String, String> changes = fields.fields("set").texts();
-      fields.end();
+      fields.rejectUnknownFields();
       variants.add(new Variant(name, changes, Scenario.read(scenario, changes)));
     }
     List<String> figures = List.of(named.trim().split("[ ,]+"));
     for (Variant variant : variants) {
       for (String figure : figures) {
         if (!Report.names(variant.scenario()).contains(figure)) {
-          throw top.wrong("figures", "no figure of variant '" + variant.name() + "': '" + figure + "'");
+          throw top.invalid("figures", "no figure of variant '" + variant.name() + "': '" + figure + "'");
         }
       }
     }
-    top.end();
+    top.rejectUnknownFields();
     return new Plan(file, scenario, repeats, firstSeed, figures, List.copyOf(variants));
   }
 }
--- a/src/main/java/beampoint/http/HttpFilter.java
+++ b/src/main/java/beampoint/http/HttpFilter.java
@@ -23,7 +23,7 @@
   private enum Part { HEAD, BODY, UNTIL_CLOSE, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER }
 
   /** Whose messages are read. */
-  public enum Side { ANSWERS, REQUESTS }
+  public enum Side { RESPONSES, REQUESTS }
 
   /** Where the reading of one connection stands. */
   static final class Progress {
--- a/src/main/java/beampoint/upstream/ConnectionPools.java
+++ b/src/main/java/beampoint/upstream/ConnectionPools.java
@@ -75,7 +75,7 @@
     this.counters = counters;
     this.user = user;
     this.toCaches = connector(new ReplyFilter(transport.getMemoryManager()));
-    this.toOrigin = connector(new HttpFilter(HttpFilter.Side.ANSWERS));
+    this.toOrigin = connector(new HttpFilter(HttpFilter.Side.RESPONSES));
   }
 
   private TCPNIOConnectorHandler connector(Filter codec) {
--- a/src/main/java/beampoint/yaml/Yaml.java
+++ b/src/main/java/beampoint/yaml/Yaml.java
@@ -115,7 +115,7 @@
       node.getValue().add(new NodeTuple(new ScalarNode(Tag.STR, name, ScalarStyle.PLAIN), found));
     }
     if (!(found instanceof MappingNode mapping)) {
-      throw wrong(node, name, "no place for '" + at + "'");
+      throw invalid(node, name, "no place for '" + at + "'");
     }
     return new Yaml(file, path + name + ".", mapping);
   }
@@ -123,7 +123,7 @@
   private void checkNames(MappingNode mapping, Set<String> names) throws InputException {
     for (NodeTuple entry : mapping.getValue()) {
       if (!(entry.getKeyNode() instanceof ScalarNode name) || !names.add(name.getValue())) {
-        throw wrong(entry.getKeyNode(), "", "a field's name that is no text, or stands twice");
+        throw invalid(entry.getKeyNode(), "", "a field's name that is no text, or stands twice");
       }
     }
   }
@@ -138,15 +138,15 @@
     return null;
   }
 
-  private InputException wrong(Node at, String field, String what) {
+  private InputException invalid(Node at, String field, String what) {
     int line = at.getStartMark().map(Mark::getLine).orElse(0) + 1;
     return new InputException(file + ", line " + line + ", field '" + path + field + "': " + what);
   }
 
   /** What a caller finds wrong with a field's value. */
-  public InputException wrong(String field, String what) {
+  public InputException invalid(String field, String what) {
     Node found = find(field);
-    return wrong(found == null ? node : found, field, what);
+    return invalid(found == null ? node : found, field, what);
   }
 
   /** A text; null as the usual one says that it must be there. */
@@ -154,12 +154,12 @@
     Node found = find(field);
     if (found == null) {
       if (usual == null) {
-        throw wrong(node, field, "missing");
+        throw invalid(node, field, "missing");
       }
       return usual;
     }
     if (!(found instanceof ScalarNode scalar) || scalar.getValue().isEmpty()) {
-      throw wrong(found, field, "no text");
+      throw invalid(found, field, "no text");
     }
     return scalar.getValue();
   }
@@ -171,10 +171,10 @@
     try {
       number = Double.parseDouble(text);
     } catch (NumberFormatException e) {
-      throw wrong(field, "no number: '" + text + "'");
+      throw invalid(field, "no number: '" + text + "'");
     }
     if (!(number >= least && number <= most)) {
-      throw wrong(field, text + " is not from " + shown(least) + " to " + shown(most));
+      throw invalid(field, text + " is not from " + shown(least) + " to " + shown(most));
     }
     return number;
   }
@@ -187,7 +187,7 @@
   public int whole(String field, double usual, int least, int most) throws InputException {
     double number = number(field, usual, least, most);
     if (number != Math.rint(number)) {
-      throw wrong(field, "no whole number: " + number);
+      throw invalid(field, "no whole number: " + number);
     }
     return (int) number;
   }
@@ -196,13 +196,13 @@
   public boolean flag(String field, boolean usual) throws InputException {
     String text = text(field, Boolean.toString(usual));
     if (!text.equals("true") && !text.equals("false")) {
-      throw wrong(field, "neither true nor false: '" + text + "'");
+      throw invalid(field, "neither true nor false: '" + text + "'");
     }
     return text.equals("true");
   }
 
   /** One of some words. */
-  public <E extends Enum<E>> E word(String field, E usual, Class<E> words) throws InputException {
+  public <E extends Enum<E>> E enumValue(String field, E usual, Class<E> words) throws InputException {
     String text = text(field, usual == null ? null : usual.name().toLowerCase(Locale.ROOT));
     for (E word : words.getEnumConstants()) {
       if (word.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(text.replace('_', '-'))) {
@@ -213,7 +213,7 @@
     for (E word : words.getEnumConstants()) {
       all.add(word.name().toLowerCase(Locale.ROOT).replace('_', '-'));
     }
-    throw wrong(field, "'" + text + "' is none of " + String.join(", ", all));
+    throw invalid(field, "'" + text + "' is none of " + String.join(", ", all));
   }
 
   /** A mapping below this one; one without fields where it is missing. */
@@ -228,7 +228,7 @@
 
   private Yaml mapping(Node found, String field) throws InputException {
     if (!(found instanceof MappingNode mapping)) {
-      throw wrong(found, field, "no mapping of fields to values");
+      throw invalid(found, field, "no mapping of fields to values");
     }
     Yaml yaml = new Yaml(file, path + field + ".", mapping);
     yaml.checkNames(mapping, new HashSet<>());
@@ -244,20 +244,20 @@
         entries.add(mapping(entry, field + "[" + entries.size() + "]"));
       }
     } else if (found != null) {
-      throw wrong(found, field, "no list");
+      throw invalid(found, field, "no list");
     }
     if (entries.size() < least) {
-      throw wrong(field, "fewer than " + least + " entries");
+      throw invalid(field, "fewer than " + least + " entries");
     }
     return entries;
   }
 
   /** Guards against a field whose name is wrong, which would have no effect. */
-  public void end() throws InputException {
+  public void rejectUnknownFields() throws InputException {
     for (NodeTuple entry : node.getValue()) {
       String name = ((ScalarNode) entry.getKeyNode()).getValue();
       if (!taken.contains(name)) {
-        throw wrong(entry.getKeyNode(), name, "unknown");
+        throw invalid(entry.getKeyNode(), name, "unknown");
       }
     }
   }
--- a/src/test/java/beampoint/http/HttpFilterTest.java
+++ b/src/test/java/beampoint/http/HttpFilterTest.java
@@ -23,7 +23,7 @@
   }
 
   private static Object parse(HttpFilter.Progress progress, Buffer in) throws HttpException {
-    return HttpFilter.parse(Side.ANSWERS, progress, in);
+    return HttpFilter.parse(Side.RESPONSES, progress, in);
   }
 
   /** What is read of a text that comes in pieces of this size: heads, bodies joined, a bar at each end. */
@@ -81,10 +81,10 @@
       for (String more : new String[] {"", "x"}) {
         Buffer in = buffer("HTTP/1.1 200 OK\r\n" + answer + more);
         HttpFilter.Progress progress = new HttpFilter.Progress();
-        Object last = HttpFilter.parse(Side.ANSWERS, progress, in);
+        Object last = HttpFilter.parse(Side.RESPONSES, progress, in);
         while (!(last instanceof HttpHead head && head.whole())
             && !(last instanceof HttpContent content && content.last())) {
-          last = HttpFilter.parse(Side.ANSWERS, progress, in);
+          last = HttpFilter.parse(Side.RESPONSES, progress, in);
         }
         boolean surplus = last instanceof HttpHead head ? head.surplus() : ((HttpContent) last).surplus();
         assertEquals(!more.isEmpty(), surplus, answer);
