--- a/src/benchmark/java/beampoint/discovery/ListBenchmark.java
+++ b/src/benchmark/java/beampoint/discovery/ListBenchmark.java
@@ -67,7 +67,7 @@
     ListText text = new ListText();
     String complete = null;
     for (byte next : line) {
-      complete = text.take(next);
+      complete = text.append(next);
     }
     return HostList.parse(complete);
   }
--- a/src/main/java/beampoint/discovery/HostListWatcher.java
+++ b/src/main/java/beampoint/discovery/HostListWatcher.java
@@ -33,307 +33,334 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * Follows the list of hosts. A watch that breaks, or is silent for longer than discovery ever is, is asked
- * for again after a wait that grows and is scattered, lest all proxies come back at once. Belongs to the
- * decision thread.
+ * Follows the list of hosts: keeps a watch, a long-lived HTTP request, open at discovery and passes on each
+ * list that it delivers. A watch that breaks, or that delivers neither a list nor a heartbeat in time, is
+ * opened again after a growing backoff with jitter, so that the proxies of a fleet do not all reconnect at
+ * once. Confined to the decision thread.
  */
 public final class HostListWatcher {
 
   private static final Log LOG = Log.of("discovery");
-  /** The heartbeat time-out: an empty line comes every 2 s, and what it should tell counts after 6 s. */
+  /**
+   * How long a watch may deliver nothing. Discovery sends a heartbeat, an empty line, every 2 s, and expects
+   * a proxy to know a change 6 s after it, even if its watch was silent.
+   */
   public static final long HEARTBEAT_TIMEOUT_MS = 3000;
-  /** Until an answer begins, with its connection: who answers at all does so at once. */
+  /** Time for connecting and for the response head together; a running discovery responds at once. */
   public static final long ANSWER_TIMEOUT_MS = 200;
   private static final long FIRST_BACKOFF_MS = 100;
-  static final long MAX_BACKOFF_MS = 150; // what is told counts soon after it could be heard
-  private static final long PAUSE_MS = 1;
-  private static final int MAX_LATE_CALLS = 6; // without an answer that are read on
-  /** Of one list: 4,096 entries of 512 bytes, as indented ones with long names have. */
+  // Short, as a proxy is expected to know a change soon after discovery can be reached.
+  static final long MAX_BACKOFF_MS = 150;
+  private static final long PENDING_READS_DELAY_MS = 1;
+  private static final int MAX_UNANSWERED_WATCHES = 6; // kept open beside the current one
+  /** The longest list: 4,096 entries of 512 bytes, the size of indented entries with long names. */
   static final int MAX_LIST_BYTES = 4_096 * 512;
 
   private final ScheduledExecutorService loop;
   private final Counters counters;
   private final Random random;
-  private final Consumer<HostList> listed;
-  private final Runnable broken;
-  private final long silenceMs;
-  private final long answerMs;
+  private final Consumer<HostList> onList;
+  private final Runnable onBreak;
+  private final long heartbeatTimeoutMs;
+  private final long answerTimeoutMs;
   private final HttpWriter writer;
   private final TCPNIOConnectorHandler connector;
   private InetSocketAddress address;
   private long version;
-  private Call call;
-  private Call before; // at the address that was left, until the new one has brought something
-  private final Set<Call> late = new LinkedHashSet<>(); // without an answer, beside those made after them
-  private long wait = FIRST_BACKOFF_MS;
-  private Consumer<WatchResult> afterCall = contact -> {}; // told of each outcome of a call
+  private Watch current;
+  private Watch previous; // at the former address, until the watch at the new one has delivered something
+  private final Set<Watch> unanswered = new LinkedHashSet<>(); // still open beside later ones, oldest first
+  private long backoffMs = FIRST_BACKOFF_MS;
+  private Consumer<WatchResult> resultListener = result -> {};
 
-  /** What a call has shown: a list or that nothing changed, or that discovery can't be reached for now. */
+  /** RECEIVED: a list or a heartbeat was received. FAILED: the current watch broke or was not answered. */
   public enum WatchResult {
     RECEIVED, FAILED
   }
 
-  /** One watch, from its connection to its end. */
-  private static final class Call {
+  /** One watch request, from connecting to its end. */
+  private static final class Watch {
     private final InetSocketAddress address;
     private final String host;
     private Connection<?> connection;
-    private boolean heard; // a list, or the empty line that stands for no change
+    private boolean received; // a list, or the empty line that is a heartbeat
     private Future<?> connecting;
-    private Future<?> silence;
+    private Future<?> timeout;
     private final ListText text = new ListText();
 
-    Call(InetSocketAddress address) {
+    Watch(InetSocketAddress address) {
       this.address = address;
       this.host = Address.text(address);
     }
   }
 
-  /** The given call back is told of every list, {@code broken} of every end of a watch. */
+  /**
+   * Makes a watcher, which does nothing before {@link #follow}.
+   *
+   * @param loop the decision thread
+   * @param random the source of jitter
+   * @param address the address of discovery
+   * @param version the version of the list that is known already, 0 to get the whole list
+   * @param onList is called with each list that is received
+   * @param onBreak is called each time the current watch breaks or is not answered in time
+   * @param heartbeatTimeoutMs how long a watch may deliver nothing, as {@link #HEARTBEAT_TIMEOUT_MS}
+   * @param answerTimeoutMs the time until a response begins, as {@link #ANSWER_TIMEOUT_MS}
+   */
   public HostListWatcher(TCPNIOTransport transport, ScheduledExecutorService loop, Counters counters,
       Random random,
-      InetSocketAddress address, long version, Consumer<HostList> listed, Runnable broken,
-      long silenceMs, long answerMs) {
+      InetSocketAddress address, long version, Consumer<HostList> onList, Runnable onBreak,
+      long heartbeatTimeoutMs, long answerTimeoutMs) {
     this.loop = loop;
     this.counters = counters;
     this.random = random;
     this.address = address;
     this.version = version;
-    this.listed = listed;
-    this.broken = broken;
-    this.silenceMs = silenceMs;
-    this.answerMs = answerMs;
+    this.onList = onList;
+    this.onBreak = onBreak;
+    this.heartbeatTimeoutMs = heartbeatTimeoutMs;
+    this.answerTimeoutMs = answerTimeoutMs;
     this.writer = new HttpWriter(transport.getMemoryManager());
     FilterChainBuilder chain = FilterChainBuilder.stateless().add(new PeerFilter())
         .add(new HttpFilter(HttpFilter.Side.RESPONSES)).add(new Events());
     this.connector = TCPNIOConnectorHandler.builder(transport).processor(chain.build()).build();
   }
 
-  /** Hands on what was read, as tasks that run once all that is ready has been read. */
+  /** Passes on what was read as tasks, which run after all pending reads. */
   private final class Events extends BaseFilter {
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) {
       Connection<?> connection = ctx.getConnection();
       Object message = ctx.getMessage();
-      loop.execute(() -> read(callOn(connection), message));
+      loop.execute(() -> read(watchOn(connection), message));
       return ctx.getStopAction();
     }
 
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
       Connection<?> connection = ctx.getConnection();
-      loop.execute(() -> end(callOn(connection), "closed by discovery"));
+      loop.execute(() -> end(watchOn(connection), "connection closed by discovery"));
       return ctx.getInvokeAction();
     }
   }
 
-  /** The call that a connection serves, or null. */
-  private Call callOn(Connection<?> connection) {
-    return Stream.concat(Stream.of(call, before).filter(Objects::nonNull), late.stream())
-        .filter(own -> own.connection == connection).findFirst().orElse(null);
+  /** The open watch on a connection, or null. */
+  private Watch watchOn(Connection<?> connection) {
+    return Stream.concat(Stream.of(current, previous).filter(Objects::nonNull), unanswered.stream())
+        .filter(watch -> watch.connection == connection).findFirst().orElse(null);
   }
 
-  /** Runs a task with every sign of a call's outcome, after the list that it brought. */
-  public void onWatchResult(Consumer<WatchResult> task) {
-    afterCall = task;
+  /** Sets the listener for each list, heartbeat and failure; it is called after the list was passed on. */
+  public void onWatchResult(Consumer<WatchResult> listener) {
+    resultListener = listener;
   }
 
-  /** True while a call is out. */
+  /** True while a current watch is open or connecting. */
   public boolean isWatching() {
-    return call != null;
+    return current != null;
   }
 
-  /** Asks for the changes from the last version on; a watch that is open is given up. */
+  /** Opens a watch for the changes since the last version, in place of the current one. */
   public void follow() {
-    drop(call);
-    Call own = new Call(address);
-    call = own;
-    listen(own, answerMs, () -> waitBeside(own));
-    var made = connector.connect(own.address);
-    own.connecting = made;
-    made.addCompletionHandler(new EmptyCompletionHandler<>() {
+    close(current);
+    Watch watch = new Watch(address);
+    current = watch;
+    restartTimeout(watch, answerTimeoutMs, () -> keepUnanswered(watch));
+    var connecting = connector.connect(watch.address);
+    watch.connecting = connecting;
+    connecting.addCompletionHandler(new EmptyCompletionHandler<>() {
       @Override
       public void completed(@SuppressWarnings("rawtypes") Connection connection) {
-        loop.execute(() -> connected(own, connection));
+        loop.execute(() -> connected(watch, connection));
       }
 
       @Override
       public void failed(Throwable cause) {
-        loop.execute(() -> end(own, "not reached: " + cause.getMessage()));
+        loop.execute(() -> end(watch, "connect failed: " + cause.getMessage()));
       }
     });
   }
 
   /**
-   * Follows the list at another address. Guards against a gap: the watch that is open is read on until the
-   * new one has brought something. False where none is open: who asks next asks there.
+   * Follows the list at another address. A watch that has delivered something stays open until the one at the
+   * new address has delivered something too, so that no change is missed in between. Returns false where
+   * there is no current watch and none is opened; the next one will use the new address.
    */
-  public boolean move(InetSocketAddress to) {
-    address = to;
-    wait = FIRST_BACKOFF_MS;
-    List.copyOf(late).forEach(this::drop);
-    if (call == null) {
+  public boolean move(InetSocketAddress newAddress) {
+    address = newAddress;
+    backoffMs = FIRST_BACKOFF_MS;
+    List.copyOf(unanswered).forEach(this::close);
+    if (current == null) {
       return false;
     }
-    if (call.heard) {
-      drop(before);
-      before = call;
-      call = null;
+    if (current.received) {
+      close(previous);
+      previous = current;
+      current = null;
     }
     follow();
     return true;
   }
 
-  /** Asks again after a while; every wait without a word between is longer. */
+  /**
+   * Opens a watch after a backoff with jitter. The backoff doubles with each call, up to its limit, until
+   * something is received.
+   */
   public void followLater() {
-    long scattered = wait / 2 + (long) (random.nextDouble() * wait);
-    wait = Math.min(MAX_BACKOFF_MS, wait * 2);
+    long delayMs = backoffMs / 2 + (long) (random.nextDouble() * backoffMs);
+    backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     loop.schedule(() -> {
-      if (call == null) {
+      if (current == null) {
         follow();
       }
-    }, scattered, TimeUnit.MILLISECONDS);
+    }, delayMs, TimeUnit.MILLISECONDS);
   }
 
-  private void connected(Call own, Connection<?> connection) {
-    if (!isOpen(own)) {
+  private void connected(Watch watch, Connection<?> connection) {
+    if (!isOpen(watch)) {
       connection.terminateSilently();
       return;
     }
-    own.connection = connection;
-    connection.write(writer.get("/discovery/hosts?watch=1&from=" + version, own.host));
+    watch.connection = connection;
+    connection.write(writer.get("/discovery/hosts?watch=1&from=" + version, watch.host));
   }
 
-  private void read(Call own, Object message) {
-    if (own == null) {
+  private void read(Watch watch, Object message) {
+    if (watch == null) {
       return;
     }
     if (message instanceof HttpFault fault) {
-      end(own, fault.problem());
+      end(watch, fault.problem());
     } else if (message instanceof HttpHead head) {
       if (head.status() != 200 || head.whole()) {
-        end(own, "answered " + head.status());
+        end(watch, "HTTP status " + head.status());
       } else {
-        answered(own);
+        responded(watch);
       }
     } else if (message instanceof HttpContent content) {
-      take(own, content.bytes());
+      receive(watch, content.bytes());
       if (content.last()) {
-        end(own, "ended by discovery");
+        end(watch, "response ended by discovery");
       }
     }
   }
 
-  private boolean isOpen(Call own) {
-    return own != null && (own == call || own == before || late.contains(own));
+  private boolean isOpen(Watch watch) {
+    return watch != null && (watch == current || watch == previous || unanswered.contains(watch));
   }
 
-  /** The first call that is answered is the one; others that wait beside it are given up. */
-  private void answered(Call own) {
-    listen(own, silenceMs, () -> end(own, "silent"));
-    if (late.remove(own)) {
-      drop(call);
-      call = own;
+  /** The first watch that is answered becomes the current one; others that wait for an answer are closed. */
+  private void responded(Watch watch) {
+    restartTimeout(watch, heartbeatTimeoutMs,
+        () -> end(watch, "no data within " + heartbeatTimeoutMs + " ms"));
+    if (unanswered.remove(watch)) {
+      close(current);
+      current = watch;
     }
-    if (own == call) {
-      List.copyOf(late).forEach(this::drop);
+    if (watch == current) {
+      List.copyOf(unanswered).forEach(this::close);
     }
   }
 
   /**
-   * Guards against a call that crossed the moment in which discovery came back: who answers at all does so at
-   * once, so another call is made soon. This one is read on beside it, should all answers be slow.
+   * Counts the current watch as broken, as its response has not begun in time, but leaves it open beside the
+   * one that follows. A request may be lost at the moment in which discovery comes back. A running discovery
+   * responds at once, so another request follows soon; this one stays open in case all responses are slow.
    */
-  private void waitBeside(Call own) {
-    if (own != call) {
+  private void keepUnanswered(Watch watch) {
+    if (watch != current) {
       return;
     }
-    call = null;
-    late.add(own);
-    if (late.size() > MAX_LATE_CALLS) {
-      drop(late.iterator().next());
+    current = null;
+    unanswered.add(watch);
+    if (unanswered.size() > MAX_UNANSWERED_WATCHES) {
+      close(unanswered.iterator().next());
     }
-    listen(own, silenceMs - answerMs, () -> end(own, "not answered"));
+    restartTimeout(watch, heartbeatTimeoutMs - answerTimeoutMs,
+        () -> end(watch, "no response within " + heartbeatTimeoutMs + " ms"));
     counters.add(Counter.WATCHES_BROKEN);
-    broken.run();
-    afterCall.accept(WatchResult.FAILED);
+    onBreak.run();
+    resultListener.accept(WatchResult.FAILED);
   }
 
-  private void take(Call own, Buffer bytes) {
-    for (int i = bytes.position(); i < bytes.limit() && isOpen(own); i++) {
-      String text = own.text.take(bytes.get(i));
+  private void receive(Watch watch, Buffer bytes) {
+    for (int i = bytes.position(); i < bytes.limit() && isOpen(watch); i++) {
+      String text = watch.text.append(bytes.get(i));
       if (text != null) {
-        line(own, text);
-      } else if (own.text.length() > MAX_LIST_BYTES) {
-        end(own, "list too long");
+        received(watch, text);
+      } else if (watch.text.length() > MAX_LIST_BYTES) {
+        end(watch, "list longer than " + MAX_LIST_BYTES + " bytes");
       }
     }
   }
 
-  private void line(Call own, String text) {
+  /** Handles the text of a list, or the empty text of a heartbeat. */
+  private void received(Watch watch, String text) {
     HostList list = null;
     try {
       list = text.isEmpty() ? null : HostList.parse(text);
     } catch (JsonParseException e) {
-      version = 0; // what it held is lost: the next watch must bring the whole list
-      end(own, e.getMessage());
+      version = 0; // the changes in it are lost, so the next watch must deliver the whole list
+      end(watch, e.getMessage());
       return;
     }
-    own.heard = true;
-    listen(own, silenceMs, () -> end(own, "silent"));
-    // Guards against a watch that falls silent again and is asked for too late: its address answers.
-    wait = FIRST_BACKOFF_MS;
-    if (own == call) {
-      drop(before);
+    watch.received = true;
+    restartTimeout(watch, heartbeatTimeoutMs,
+        () -> end(watch, "no data within " + heartbeatTimeoutMs + " ms"));
+    // The address responds, so a watch that breaks or falls silent again is reopened without a long backoff.
+    backoffMs = FIRST_BACKOFF_MS;
+    if (watch == current) {
+      close(previous);
     }
     if (list != null) {
       version = list.version();
       counters.add(Counter.LISTS_RECEIVED);
-      listed.accept(list);
+      onList.accept(list);
     }
-    afterCall.accept(WatchResult.RECEIVED);
+    resultListener.accept(WatchResult.RECEIVED);
   }
 
   /**
-   * Guards against a discovery that is down and says nothing, or nothing whole: its connection would never
-   * end. Where this process itself was held up, what has come meanwhile is read first.
+   * Starts the timeout of a watch again. Without it the connection would stay open forever where discovery is
+   * down and sends nothing, or never completes a list. The action is delayed a little further, so that after
+   * a stall of this process the data that arrived meanwhile is read first.
    */
-  private void listen(Call own, long longest, Runnable then) {
-    if (own.silence != null) {
-      own.silence.cancel(false);
+  private void restartTimeout(Watch watch, long timeoutMs, Runnable action) {
+    if (watch.timeout != null) {
+      watch.timeout.cancel(false);
     }
-    own.silence = loop.schedule(() -> {
-      own.silence = loop.schedule(then, PAUSE_MS, TimeUnit.MILLISECONDS);
-    }, longest, TimeUnit.MILLISECONDS);
+    watch.timeout = loop.schedule(() -> {
+      watch.timeout = loop.schedule(action, PENDING_READS_DELAY_MS, TimeUnit.MILLISECONDS);
+    }, timeoutMs, TimeUnit.MILLISECONDS);
   }
 
-  private void end(Call own, String why) {
-    if (!isOpen(own)) {
+  private void end(Watch watch, String reason) {
+    if (!isOpen(watch)) {
       return;
     }
-    LOG.warn("the watch at " + own.host + " ended: " + why);
-    boolean replaced = own != call; // its successor is open, or is asked for again
-    drop(own);
+    LOG.warn("host list watch at " + watch.host + " ended: " + reason);
+    boolean replaced = watch != current; // another one is open, or will be opened after the backoff
+    close(watch);
     if (!replaced) {
       counters.add(Counter.WATCHES_BROKEN);
-      broken.run();
-      afterCall.accept(WatchResult.FAILED);
+      onBreak.run();
+      resultListener.accept(WatchResult.FAILED);
     }
   }
 
-  private void drop(Call own) {
-    if (own == null) {
+  /** Closes a watch without counting it as broken; null has no effect. */
+  private void close(Watch watch) {
+    if (watch == null) {
       return;
     }
-    own.silence.cancel(false);
-    if (own.connection != null) {
-      own.connection.terminateSilently();
+    watch.timeout.cancel(false);
+    if (watch.connection != null) {
+      watch.connection.terminateSilently();
     } else {
-      own.connecting.cancel(true);
+      watch.connecting.cancel(true);
     }
-    late.remove(own);
-    call = call == own ? null : call;
-    before = before == own ? null : before;
+    unanswered.remove(watch);
+    current = current == watch ? null : current;
+    previous = previous == watch ? null : previous;
   }
 }
--- a/src/main/java/beampoint/discovery/ListText.java
+++ b/src/main/java/beampoint/discovery/ListText.java
@@ -4,8 +4,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Finds the lists in what a watch brings: a JSON object a line, or one indented over several lines. An empty
- * line stands for no change, and never within an object: there it tells that the rest will not come.
+ * Splits the byte stream of a watch into lists: JSON objects on one line, or indented over several lines. An
+ * empty line is a heartbeat without a change. Within an object it means that the object was cut off and its
+ * rest will not follow.
  */
 final class ListText {
 
@@ -13,16 +14,16 @@
   private int depth;
   private boolean quoted;
   private boolean escaped;
-  private boolean blank = true; // the line so far
+  private boolean blank = true; // the current line has only white space so far
 
-  /** Takes the next byte; returns the text that ends with it, empty for no change, or null inside one. */
-  String take(byte next) {
+  /** Adds the next byte; returns the text that it completes, empty for a heartbeat, or null within a text. */
+  String append(byte next) {
     if (next == '\n') {
-      boolean ends = depth <= 0 || blank;
+      boolean complete = depth <= 0 || blank;
       blank = true;
-      quoted = false; // a string ends with its line
+      quoted = false; // a JSON string has no line break
       escaped = false;
-      return ends ? end() : null;
+      return complete ? finish() : null;
     }
     blank &= next == ' ' || next == '\t' || next == '\r';
     text.write(next);
@@ -39,15 +40,15 @@
     return null;
   }
 
-  /** The bytes of the text that goes on. */
+  /** The number of bytes of the text that is not complete yet. */
   int length() {
     return text.size();
   }
 
-  private String end() {
-    String whole = text.toString(StandardCharsets.UTF_8).trim();
+  private String finish() {
+    String complete = text.toString(StandardCharsets.UTF_8).trim();
     text.reset();
     depth = 0;
-    return whole;
+    return complete;
   }
 }
