--- a/src/main/java/beampoint/settings/Fields.java
+++ b/src/main/java/beampoint/settings/Fields.java
@@ -2,16 +2,16 @@
 
 import java.net.InetSocketAddress;
 
-/** Named values as texts, read as numbers, flags or words. */
+/** Named text values, read as texts, numbers, flags or addresses. */
 public abstract class Fields {
 
-  /** The text of a field, or null. */
+  /** Returns the text of a field, or null if there is none. */
   protected abstract String find(String field);
 
-  /** The error that tells where a field is and what is wrong with it. */
+  /** Makes an error that states the place of a field and what is wrong with it. */
   public abstract InputException malformed(String field, String problem);
 
-  /** A text that must be there. */
+  /** Reads a text; throws if the field is missing. */
   public final String text(String field) throws InputException {
     String value = find(field);
     if (value == null) {
@@ -20,21 +20,24 @@
     return value;
   }
 
-  public final String text(String field, String absent) {
+  /** Reads a text, or returns the default where the field is missing. */
+  public final String text(String field, String defaultValue) {
     String value = find(field);
-    return value == null ? absent : value;
+    return value == null ? defaultValue : value;
   }
 
+  /** Reads a finite number; throws if the field is missing. */
   public final double number(String field) throws InputException {
     return number(field, text(field));
   }
 
-  public final double number(String field, double absent) throws InputException {
+  /** Reads a finite number, or returns the default where the field is missing. */
+  public final double number(String field, double defaultValue) throws InputException {
     String value = find(field);
-    return value == null ? absent : number(field, value);
+    return value == null ? defaultValue : number(field, value);
   }
 
-  /** A number above 0. */
+  /** Reads a number above 0; throws if the field is missing. */
   public final double positive(String field) throws InputException {
     double value = number(field);
     if (value <= 0) {
@@ -50,18 +53,20 @@
         return number;
       }
     } catch (NumberFormatException e) {
-      // told below, with the place and the field
+      // reported below, with the place and the field
     }
     throw malformed(field, "not a number: '" + value + "'");
   }
 
+  /** Reads a whole number; throws if the field is missing. */
   public final long whole(String field) throws InputException {
     return whole(field, text(field));
   }
 
-  public final long whole(String field, long absent) throws InputException {
+  /** Reads a whole number, or returns the default where the field is missing. */
+  public final long whole(String field, long defaultValue) throws InputException {
     String value = find(field);
-    return value == null ? absent : whole(field, value);
+    return value == null ? defaultValue : whole(field, value);
   }
 
   private long whole(String field, String value) throws InputException {
@@ -72,31 +77,32 @@
     }
   }
 
-  /** A whole number that fits an int. */
-  public final int index(String field, int absent) throws InputException {
-    long value = whole(field, absent);
+  /** Reads a whole number of 32 bits, or returns the default where the field is missing. */
+  public final int index(String field, int defaultValue) throws InputException {
+    long value = whole(field, defaultValue);
     if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
-      throw malformed(field, "out of range: " + value);
+      throw malformed(field, "not a whole number of 32 bits: " + value);
     }
     return (int) value;
   }
 
-  /** An address of the form host:port that must be there. */
+  /** Reads an address of the form host:port; throws if the field is missing. */
   public final InetSocketAddress address(String field) throws InputException {
     String text = text(field);
     InetSocketAddress address = Address.parse(text);
     if (address == null) {
-      throw malformed(field, "not of the form address:port: '" + text + "'");
+      throw malformed(field, "not of the form host:port: '" + text + "'");
     }
     return address;
   }
 
-  public final boolean flag(String field, boolean absent) throws InputException {
-    String value = text(field, absent ? "1" : "0");
+  /** Reads a flag, 0, 1, true or false, or returns the default where the field is missing. */
+  public final boolean flag(String field, boolean defaultValue) throws InputException {
+    String value = text(field, defaultValue ? "1" : "0");
     return switch (value) {
       case "1", "true" -> true;
       case "0", "false" -> false;
-      default -> throw malformed(field, "neither 0 nor 1: '" + value + "'");
+      default -> throw malformed(field, "none of 0, 1, true, false: '" + value + "'");
     };
   }
 }
--- a/src/main/java/beampoint/settings/FleetSettings.java
+++ b/src/main/java/beampoint/settings/FleetSettings.java
@@ -5,24 +5,24 @@
 import java.util.TreeMap;
 
 /**
- * What a proxy is told of the fleet that it is a member of.
+ * The settings of a proxy as a member of a fleet.
  *
- * @param cluster only who names the same is listened to
- * @param listen where members reach this one, by UDP and TCP
- * @param peers the others' addresses by their names; some may be gone
- * @param dial other addresses for some of them, by name, as where a relay lies between
+ * @param cluster the name of the cluster; messages that state another one are ignored
+ * @param listen the address at which other members reach this one, by UDP and TCP
+ * @param peers the addresses of the other members by name; some of them may be gone
+ * @param dial different addresses to connect to, by name, for members behind a relay for example
  */
 public record FleetSettings(String cluster, InetSocketAddress listen, Map<String, InetSocketAddress> peers,
     Map<String, InetSocketAddress> dial) {
 
   /**
-   * Other members that a proxy may be told of: nearly twice the largest fleet that is planned. Guards against
-   * a configuration whose list takes the memory of the proxy.
+   * The most entries of a list of members: nearly twice the size of the largest fleet that is planned. Keeps
+   * a configuration with a very long list from using up the memory of the proxy.
    */
   public static final int MAX_MEMBERS = 4_096;
   private static final int MAX_NAME_LENGTH = 100;
 
-  /** Reads the {@code fleet} object of a configuration that has one. */
+  /** Reads the {@code fleet} object, which the configuration must have. */
   public static FleetSettings read(JsonFields fields) throws InputException {
     return new FleetSettings(name(fields, "fleet.cluster"), fields.address("fleet.listen"),
         addresses(fields, "fleet.peers"), addresses(fields, "fleet.dial"));
@@ -33,12 +33,12 @@
     Map<String, InetSocketAddress> addresses = new TreeMap<>();
     int count = fields.index(list + ".count", 0);
     if (count > MAX_MEMBERS) {
-      throw fields.malformed(list, "more than " + MAX_MEMBERS + ": " + count);
+      throw fields.malformed(list, "more than " + MAX_MEMBERS + " entries: " + count);
     }
     for (int i = 0; i < count; i++) {
       String name = name(fields, list + "." + i + ".name");
       if (addresses.put(name, fields.address(list + "." + i + ".address")) != null) {
-        throw fields.malformed(list + "." + i + ".name", "named twice: '" + name + "'");
+        throw fields.malformed(list + "." + i + ".name", "duplicate name: '" + name + "'");
       }
     }
     return addresses;
--- a/src/main/java/beampoint/settings/InputException.java
+++ b/src/main/java/beampoint/settings/InputException.java
@@ -1,6 +1,6 @@
 package beampoint.settings;
 
-/** Malformed input, told in plain words for the person who reads standard error. */
+/** Malformed input; the message is for the person who reads standard error. */
 public final class InputException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/src/main/java/beampoint/settings/JsonFields.java
+++ b/src/main/java/beampoint/settings/JsonFields.java
@@ -6,12 +6,16 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Nested JSON under the paths that the simulator's wire uses: {@code lanes.0.name}, {@code lanes.count}. */
+/**
+ * The fields of nested JSON under the flat names of the simulator's wire format: {@code lanes.0.name} for a
+ * member of a list entry, {@code lanes.count} for the length of a list.
+ */
 public final class JsonFields extends Fields {
 
   private final String source;
   private final Map<String, String> values = new HashMap<>();
 
+  /** Takes the fields of an object; {@code source} names it in error messages. */
   public JsonFields(String source, JsonObject object) {
     this.source = source;
     add("", object);
@@ -33,7 +37,7 @@
     }
   }
 
-  /** Gives a field under the name that the simulator's wire has for it. */
+  /** Sets a field by its flat name; replaces a value that it has already. */
   public void put(String field, String value) {
     values.put(field, value);
   }
--- a/src/main/java/beampoint/settings/KeyPaths.java
+++ b/src/main/java/beampoint/settings/KeyPaths.java
@@ -6,11 +6,15 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Which keys a configuration has, at any depth; of the entries of a list, those that all have. */
+/**
+ * The paths of all keys of a configuration, at any depth, such as {@code a.b}. Of a list the paths count that
+ * all entries have, such as {@code list.*.x}; keys with null values do not count.
+ */
 public final class KeyPaths {
 
   private KeyPaths() {}
 
+  /** Returns the sorted paths of the keys of an object. */
   public static Set<String> of(JsonObject object) {
     Set<String> keys = new TreeSet<>();
     add(keys, "", object);
--- a/src/main/java/beampoint/settings/LoadColumns.java
+++ b/src/main/java/beampoint/settings/LoadColumns.java
@@ -6,60 +6,60 @@
 import java.util.List;
 
 /**
- * Which values a report of load that comes with an answer holds, as the settings name them; empty where none
- * comes. Values that this version does not know are passed over. A report is advice: one that is malformed is
- * none, and costs nothing else.
+ * The names of the values in the load reports that come with responses, as the settings list them; empty
+ * where responses carry no reports. Values with unknown names are ignored. Load reports are advisory: a
+ * malformed one is treated as missing and has no other effect.
  */
 public record LoadColumns(List<String> names) {
 
-  /** The words of the settings and those that cache nodes may use on their connections. */
-  private static final List<String> QUEUE = List.of("depth", "queue");
-  private static final List<String> UTILISATION = List.of("load_share", "util");
+  // For each value the name in the settings and the name that cache nodes may use on their connections.
+  private static final List<String> QUEUE_NAMES = List.of("depth", "queue");
+  private static final List<String> UTILISATION_NAMES = List.of("load_share", "util");
 
-  /** Where reports come only with probes, or not at all, there are no columns. */
-  public static LoadColumns read(Fields m) throws InputException {
+  /** Reads the columns; there are none where reports come with probes only, or not at all. */
+  public static LoadColumns read(Fields fields) throws InputException {
     List<String> names = new ArrayList<>();
-    String columns = m.text("telemetry.columns", "");
-    int count = m.index("telemetry.columns.count", 0);
+    String columns = fields.text("telemetry.columns", "");
+    int count = fields.index("telemetry.columns.count", 0);
     for (int i = 0; i < count; i++) {
-      names.add(m.text("telemetry.columns." + i));
+      names.add(fields.text("telemetry.columns." + i));
     }
     if (!columns.isEmpty()) {
       Collections.addAll(names, columns.split(",", -1));
     }
-    boolean withAnswers = m.text("telemetry.source", "off").equals("inline");
+    boolean withAnswers = fields.text("telemetry.source", "off").equals("inline");
     return new LoadColumns(withAnswers ? List.copyOf(names) : List.of());
   }
 
-  /** A report of bare values, or null where none came, or one that does not have its columns. */
+  /** Parses a report of values without names; null if there is none or the number of values is wrong. */
   public Load parse(String row) {
     String[] values = row == null ? new String[0] : row.split(",", -1);
     return values.length == 0 || values.length != names.size() ? null : load(names, List.of(values));
   }
 
-  /** A report of names and values, as {@code queue=2,util=0.6}; null where none came or is to come. */
+  /** Parses a report such as {@code queue=2,util=0.6}; null if there is none or none is expected. */
   public Load parseNamed(String text) {
     if (text == null || names.isEmpty()) {
       return null;
     }
-    List<String> told = new ArrayList<>();
+    List<String> reported = new ArrayList<>();
     List<String> values = new ArrayList<>();
     for (String part : text.split(",", -1)) {
       int equals = part.indexOf('=');
-      told.add(equals < 0 ? "" : part.substring(0, equals));
+      reported.add(equals < 0 ? "" : part.substring(0, equals));
       values.add(part.substring(equals + 1));
     }
-    return load(told, values);
+    return load(reported, values);
   }
 
   private static Load load(List<String> names, List<String> values) {
-    return new Load(value(names, values, QUEUE), value(names, values, UTILISATION));
+    return new Load(value(names, values, QUEUE_NAMES), value(names, values, UTILISATION_NAMES));
   }
 
-  /** NaN where the report does not tell it, or tells what can't be. */
-  private static double value(List<String> names, List<String> values, List<String> words) {
+  /** The first value that has one of the accepted names; NaN if there is none or it is invalid. */
+  private static double value(List<String> names, List<String> values, List<String> accepted) {
     for (int i = 0; i < names.size(); i++) {
-      if (words.contains(names.get(i))) {
+      if (accepted.contains(names.get(i))) {
         return number(values.get(i));
       }
     }
--- a/src/main/java/beampoint/settings/SocketSettings.java
+++ b/src/main/java/beampoint/settings/SocketSettings.java
@@ -4,23 +4,30 @@
 import java.util.List;
 
 /**
- * What only the sockets need of the settings: names by number, after how many ms peers close, and which
- * values come with answers.
+ * The settings that only the socket layer needs.
+ *
+ * @param classes the names of the request classes by number
+ * @param tenants the names of the tenants by number
+ * @param zones the names of the zones by number
+ * @param kinds the names of the hardware kinds by number
+ * @param connectionIdle the time in ms after which peers close an idle connection
+ * @param loads the values in the load reports that come with responses
  */
 public record SocketSettings(List<String> classes, List<String> tenants, List<String> zones,
     List<String> kinds, double connectionIdle, LoadColumns loads) {
 
-  public static SocketSettings read(Fields m) throws InputException {
-    return new SocketSettings(names(m, "lanes", ".name"), names(m, "accounts", ".name"),
-        names(m, "localities", ""), names(m, "skus", ""),
-        m.number("policy-limits.conn-idle-ms", Double.MAX_VALUE), LoadColumns.read(m));
+  /** Reads the settings by their wire names. */
+  public static SocketSettings read(Fields fields) throws InputException {
+    return new SocketSettings(names(fields, "lanes", ".name"), names(fields, "accounts", ".name"),
+        names(fields, "localities", ""), names(fields, "skus", ""),
+        fields.number("policy-limits.conn-idle-ms", Double.MAX_VALUE), LoadColumns.read(fields));
   }
 
-  private static List<String> names(Fields m, String list, String field) throws InputException {
+  private static List<String> names(Fields fields, String list, String field) throws InputException {
     List<String> names = new ArrayList<>();
-    int count = m.index(list + ".count", 0);
+    int count = fields.index(list + ".count", 0);
     for (int i = 0; i < count; i++) {
-      names.add(m.text(list + "." + i + field));
+      names.add(fields.text(list + "." + i + field));
     }
     return List.copyOf(names);
   }
--- a/src/test/java/beampoint/serve/ConfigTest.java
+++ b/src/test/java/beampoint/serve/ConfigTest.java
@@ -64,7 +64,7 @@
         {"{\"cluster\":\"c\",\"listen\":\"127.0.0.1:1\",\"peers\":[{\"name\":\"a\"}]}",
             "fleet.peers.0.address': missing"},
         {"{\"cluster\":\"c\",\"listen\":\"127.0.0.1:1\",\"peers\":[{\"name\":\"a\",\"address\":\"h:1\"},"
-            + "{\"name\":\"a\",\"address\":\"h:2\"}]}", "fleet.peers.1.name': named twice"},
+            + "{\"name\":\"a\",\"address\":\"h:2\"}]}", "fleet.peers.1.name': duplicate name"},
         {"{\"cluster\":\"c\",\"listen\":\"127.0.0.1:1\",\"dial\":[{\"name\":\"a b\",\"address\":\"h:1\"}]}",
             "fleet.dial.0.name': not a name"}};
     for (String[] odd : cases) {
