--- a/src/main/java/beampoint/http/HttpException.java
+++ b/src/main/java/beampoint/http/HttpException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** What came is not HTTP/1.1 as this proxy needs it. */
+/** The bytes received are not HTTP/1.1 as this proxy supports it. */
 final class HttpException extends IOException {
 
   private static final long serialVersionUID = 1L;
--- a/src/main/java/beampoint/http/HttpFault.java
+++ b/src/main/java/beampoint/http/HttpFault.java
@@ -1,4 +1,8 @@
 package beampoint.http;
 
-/** What came can't be read as an answer, and nothing after it will be read. */
+/**
+ * Takes the place of a message that is malformed; nothing more is read from its connection.
+ *
+ * @param problem what is wrong with the message
+ */
 public record HttpFault(String problem) {}
--- a/src/main/java/beampoint/http/HttpFilter.java
+++ b/src/main/java/beampoint/http/HttpFilter.java
@@ -13,30 +13,30 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * Reads one side of HTTP/1.1, the answers of servers or the requests of callers: a head, then its body as it
- * comes, of stated length or in chunks.
+ * Parses one direction of HTTP/1.1, responses or requests, into heads and the parts of their bodies as they
+ * arrive. A body has a stated length, is chunked, or lasts until the connection is closed (RFC 9112).
  */
 public final class HttpFilter extends BaseFilter {
 
-  private static final int MAX_HEAD = 16 * 1024;
+  private static final int MAX_HEAD_BYTES = 16 * 1024;
 
   private enum Part { HEAD, BODY, UNTIL_CLOSE, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER }
 
-  /** Whose messages are read. */
+  /** The kind of messages to parse. */
   public enum Side { RESPONSES, REQUESTS }
 
-  /** Where the reading of one connection stands. */
+  /** The state of the parser of one connection. */
   static final class Progress {
     private Part part = Part.HEAD;
-    private long left;
+    private long left; // bytes of the body or chunk that are still to come
   }
 
-  /** What the headers say of the body, and the few others that count. */
+  /** The headers that this proxy uses. */
   private static final class Headers {
-    private long length = -1;
+    private long length = -1; // of the body; -1 if none is stated
     private boolean chunked;
     private boolean closes;
-    private boolean declined;
+    private boolean declined; // srv-declined: the server did not carry out the request
   }
 
   private final Side side;
@@ -60,30 +60,33 @@
       ctx.setMessage(message);
       return in.hasRemaining() ? ctx.getInvokeAction(in) : ctx.getInvokeAction();
     } catch (HttpException e) {
-      // Nothing can be read after it, and a peer may send without end.
+      // No message boundary can be found after it, and the peer may send without end.
       connection.disableIOEvent(IOEvent.READ);
       ctx.setMessage(new HttpFault(e.getMessage()));
       return ctx.getInvokeAction();
     }
   }
 
-  /** Takes one head or one part of a body off the buffer, or null where more must come first. */
-  static Object parse(Side side, Progress p, Buffer in) throws HttpException {
+  /**
+   * Consumes one head or one part of a body from the buffer. Returns an {@link HttpHead}, an
+   * {@link HttpRequest} or an {@link HttpContent}, or null if more bytes are needed.
+   */
+  static Object parse(Side side, Progress progress, Buffer in) throws HttpException {
     while (true) {
-      switch (p.part) {
+      switch (progress.part) {
         case HEAD -> {
           int end = headEnd(in);
           if (end < 0) {
             return null;
           }
           if (side == Side.REQUESTS) {
-            return request(p, in, end);
+            return request(progress, in, end);
           }
-          HttpHead head = head(p, in, end);
+          HttpHead head = head(progress, in, end);
           if (head.status() >= 200) {
             return head;
           }
-          // An interim answer: the one that counts comes behind it.
+          // An interim response (1xx): the final one follows it.
         }
         case UNTIL_CLOSE -> {
           if (!in.hasRemaining()) {
@@ -91,19 +94,19 @@
           }
           Buffer bytes = in.slice(in.position(), in.limit());
           in.position(in.limit());
-          return new HttpContent(bytes, false, false); // only who sees the close can tell the last
+          return new HttpContent(bytes, false, false); // the last part is known only at the close
         }
         case BODY, CHUNK -> {
           if (!in.hasRemaining()) {
             return null;
           }
-          int size = (int) Math.min(p.left, in.remaining());
+          int size = (int) Math.min(progress.left, in.remaining());
           Buffer bytes = in.slice(in.position(), in.position() + size);
           in.position(in.position() + size);
-          p.left -= size;
-          boolean last = p.part == Part.BODY && p.left == 0;
-          if (p.left == 0) {
-            p.part = last ? Part.HEAD : Part.CHUNK_END;
+          progress.left -= size;
+          boolean last = progress.part == Part.BODY && progress.left == 0;
+          if (progress.left == 0) {
+            progress.part = last ? Part.HEAD : Part.CHUNK_END;
           }
           return new HttpContent(bytes, last, last && in.hasRemaining());
         }
@@ -115,16 +118,16 @@
           int from = in.position();
           in.position(end);
           int textEnd = textEnd(in, from, end);
-          if (p.part == Part.CHUNK_SIZE) {
-            p.left = hex(in, from, textEnd);
-            p.part = p.left == 0 ? Part.TRAILER : Part.CHUNK;
-          } else if (p.part == Part.CHUNK_END) {
+          if (progress.part == Part.CHUNK_SIZE) {
+            progress.left = chunkSize(in, from, textEnd);
+            progress.part = progress.left == 0 ? Part.TRAILER : Part.CHUNK;
+          } else if (progress.part == Part.CHUNK_END) {
             if (textEnd > from) {
               throw new HttpException("a chunk longer than stated");
             }
-            p.part = Part.CHUNK_SIZE;
+            progress.part = Part.CHUNK_SIZE;
           } else if (textEnd == from) {
-            p.part = Part.HEAD;
+            progress.part = Part.HEAD;
             return new HttpContent(Buffers.EMPTY_BUFFER, true, in.hasRemaining());
           }
         }
@@ -132,21 +135,21 @@
     }
   }
 
-  /** The place after the next line, or -1. */
+  /** The position after the next line, or -1 if no complete line has been received. */
   private static int lineEnd(Buffer in) throws HttpException {
     for (int i = in.position(); i < in.limit(); i++) {
       if (in.get(i) == '\n') {
         return i + 1;
       }
     }
-    if (in.remaining() > MAX_HEAD) {
+    if (in.remaining() > MAX_HEAD_BYTES) {
       throw new HttpException("line too long");
     }
     return -1;
   }
 
-  /** The size of a chunk, which an extension may follow. */
-  private static long hex(Buffer in, int from, int to) throws HttpException {
+  /** Parses the size of a chunk, which an extension may follow. */
+  private static long chunkSize(Buffer in, int from, int to) throws HttpException {
     long value = 0;
     int i = from;
     for (; i < to && Character.digit(in.get(i), 16) >= 0 && value <= Integer.MAX_VALUE; i++) {
@@ -159,49 +162,52 @@
   }
 
   /**
-   * Takes a head off the buffer. Guards against spoilt answers that pass for good ones: a line that is no
-   * header, or lengths that contradict each other, leave open where the body ends.
+   * Consumes the head of a response. Rejects malformed header lines and contradictory lengths, as they leave
+   * open where the body ends, so that a corrupted response could be taken for a valid one.
    */
-  private static HttpHead head(Progress p, Buffer in, int end) throws HttpException {
-    int at = in.position();
-    int statusEnd = textEnd(in, at, nextLine(in, at, end));
-    if (statusEnd - at < 12 || !matches(in, at, "http/1.") || in.get(at + 8) != ' '
-        || statusEnd > at + 12 && in.get(at + 12) != ' ') {
-      throw new HttpException("no HTTP answer");
+  private static HttpHead head(Progress progress, Buffer in, int end) throws HttpException {
+    int start = in.position();
+    int statusEnd = textEnd(in, start, nextLine(in, start, end));
+    if (statusEnd - start < 12 || !matches(in, start, "http/1.") || in.get(start + 8) != ' '
+        || statusEnd > start + 12 && in.get(start + 12) != ' ') {
+      throw new HttpException("not an HTTP/1.x response");
     }
-    int status = number(in, at + 9, at + 12);
-    Headers headers = headers(in, nextLine(in, at, end), end);
+    int status = number(in, start + 9, start + 12);
+    Headers headers = headers(in, nextLine(in, start, end), end);
     in.position(end);
     boolean noBody = status < 200 || status == 204 || status == 304;
     if (status < 100 || status == 101) {
-      throw new HttpException("no status of an answer");
+      throw new HttpException("invalid status of a response: " + status);
     }
     boolean untilClose = !noBody && !headers.chunked && headers.length < 0;
-    boolean whole = begin(p, headers, !noBody);
+    boolean whole = beginBody(progress, headers, !noBody);
     return new HttpHead(status, headers.declined, headers.closes || untilClose, headers.length, whole,
         whole && in.hasRemaining(), untilClose);
   }
 
-  /** Takes the head of a request off the buffer; one that states no body has none. */
-  private static HttpRequest request(Progress p, Buffer in, int end) throws HttpException {
-    int at = in.position();
-    int lineEnd = textEnd(in, at, nextLine(in, at, end));
-    String[] words = in.toStringContent(StandardCharsets.ISO_8859_1, at, lineEnd).split(" ", -1);
+  /** Consumes the head of a request; a request without a length and chunks has no body. */
+  private static HttpRequest request(Progress progress, Buffer in, int end) throws HttpException {
+    int start = in.position();
+    int lineEnd = textEnd(in, start, nextLine(in, start, end));
+    String[] words = in.toStringContent(StandardCharsets.ISO_8859_1, start, lineEnd).split(" ", -1);
     if (words.length != 3 || words[0].isEmpty() || !words[1].startsWith("/")
         || !words[2].startsWith("HTTP/1.")) {
       throw new HttpException("no HTTP request");
     }
-    Headers headers = headers(in, nextLine(in, at, end), end);
+    Headers headers = headers(in, nextLine(in, start, end), end);
     in.position(end);
-    boolean whole = begin(p, headers, headers.chunked || headers.length >= 0);
+    boolean whole = beginBody(progress, headers, headers.chunked || headers.length >= 0);
     return new HttpRequest(words[0], words[1], whole);
   }
 
-  /** Makes ready for the body; true where there is none, as nothing would be read for a body of no length. */
-  private static boolean begin(Progress p, Headers headers, boolean hasBody) {
+  /**
+   * Prepares for reading the body. Returns true if no body follows; a body of length 0 counts as none, as no
+   * bytes would arrive to complete it.
+   */
+  private static boolean beginBody(Progress progress, Headers headers, boolean hasBody) {
     boolean whole = !hasBody || headers.length == 0;
-    p.left = hasBody ? headers.length : 0;
-    p.part = whole ? Part.HEAD : headers.chunked ? Part.CHUNK_SIZE
+    progress.left = hasBody ? headers.length : 0;
+    progress.part = whole ? Part.HEAD : headers.chunked ? Part.CHUNK_SIZE
         : headers.length < 0 ? Part.UNTIL_CLOSE : Part.BODY;
     return whole;
   }
@@ -221,14 +227,14 @@
         }
         headers.length = stated;
       } else if (matches(in, line, "transfer-encoding:")) {
-        if (headers.chunked || !isWord(in, line + 18, textEnd, "chunked")) {
+        if (headers.chunked || !isToken(in, line + 18, textEnd, "chunked")) {
           throw new HttpException("an unknown transfer encoding");
         }
         headers.chunked = true;
       } else if (matches(in, line, "connection:")) {
         headers.closes = contains(in, line, end, "close");
       } else if (matches(in, line, "srv-declined:")) {
-        headers.declined = isWord(in, line + 13, textEnd, "1");
+        headers.declined = isToken(in, line + 13, textEnd, "1");
       }
     }
     if (headers.chunked && headers.length >= 0) {
@@ -237,7 +243,7 @@
     return headers;
   }
 
-  /** A header begins with a name of visible characters and a colon. */
+  /** Throws unless the line begins with a name of visible ASCII characters and a colon. */
   private static void checkName(Buffer in, int from, int to) throws HttpException {
     int i = from;
     while (i < to && in.get(i) > ' ' && in.get(i) < 0x7f && in.get(i) != ':') {
@@ -248,23 +254,25 @@
     }
   }
 
+  /** The position after the empty line that ends the head, or -1 if it has not been received. */
   private static int headEnd(Buffer in) throws HttpException {
     int lineStart = in.position();
     for (int i = in.position(); i < in.limit(); i++) {
       if (in.get(i) == '\n') {
         boolean empty = i == lineStart || i == lineStart + 1 && in.get(lineStart) == '\r';
-        if (empty && lineStart > in.position() && i - in.position() < MAX_HEAD) {
+        if (empty && lineStart > in.position() && i - in.position() < MAX_HEAD_BYTES) {
           return i + 1;
         }
         lineStart = i + 1;
       }
     }
-    if (in.remaining() > MAX_HEAD) {
+    if (in.remaining() > MAX_HEAD_BYTES) {
       throw new HttpException("head too long");
     }
     return -1;
   }
 
+  /** The position after the line that begins at {@code from}, at most {@code end}. */
   private static int nextLine(Buffer in, int from, int end) {
     int i = from;
     while (i < end && in.get(i) != '\n') {
@@ -273,18 +281,20 @@
     return Math.min(end, i + 1);
   }
 
-  private static boolean matches(Buffer in, int at, String lowerCase) {
+  /** True if the buffer has this text at a position, in any case of letters. */
+  private static boolean matches(Buffer in, int from, String lowerCase) {
     for (int i = 0; i < lowerCase.length(); i++) {
-      if (at + i >= in.limit() || Character.toLowerCase((char) in.get(at + i)) != lowerCase.charAt(i)) {
+      if (from + i >= in.limit() || Character.toLowerCase((char) in.get(from + i)) != lowerCase.charAt(i)) {
         return false;
       }
     }
     return true;
   }
 
-  private static boolean contains(Buffer in, int line, int end, String lowerCase) {
-    int next = nextLine(in, line, end);
-    for (int i = line; i + lowerCase.length() <= next; i++) {
+  /** True if the line that begins at {@code from} contains this text, in any case of letters. */
+  private static boolean contains(Buffer in, int from, int end, String lowerCase) {
+    int next = nextLine(in, from, end);
+    for (int i = from; i + lowerCase.length() <= next; i++) {
       if (matches(in, i, lowerCase)) {
         return true;
       }
@@ -292,7 +302,7 @@
     return false;
   }
 
-  /** The end of a line's text, without the line's end. */
+  /** The end of the text of a line, without its line break; {@code next} is the position after the line. */
   private static int textEnd(Buffer in, int from, int next) {
     int end = next;
     if (end > from && in.get(end - 1) == '\n') {
@@ -305,8 +315,8 @@
     return b == ' ' || b == '\t';
   }
 
-  /** True where a value, without the blanks round it, is this word. */
-  private static boolean isWord(Buffer in, int from, int to, String lowerCase) {
+  /** True if a header value, without blanks around it, is this token, in any case of letters. */
+  private static boolean isToken(Buffer in, int from, int to, String lowerCase) {
     int start = from;
     int end = to;
     while (start < end && isBlank(in.get(start))) {
@@ -318,16 +328,16 @@
     return end - start == lowerCase.length() && matches(in, start, lowerCase);
   }
 
-  /** A number of up to nine digits, with blanks round it. */
+  /** Parses a number of up to nine digits, with blanks around it. */
   private static int number(Buffer in, int from, int to) throws HttpException {
     int value = 0;
     int digits = 0;
-    boolean over = false;
+    boolean ended = false; // a blank after the digits
     for (int i = from; i < to; i++) {
       int digit = in.get(i) - '0';
       if (isBlank(in.get(i))) {
-        over = digits > 0;
-      } else if (over || digit < 0 || digit > 9 || ++digits > 9) {
+        ended = digits > 0;
+      } else if (ended || digit < 0 || digit > 9 || ++digits > 9) {
         throw new HttpException("not a number");
       } else {
         value = value * 10 + digit;
--- a/src/main/java/beampoint/http/HttpHead.java
+++ b/src/main/java/beampoint/http/HttpHead.java
@@ -1,10 +1,15 @@
 package beampoint.http;
 
 /**
- * The head of an answer: its status, whether it says that nothing was done, whether the peer closes, how long
- * its body is (-1 where only its end will tell), whether it is all, as no body follows, whether more stands
- * behind it then, and whether the body lasts until the peer closes the connection, in order: a reset cuts it
- * off.
+ * The head of a response.
+ *
+ * @param status the status code
+ * @param declined true if the server states that it did not carry out the request
+ * @param closes true if the server closes the connection after the response
+ * @param length the length of the body in bytes, -1 if it is not known before its end
+ * @param whole true if no body follows
+ * @param surplus true if no body follows and more bytes were received than belong to the response
+ * @param untilClose true if the body ends when the server closes the connection in order; a reset cuts it off
  */
 public record HttpHead(int status, boolean declined, boolean closes, long length, boolean whole,
     boolean surplus, boolean untilClose) {}
--- a/src/main/java/beampoint/http/HttpWriter.java
+++ b/src/main/java/beampoint/http/HttpWriter.java
@@ -5,7 +5,7 @@
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** Writes requests, a head of texts and slices and the body handed on as it lies, and short answers. */
+/** Writes requests, whose body is passed on without a copy, and short responses. */
 public final class HttpWriter {
 
   private final MemoryManager<?> memory;
@@ -19,7 +19,14 @@
     return new Gather(memory).text("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n").message();
   }
 
-  /** The request of a client, with its id, its parameters and the time that is left; a write has a body. */
+  /**
+   * The request of a client to the origin: a PUT with a body for a write, or a GET.
+   *
+   * @param id the id of the request, sent in the header Req-Id
+   * @param parameters its parameters, sent in the header Req-Extra
+   * @param timeLeftMs the time left until its deadline, in ms, sent with the parameters
+   * @param body the value to write, or null for a read
+   */
   public Buffer request(String host, Buffer key, Buffer id, ParameterList parameters, long timeLeftMs,
       Buffer body) {
     Gather out = new Gather(memory);
@@ -33,8 +40,8 @@
     return out.text("\r\nContent-Length: " + body.remaining() + "\r\n\r\n").bytes(body).message();
   }
 
-  /** An answer of one line, after which the connection ends. */
-  public Buffer answer(int status, String reason, String text) {
+  /** A response of one line of text, after which the connection is closed. */
+  public Buffer response(int status, String reason, String text) {
     return new Gather(memory).text("HTTP/1.1 " + status + " " + reason
         + "\r\nContent-Type: text/plain\r\nContent-Length: " + (text.length() + 1)
         + "\r\nConnection: close\r\n\r\n" + text + "\n").message();
--- a/src/main/java/beampoint/ops/AdminServer.java
+++ b/src/main/java/beampoint/ops/AdminServer.java
@@ -32,20 +32,20 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /**
- * The HTTP server at the operators' address: reads a call, has the service carry it out and answers; one call
- * to a connection. Belongs to the decision thread. Guards against callers that never finish: they are few at
- * a time, and none stays long.
+ * The HTTP server for operators. It reads a request, has the service carry it out and responds, with one
+ * request per connection. The number of open connections and the time of each are limited, as clients may
+ * never finish their requests. Confined to the decision thread.
  */
 public final class AdminServer {
 
   /**
-   * Connections that may be open at once; the one that has been open longest makes room for the next. Each
-   * call is answered in the pass in which it is read, so a few are enough however many nodes are called out,
-   * and more would take descriptors from clients and cache nodes.
+   * Connections that may be open at once; beyond that the one that has been open longest is closed. Each
+   * request is answered in the pass of the event loop that reads it, so a few connections are enough for any
+   * number of nodes to detach, and more would take file descriptors from clients and cache nodes.
    */
   public static final int MAX_CONNECTIONS = 16;
-  private static final long MAX_CALL_MS = 3000;
-  private static final int MAX_BODY_BYTES = 16 * 1024; // of a call, which needs none
+  private static final long MAX_REQUEST_MS = 3000;
+  private static final int MAX_BODY_BYTES = 16 * 1024; // bodies are ignored, no request needs one
   private static final String DETACH = "/_cache-nodes/detach/";
   private static final String ATTACH = "/_cache-nodes/attach/";
 
@@ -54,19 +54,18 @@
   private final AdminService service;
   private final Counters counters;
   private final HttpWriter writer;
-  private final Map<Connection<SocketAddress>, Call> open = new LinkedHashMap<>(); // the longest open first
-  private volatile TCPNIOServerConnection listener; // null before it listens
+  private final Map<Connection<SocketAddress>, Exchange> open = new LinkedHashMap<>(); // oldest first
+  private volatile TCPNIOServerConnection listener; // null before listen()
 
-  /** One connection. */
-  private static final class Call {
-    private Future<?> end;
+  /** The request and response of one connection. */
+  private static final class Exchange {
+    private Future<?> timeout;
     private HttpRequest request;
-    private long body;
+    private long bodyBytes;
     private boolean answered;
   }
 
-  /** An answer's head and its text. */
-  private record Reply(int status, String reason, String text) {}
+  private record Response(int status, String reason, String text) {}
 
   public AdminServer(TCPNIOTransport transport, ScheduledExecutorService loop, AdminService service,
       Counters counters) {
@@ -77,7 +76,7 @@
     this.writer = new HttpWriter(transport.getMemoryManager());
   }
 
-  /** Listens on this address only; returns it with the port that the system picks where it is 0. */
+  /** Listens on this address only; returns it, with the port chosen by the system if its port is 0. */
   public InetSocketAddress listen(SocketAddress address) throws IOException {
     FilterChainBuilder chain = FilterChainBuilder.stateless().add(new PeerFilter())
         .add(new HttpFilter(HttpFilter.Side.REQUESTS)).add(new Events());
@@ -85,12 +84,12 @@
     return (InetSocketAddress) listener.getLocalAddress();
   }
 
-  /** The port that operators call; 0 before it listens. */
+  /** The port that the server listens on; 0 before {@link #listen}. */
   public int port() {
     return listener == null ? 0 : ((InetSocketAddress) listener.getLocalAddress()).getPort();
   }
 
-  /** Hands on what was read, as tasks that run once all that is ready has been read. */
+  /** Passes on what was read as tasks, which run after all pending reads. */
   private final class Events extends BaseFilter {
 
     @Override
@@ -125,14 +124,14 @@
     if (open.size() >= MAX_CONNECTIONS) {
       end(open.keySet().iterator().next());
     }
-    Call call = new Call();
-    call.end = loop.schedule(() -> end(connection), MAX_CALL_MS, TimeUnit.MILLISECONDS);
-    open.put(connection, call);
+    Exchange exchange = new Exchange();
+    exchange.timeout = loop.schedule(() -> end(connection), MAX_REQUEST_MS, TimeUnit.MILLISECONDS);
+    open.put(connection, exchange);
   }
 
   private void end(Connection<SocketAddress> connection) {
-    Call call = open.get(connection);
-    if (call != null && !call.answered) {
+    Exchange exchange = open.get(connection);
+    if (exchange != null && !exchange.answered) {
       counters.add(Counter.OPS_CALLS_UNFINISHED);
     }
     closed(connection);
@@ -140,37 +139,37 @@
   }
 
   private void closed(Connection<SocketAddress> connection) {
-    Call call = open.remove(connection);
-    if (call != null) {
-      call.end.cancel(false);
+    Exchange exchange = open.remove(connection);
+    if (exchange != null) {
+      exchange.timeout.cancel(false);
     }
   }
 
   private void read(Connection<SocketAddress> connection, Object message) {
-    Call call = open.get(connection);
-    if (call == null || call.answered) {
-      return; // or closed
+    Exchange exchange = open.get(connection);
+    if (exchange == null || exchange.answered) {
+      return; // closed, or already answered
     }
     if (message instanceof HttpFault fault) {
-      answer(connection, new Reply(400, "Bad Request", fault.problem()));
+      respond(connection, new Response(400, "Bad Request", fault.problem()));
     } else if (message instanceof HttpRequest request) {
-      call.request = request;
+      exchange.request = request;
       if (request.whole()) {
-        answer(connection, carryOut(request));
+        respond(connection, carryOut(request));
       }
     } else if (message instanceof HttpContent content) {
-      call.body += content.bytes().remaining();
-      if (call.body > MAX_BODY_BYTES) {
-        answer(connection, new Reply(413, "Content Too Large", "no call has a body"));
+      exchange.bodyBytes += content.bytes().remaining();
+      if (exchange.bodyBytes > MAX_BODY_BYTES) {
+        respond(connection, new Response(413, "Content Too Large", "no call has a body"));
       } else if (content.last()) {
-        answer(connection, carryOut(call.request));
+        respond(connection, carryOut(exchange.request));
       }
     }
   }
 
-  private void answer(Connection<SocketAddress> connection, Reply reply) {
+  private void respond(Connection<SocketAddress> connection, Response response) {
     open.get(connection).answered = true;
-    Buffer message = writer.answer(reply.status(), reply.reason(), reply.text());
+    Buffer message = writer.response(response.status(), response.reason(), response.text());
     connection.write(message, new EmptyCompletionHandler<>() {
       @Override
       public void completed(WriteResult<Buffer, SocketAddress> result) {
@@ -179,41 +178,41 @@
     });
   }
 
-  private Reply carryOut(HttpRequest request) {
+  private Response carryOut(HttpRequest request) {
     String target = request.target();
     if (target.equals("/_ready")) {
       return !request.method().equals("GET") ? notAllowed()
-          : service.isReady() ? new Reply(200, "OK", "ready")
-          : new Reply(503, "Service Unavailable", "not ready");
+          : service.isReady() ? new Response(200, "OK", "ready")
+          : new Response(503, "Service Unavailable", "not ready");
     }
     boolean detach = target.startsWith(DETACH);
     if (!detach && !target.startsWith(ATTACH)) {
-      return new Reply(404, "Not Found", "no such call");
+      return new Response(404, "Not Found", "no such call");
     }
     if (!request.method().equals("POST")) {
       return notAllowed();
     }
     String node = decoded(target.substring(DETACH.length()));
     if (node == null) {
-      return new Reply(400, "Bad Request", "an id that can't be decoded");
+      return new Response(400, "Bad Request", "an id that can't be decoded");
     }
     return switch (detach ? service.detach(node) : service.attach(node)) {
-      case DONE -> new Reply(200, "OK", detach ? "out" : "in use");
-      case NOT_STORED -> new Reply(500, "Internal Server Error",
+      case DONE -> new Response(200, "OK", detach ? "out" : "in use");
+      case NOT_STORED -> new Response(500, "Internal Server Error",
           "done, but not stored: it ends with this process");
-      case UNKNOWN -> new Reply(404, "Not Found", "no such cache node");
-      case TOO_MANY -> new Reply(507, "Insufficient Storage", "too many cache nodes are out");
+      case UNKNOWN -> new Response(404, "Not Found", "no such cache node");
+      case TOO_MANY -> new Response(507, "Insufficient Storage", "too many cache nodes are out");
     };
   }
 
-  private static Reply notAllowed() {
-    return new Reply(405, "Method Not Allowed", "GET /_ready, POST for all else");
+  private static Response notAllowed() {
+    return new Response(405, "Method Not Allowed", "GET /_ready, POST for all else");
   }
 
-  /** An id as it was before it was percent-encoded; null where that can't be undone. */
+  /** Decodes a percent-encoded id; returns null if the encoding is malformed. */
   static String decoded(String text) {
     try {
-      // A plus sign stands for itself in a path.
+      // URLDecoder decodes form data, where a plus sign is a blank; in a path it stands for itself.
       return URLDecoder.decode(text.replace("+", "%2B"), StandardCharsets.UTF_8);
     } catch (IllegalArgumentException e) {
       return null;
--- a/src/main/java/beampoint/ops/AdminService.java
+++ b/src/main/java/beampoint/ops/AdminService.java
@@ -1,17 +1,20 @@
 package beampoint.ops;
 
-/** Carries out what operators call for; called on the decision thread. */
+/** The operations behind the admin server. Called on the decision thread. */
 public interface AdminService {
 
-  /** How a call ended. */
+  /**
+   * The result of an operation. NOT_STORED: done, but not written to disk, so it is lost when this process
+   * ends. UNKNOWN: there is no such cache node. TOO_MANY: the limit of detached cache nodes is reached.
+   */
   enum Outcome { DONE, NOT_STORED, UNKNOWN, TOO_MANY }
 
-  /** True where this process takes clients. */
+  /** True if this process accepts clients. */
   boolean isReady();
 
-  /** Takes a cache node out until the call back. */
+  /** Takes a cache node out of use until it is attached again. */
   Outcome detach(String node);
 
-  /** Uses a cache node again. */
+  /** Puts a detached cache node back into use. */
   Outcome attach(String node);
 }
--- a/src/main/java/beampoint/settings/SettingsReader.java
+++ b/src/main/java/beampoint/settings/SettingsReader.java
@@ -22,9 +22,9 @@
     for (int i = 0; i < classCount; i++) {
       String prefix = "lanes." + i + ".";
       classes.add(new RequestClass(idempotency(fields, prefix + "idempotency"),
-          group(fields, prefix + "group"), fields.number(prefix + "dedup-window-ms", 0), fields.positive(prefix + "target-ms"),
-          fields.positive(prefix + "hard-limit-ms"), fields.number(prefix + "points", 1),
-          fields.number(prefix + "late-worth", 0)));
+          group(fields, prefix + "group"), fields.number(prefix + "dedup-window-ms", 0),
+          fields.positive(prefix + "target-ms"), fields.positive(prefix + "hard-limit-ms"),
+          fields.number(prefix + "points", 1), fields.number(prefix + "late-worth", 0)));
     }
     List<Tenant> tenants = new ArrayList<>();
     int tenantCount = fields.index("accounts.count", 0);
