--- a/src/main/java/beampoint/yaml/Yaml.java
+++ b/src/main/java/beampoint/yaml/Yaml.java
@@ -28,17 +28,17 @@
 import org.snakeyaml.engine.v2.nodes.Tag;
 
 /**
- * One mapping of a YAML file, whose fields are taken by name. What is wrong is told with file, line and
- * field, and a field that nobody takes is wrong as well: it would be a setting that has no effect.
+ * One mapping of a YAML file, whose fields are read by name. Errors state the file, line and field. A field
+ * that is never read is an error as well, see {@link #rejectUnknownFields}: it would have no effect.
  */
 public final class Yaml {
 
-  private static final Pattern PLACE = Pattern.compile("(\\w+)\\[(\\d{1,4})\\]");
+  private static final Pattern LIST_ENTRY = Pattern.compile("(\\w+)\\[(\\d{1,4})\\]");
 
   private final String file;
-  private final String path; // of the mapping in the file, with a dot at its end; empty at the top
+  private final String path; // of the mapping in the file, with a dot at the end; empty for the top mapping
   private final MappingNode node;
-  private final Set<String> taken = new HashSet<>();
+  private final Set<String> fieldsRead = new HashSet<>();
 
   private Yaml(String file, String path, MappingNode node) {
     this.file = file;
@@ -46,7 +46,7 @@
     this.node = node;
   }
 
-  /** Reads a file. */
+  /** Reads the top mapping of a file. */
   public static Yaml read(Path file) throws InputException {
     try {
       return read(file.toString(), Files.readString(file));
@@ -55,16 +55,16 @@
     }
   }
 
-  /** Reads a text that stands for a file of this name. */
+  /** Reads the top mapping of a text; error messages state {@code file} as its source. */
   public static Yaml read(String file, String text) throws InputException {
     Optional<Node> top;
     try {
       top = new Compose(LoadSettings.builder().setUseMarks(true).setLabel(file).build()).composeString(text);
     } catch (YamlEngineException e) {
-      throw new InputException(file + ": no YAML: " + e.getMessage().replaceAll("\\s+", " "));
+      throw new InputException(file + ": not valid YAML: " + e.getMessage().replaceAll("\\s+", " "));
     }
     if (top.isEmpty() || !(top.get() instanceof MappingNode mapping)) {
-      throw new InputException(file + ": no mapping of fields to values");
+      throw new InputException(file + ": not a mapping of fields to values");
     }
     Set<String> names = new HashSet<>();
     Yaml yaml = new Yaml(file, "", mapping);
@@ -72,7 +72,7 @@
     return yaml;
   }
 
-  /** The scalars of this mapping by name, all of them taken. */
+  /** Reads all fields of this mapping, which must be scalars, as texts by name. */
   public Map<String, String> texts() throws InputException {
     Map<String, String> texts = new LinkedHashMap<>();
     for (NodeTuple entry : node.getValue()) {
@@ -83,39 +83,40 @@
   }
 
   /**
-   * Puts a value in place of another, or where none was; the path names fields and places in lists, as the
-   * messages do: {@code classes[0].aim_ms}.
+   * Sets a field, which may exist already; mappings that are missing on the way are added. The path consists
+   * of fields and list entries, as in error messages: {@code classes[0].aim_ms}.
    */
-  public void set(String at, String value) throws InputException {
+  public void set(String fieldPath, String value) throws InputException {
     Yaml inner = this;
-    String[] names = at.split("\\.");
+    String[] names = fieldPath.split("\\.");
     for (int i = 0; i < names.length - 1; i++) {
-      inner = inner.step(names[i], at);
+      inner = inner.descend(names[i], fieldPath);
     }
     String last = names[names.length - 1];
     Node key = new ScalarNode(Tag.STR, last, ScalarStyle.PLAIN);
-    Node set = new ScalarNode(Tag.STR, false, value, ScalarStyle.PLAIN, inner.node.getStartMark(),
+    Node scalar = new ScalarNode(Tag.STR, false, value, ScalarStyle.PLAIN, inner.node.getStartMark(),
         inner.node.getEndMark());
     List<NodeTuple> entries = new ArrayList<>(inner.node.getValue());
     entries.removeIf(e -> e.getKeyNode() instanceof ScalarNode name && name.getValue().equals(last));
-    entries.add(new NodeTuple(key, set));
+    entries.add(new NodeTuple(key, scalar));
     inner.node.setValue(entries);
   }
 
-  private Yaml step(String name, String at) throws InputException {
-    Matcher place = PLACE.matcher(name);
-    Node found = find(place.matches() ? place.group(1) : name);
-    if (place.matches() && found instanceof SequenceNode list) {
-      int index = Integer.parseInt(place.group(2));
+  /** The mapping that one part of a field path leads to. */
+  private Yaml descend(String name, String fieldPath) throws InputException {
+    Matcher listEntry = LIST_ENTRY.matcher(name);
+    Node found = find(listEntry.matches() ? listEntry.group(1) : name);
+    if (listEntry.matches() && found instanceof SequenceNode list) {
+      int index = Integer.parseInt(listEntry.group(2));
       found = index < list.getValue().size() ? list.getValue().get(index) : null;
     }
-    if (found == null && !place.matches()) {
+    if (found == null && !listEntry.matches()) {
       found = new MappingNode(Tag.MAP, true, new ArrayList<>(), FlowStyle.BLOCK, node.getStartMark(),
           node.getEndMark());
       node.getValue().add(new NodeTuple(new ScalarNode(Tag.STR, name, ScalarStyle.PLAIN), found));
     }
     if (!(found instanceof MappingNode mapping)) {
-      throw invalid(node, name, "no place for '" + at + "'");
+      throw invalid(node, name, "can't set '" + fieldPath + "': no such mapping");
     }
     return new Yaml(file, path + name + ".", mapping);
   }
@@ -123,13 +124,13 @@
   private void checkNames(MappingNode mapping, Set<String> names) throws InputException {
     for (NodeTuple entry : mapping.getValue()) {
       if (!(entry.getKeyNode() instanceof ScalarNode name) || !names.add(name.getValue())) {
-        throw invalid(entry.getKeyNode(), "", "a field's name that is no text, or stands twice");
+        throw invalid(entry.getKeyNode(), "", "a field name that is not a text, or is duplicated");
       }
     }
   }
 
   private Node find(String field) {
-    taken.add(field);
+    fieldsRead.add(field);
     for (NodeTuple entry : node.getValue()) {
       if (entry.getKeyNode() instanceof ScalarNode name && name.getValue().equals(field)) {
         return entry.getValueNode();
@@ -138,105 +139,108 @@
     return null;
   }
 
-  private InputException invalid(Node at, String field, String what) {
-    int line = at.getStartMark().map(Mark::getLine).orElse(0) + 1;
-    return new InputException(file + ", line " + line + ", field '" + path + field + "': " + what);
+  private InputException invalid(Node position, String field, String problem) {
+    int line = position.getStartMark().map(Mark::getLine).orElse(0) + 1;
+    return new InputException(file + ", line " + line + ", field '" + path + field + "': " + problem);
   }
 
-  /** What a caller finds wrong with a field's value. */
-  public InputException invalid(String field, String what) {
+  /** Makes an error that states the place of a field and what is wrong with its value. */
+  public InputException invalid(String field, String problem) {
     Node found = find(field);
-    return invalid(found == null ? node : found, field, what);
+    return invalid(found == null ? node : found, field, problem);
   }
 
-  /** A text; null as the usual one says that it must be there. */
-  public String text(String field, String usual) throws InputException {
+  /** Reads a text that is not empty. A field whose default is null must be present. */
+  public String text(String field, String defaultValue) throws InputException {
     Node found = find(field);
     if (found == null) {
-      if (usual == null) {
+      if (defaultValue == null) {
         throw invalid(node, field, "missing");
       }
-      return usual;
+      return defaultValue;
     }
     if (!(found instanceof ScalarNode scalar) || scalar.getValue().isEmpty()) {
-      throw invalid(found, field, "no text");
+      throw invalid(found, field, "not a text, or empty");
     }
     return scalar.getValue();
   }
 
-  /** A number of a range; NaN as the usual one says that it must be there. */
-  public double number(String field, double usual, double least, double most) throws InputException {
-    String text = text(field, Double.isNaN(usual) ? null : Double.toString(usual));
+  /** Reads a number within a range, limits included. A field whose default is NaN must be present. */
+  public double number(String field, double defaultValue, double min, double max) throws InputException {
+    String text = text(field, Double.isNaN(defaultValue) ? null : Double.toString(defaultValue));
     double number;
     try {
       number = Double.parseDouble(text);
     } catch (NumberFormatException e) {
-      throw invalid(field, "no number: '" + text + "'");
+      throw invalid(field, "not a number: '" + text + "'");
     }
-    if (!(number >= least && number <= most)) {
-      throw invalid(field, text + " is not from " + shown(least) + " to " + shown(most));
+    if (!(number >= min && number <= max)) {
+      throw invalid(field, text + " is not from " + format(min) + " to " + format(max));
     }
     return number;
   }
 
-  private static String shown(double number) {
+  private static String format(double number) {
     return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
   }
 
-  /** As {@link #number}, without a fraction. */
-  public int whole(String field, double usual, int least, int most) throws InputException {
-    double number = number(field, usual, least, most);
+  /** Reads a whole number within a range, as {@link #number} does. */
+  public int whole(String field, double defaultValue, int min, int max) throws InputException {
+    double number = number(field, defaultValue, min, max);
     if (number != Math.rint(number)) {
-      throw invalid(field, "no whole number: " + number);
+      throw invalid(field, "not a whole number: " + number);
     }
     return (int) number;
   }
 
-  /** True or false. */
-  public boolean flag(String field, boolean usual) throws InputException {
-    String text = text(field, Boolean.toString(usual));
+  /** Reads true or false. */
+  public boolean flag(String field, boolean defaultValue) throws InputException {
+    String text = text(field, Boolean.toString(defaultValue));
     if (!text.equals("true") && !text.equals("false")) {
       throw invalid(field, "neither true nor false: '" + text + "'");
     }
     return text.equals("true");
   }
 
-  /** One of some words. */
-  public <E extends Enum<E>> E enumValue(String field, E usual, Class<E> words) throws InputException {
-    String text = text(field, usual == null ? null : usual.name().toLowerCase(Locale.ROOT));
-    for (E word : words.getEnumConstants()) {
-      if (word.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(text.replace('_', '-'))) {
-        return word;
+  /**
+   * Reads a value of an enum, written in lower case with hyphens or underscores. A field whose default is
+   * null must be present.
+   */
+  public <E extends Enum<E>> E enumValue(String field, E defaultValue, Class<E> type) throws InputException {
+    String text = text(field, defaultValue == null ? null : defaultValue.name().toLowerCase(Locale.ROOT));
+    for (E value : type.getEnumConstants()) {
+      if (value.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(text.replace('_', '-'))) {
+        return value;
       }
     }
-    List<String> all = new ArrayList<>();
-    for (E word : words.getEnumConstants()) {
-      all.add(word.name().toLowerCase(Locale.ROOT).replace('_', '-'));
+    List<String> allowed = new ArrayList<>();
+    for (E value : type.getEnumConstants()) {
+      allowed.add(value.name().toLowerCase(Locale.ROOT).replace('_', '-'));
     }
-    throw invalid(field, "'" + text + "' is none of " + String.join(", ", all));
+    throw invalid(field, "'" + text + "' is not one of " + String.join(", ", allowed));
   }
 
-  /** A mapping below this one; one without fields where it is missing. */
+  /** Reads a mapping below this one; returns an empty one if the field is missing. */
   public Yaml fields(String field) throws InputException {
     Node found = find(field);
     if (found == null) {
-      MappingNode none = new MappingNode(node.getTag(), List.of(), node.getFlowStyle());
-      return new Yaml(file, path + field + ".", none);
+      MappingNode empty = new MappingNode(node.getTag(), List.of(), node.getFlowStyle());
+      return new Yaml(file, path + field + ".", empty);
     }
     return mapping(found, field);
   }
 
   private Yaml mapping(Node found, String field) throws InputException {
     if (!(found instanceof MappingNode mapping)) {
-      throw invalid(found, field, "no mapping of fields to values");
+      throw invalid(found, field, "not a mapping of fields to values");
     }
     Yaml yaml = new Yaml(file, path + field + ".", mapping);
     yaml.checkNames(mapping, new HashSet<>());
     return yaml;
   }
 
-  /** The mappings of a list, of which there are so many at the least. */
-  public List<Yaml> list(String field, int least) throws InputException {
+  /** Reads a list of mappings, which has at least {@code min} entries; a missing list is empty. */
+  public List<Yaml> list(String field, int min) throws InputException {
     Node found = find(field);
     List<Yaml> entries = new ArrayList<>();
     if (found instanceof SequenceNode sequence) {
@@ -244,19 +248,19 @@
         entries.add(mapping(entry, field + "[" + entries.size() + "]"));
       }
     } else if (found != null) {
-      throw invalid(found, field, "no list");
+      throw invalid(found, field, "not a list");
     }
-    if (entries.size() < least) {
-      throw invalid(field, "fewer than " + least + " entries");
+    if (entries.size() < min) {
+      throw invalid(field, "fewer than " + min + " entries");
     }
     return entries;
   }
 
-  /** Guards against a field whose name is wrong, which would have no effect. */
+  /** Throws if the mapping has a field that was never read, for example because its name is misspelled. */
   public void rejectUnknownFields() throws InputException {
     for (NodeTuple entry : node.getValue()) {
       String name = ((ScalarNode) entry.getKeyNode()).getValue();
-      if (!taken.contains(name)) {
+      if (!fieldsRead.contains(name)) {
         throw invalid(entry.getKeyNode(), name, "unknown");
       }
     }
--- a/src/test/java/beampoint/experiment/ExperimentTest.java
+++ b/src/test/java/beampoint/experiment/ExperimentTest.java
@@ -166,7 +166,8 @@
         {"name: other", "name: present", "stands twice: 'present'"},
         {"settings.attempts: 1", "settings.attempts: 0", "field 'settings.attempts': 0 is not from 1 to 100"},
         {"settings.attempts: 1", "settings.colour: 1", "field 'settings.colour': unknown"},
-        {"settings.attempts: 1", "\"classes[4].aim_ms\": 1", "no place for 'classes[4].aim_ms'"},
+        {"settings.attempts: 1", "\"classes[4].aim_ms\": 1",
+            "can't set 'classes[4].aim_ms': no such mapping"},
         {"version: 1", "version: 3", "this program reads version 1 only"},
     };
     for (String[] each : wrong) {
