--- a/src/benchmark/java/beampoint/discovery/ListBenchmark.java
+++ b/src/benchmark/java/beampoint/discovery/ListBenchmark.java
@@ -17,7 +17,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What a proxy takes to read the list of hosts, from the bytes of the watch to the entries. */
+/** The time that a proxy takes to read a host list, from the bytes of the watch to its entries. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -34,10 +34,10 @@
   private byte[] whole;
   private byte[] changeOfOne;
 
-  /** The line that a watch brings of so many cache nodes; one entry alone is a change. */
-  public static byte[] line(int caches, boolean changes) {
+  /** The line of a list of so many cache nodes, or of a change of one of them. */
+  public static byte[] line(int caches, boolean change) {
     JsonObject list = Workload.hostList(caches, ZONES, "10.131.204.17:11211");
-    if (changes) {
+    if (change) {
       JsonArray one = new JsonArray();
       one.add(list.getAsJsonArray("hosts").get(caches / 2));
       list.addProperty("whole", false);
@@ -46,9 +46,9 @@
     return (list + "\n").getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Both lines. */
+  /** Makes the lines that are read. */
   @Setup
-  public void begin() {
+  public void setUp() {
     whole = line(entries, false);
     changeOfOne = line(entries, true);
   }
--- a/src/test/java/beampoint/discovery/HostListLimitsTest.java
+++ b/src/test/java/beampoint/discovery/HostListLimitsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How long a list may be. */
+/** The limit on the length of a list. */
 @Timeout(60)
 class HostListLimitsTest {
 
@@ -39,8 +39,8 @@
     loop.shutdownNow();
   }
 
-  /** A list of so many bytes before the end of its line, in chunks as large as a write usually is. */
-  private static void say(Stub.Peer peer, int length) throws IOException {
+  /** Sends a list of this length in bytes, without its line end, in chunks as large as a typical write. */
+  private static void sendList(Stub.Peer peer, int length) throws IOException {
     String list = "{\"seq\":42,\"whole\":true,\"hosts\":[]}";
     String text = list + " ".repeat(length - list.length()) + "\n";
     for (int from = 0; from < text.length(); from += 32_768) {
@@ -49,9 +49,9 @@
     }
   }
 
-  /** Guards against a list without end that takes the memory, and a limit that a long one meets. */
+  /** An endless list must not use up the memory, and a long one must not be rejected below the limit. */
   @Test
-  void aListMayBeAsLongAsTheLimitAndEndsTheWatchOneAbove() throws Exception {
+  void listsUpToTheLimitAreReadAndLongerOnesEndTheWatch() throws Exception {
     int[] lengths = {HostListWatcher.MAX_LIST_BYTES - 1, HostListWatcher.MAX_LIST_BYTES,
         HostListWatcher.MAX_LIST_BYTES + 1};
     for (int length : lengths) {
@@ -59,7 +59,7 @@
       try (Stub discovery = new Stub(peer -> {
         peer.head();
         peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        say(peer, length);
+        sendList(peer, length);
         peer.beSilent();
       })) {
         HostListWatcher watch = new HostListWatcher(transport, loop, new Counters(), new Random(1),
--- a/src/test/java/beampoint/discovery/HostListMoveTest.java
+++ b/src/test/java/beampoint/discovery/HostListMoveTest.java
@@ -11,30 +11,30 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Discovery moves: what the new address has counts as told 4 s after the SIGHUP. */
+/** Discovery moves to another address, whose list must be known 4 s after the SIGHUP. */
 @Timeout(30)
 class HostListMoveTest extends HostListWatcherFixture {
 
-  private static final long COUNTS_AS_TOLD_MS = 4_000;
+  private static final long MAX_MOVE_MS = 4_000;
 
-  private static void tell(Stub.Peer peer, int version) throws IOException, InterruptedException {
+  private static void sendList(Stub.Peer peer, int version) throws IOException, InterruptedException {
     peer.say(HEAD + chunk(list(version, true, "")));
     peer.beSilent();
   }
 
-  /** Guards against a new address that fails at first, in whatever way, and is asked again too late. */
+  /** A new address that fails at first, by a reset, silence or an error status, must be retried soon. */
   @Test
-  void theListOfTheNewAddressIsTakenInTimeThoughItFailsAtFirst() throws Exception {
+  void theListOfTheNewAddressIsReadInTimeThoughItFailsAtFirst() throws Exception {
     try (Stub old = new Stub(peer -> {
       peer.head();
-      tell(peer, 42);
+      sendList(peer, 42);
     }); Stub next = new Stub(peer -> {
       peer.head();
       switch (peer.stub().connections()) {
         case 1 -> peer.reset();
         case 2 -> peer.beSilent();
         case 3 -> peer.say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-        default -> tell(peer, 44);
+        default -> sendList(peer, 44);
       }
     })) {
       watch = new HostListWatcher(transport, loop, counters, new Random(1),
@@ -47,7 +47,7 @@
       loop.execute(() -> watch.move(Address.parse(next.address())));
       assertEquals(44, lists.poll(10, TimeUnit.SECONDS).version());
       long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - movedAt);
-      assertTrue(took < COUNTS_AS_TOLD_MS, "told after " + took + " ms");
+      assertTrue(took < MAX_MOVE_MS, "received after " + took + " ms");
     }
   }
 }
--- a/src/test/java/beampoint/discovery/HostListRetryTest.java
+++ b/src/test/java/beampoint/discovery/HostListRetryTest.java
@@ -17,13 +17,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** When the list is asked for again: after an end, a silence, a move or an outage. */
+/** When a watch is opened again: after it ended or was silent, after a move or an outage. */
 @Timeout(30)
 class HostListRetryTest extends HostListWatcherFixture {
 
-  /** What a silent watch misses counts as told 6 s after: each break in a quiet hour is mended as soon. */
+  /**
+   * A proxy must know a change after 6 s, even if its watch was silent. So a watch that breaks repeatedly,
+   * with heartbeats only in between, must be opened again without a growing backoff.
+   */
   @Test
-  void aWatchThatBreaksAgainAndAgainWithoutAChangeBetweenIsAskedForAsSoonEachTime() throws Exception {
+  void aWatchThatBreaksRepeatedlyAfterHeartbeatsIsReopenedAsSoonEachTime() throws Exception {
     try (Stub discovery = new Stub(peer -> {
       peer.head();
       peer.say(HEAD + chunk(peer.stub().connections() < 7 ? "\n" : list(44, true, "")));
@@ -39,9 +42,9 @@
     }
   }
 
-  /** Guards against a proxy that stays with an old list once its watch has ended, or misses a change. */
+  /** After the end of its watch a proxy must not keep an old list or miss a change. */
   @Test
-  void aWatchThatEndsIsAskedForAgainFromTheLastVersion() throws Exception {
+  void aWatchThatEndsIsReopenedFromTheLastVersion() throws Exception {
     try (Stub discovery = new Stub(peer -> {
       String head = peer.head();
       peer.say(HEAD + chunk(list(head.contains("from=41") ? 50 : 51, false, "")));
@@ -56,9 +59,9 @@
     }
   }
 
-  /** Guards against a discovery that is down: it is silent, and its connection would never end. */
+  /** The connection to a discovery that is down would stay open without any data. */
   @Test
-  void aSilentWatchIsGivenUpAndAskedForAgain() throws Exception {
+  void aSilentWatchIsClosedAndReopened() throws Exception {
     try (Stub discovery = new Stub(peer -> {
       peer.head();
       if (peer.stub().connections() < 2) {
@@ -73,20 +76,20 @@
     }
   }
 
-  /** Guards against a gap in what discovery tells, while the watch moves to another address. */
+  /** No change must be missed while the watch moves to another address. */
   @Test
-  void aWatchThatMovesReadsTheOldAddressUntilTheNewOneHasBroughtSomething() throws Exception {
+  void aWatchThatMovesReadsTheOldAddressUntilTheNewOneHasDeliveredSomething() throws Exception {
     try (Stub old = new Stub(peer -> {
       peer.head();
       peer.say(HEAD + chunk(list(42, true, "")));
-      peer.stub().ends.take(); // the new one has been asked
+      peer.stub().ends.take(); // the new address has received the request
       peer.say(chunk(list(43, false, "")));
       peer.beSilent();
     }); Stub next = new Stub(peer -> {
       peer.head();
-      peer.stub().ends.take(); // the old one has told more
+      peer.stub().ends.take(); // the old address has sent another list
       peer.say(HEAD + chunk("\n"));
-      peer.stub().ends.take(); // the old one has been left
+      peer.stub().ends.take(); // the connection to the old address has been closed
       peer.say(chunk(list(44, false, "")));
       peer.beSilent();
     })) {
@@ -97,7 +100,7 @@
       old.ends.add(true);
       assertEquals(43, next().version());
       next.ends.add(true);
-      assertTrue(old.ends.take(), "the old one is left");
+      assertTrue(old.ends.take(), "the connection to the old address is closed");
       next.ends.add(true);
       assertEquals(44, next().version());
       assertEquals(0, counters.get(Counter.WATCHES_BROKEN));
@@ -105,9 +108,9 @@
     }
   }
 
-  /** Guards against a second move, or an end of the old watch, that leaves none or two open. */
+  /** After a second move, or the end of the old watch during a move, exactly one watch must be open. */
   @Test
-  void aWatchMayMoveTwiceInARowAndLoseTheOldOneMeanwhile() throws Exception {
+  void aWatchMayMoveTwiceInARowWhileTheOldOneEnds() throws Exception {
     try (Stub old = new Stub(peer -> {
       peer.head();
       peer.say(HEAD + chunk(list(42, true, "")));
@@ -131,9 +134,9 @@
     }
   }
 
-  /** Guards against a move that is forgotten where the watch is broken and waits to be asked for again. */
+  /** A move must not be forgotten if the watch is broken and waits for its backoff. */
   @Test
-  void aMoveWhileTheWatchWaitsIsForTheNextOne() throws Exception {
+  void aMoveDuringTheBackoffTakesEffectWithTheNextWatch() throws Exception {
     try (Stub next = new Stub(peer -> {
       peer.head();
       peer.say(HEAD + chunk(list(44, true, "")));
@@ -153,9 +156,9 @@
     }
   }
 
-  /** Guards against a fleet that asks in step: discovery takes two calls at a time and turns others away. */
+  /** Discovery serves two requests at a time and rejects others, so a fleet must not retry in step. */
   @Test
-  void fourteenWatchesThatAreTurnedAwayAreAllServedAndAskFewTimes() throws Exception {
+  void fourteenWatchesThatAreRejectedAreAllServedAfterFewRetries() throws Exception {
     Semaphore free = new Semaphore(2);
     try (Stub discovery = new Stub(peer -> {
       peer.head();
@@ -163,7 +166,7 @@
         peer.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         return;
       }
-      Thread.sleep(20); // its work
+      Thread.sleep(20); // the time to serve a request
       peer.say(HEAD + chunk(list(42, true, "")));
       free.release();
       peer.beSilent();
@@ -184,23 +187,23 @@
     }
   }
 
-  /** A list of one host, by its health. */
+  /** A list of one host with this health. */
   private static String hostList(long version, String health) {
     return list(version, false,
         "{\"host\":\"s-1\",\"dial\":\"127.0.0.1:7\",\"health\":\"" + health + "\"}");
   }
 
   /**
-   * Discovery is down and silent, then has a drain to tell and can be reached: that counts as told at once.
-   * Guards against a call from the silence that is waited for as long as for a heartbeat.
+   * Discovery was down and silent, and has a drain to announce as it can be reached again: a proxy must know
+   * it soon. A request that was lost during the outage must not be waited for as long as for a heartbeat.
    */
   @Test
-  void aCallThatCrossesTheEndOfAnOutageIsFollowedByAnotherSoon() throws Exception {
+  void aRequestLostAtTheEndOfAnOutageIsFollowedByAnotherSoon() throws Exception {
     AtomicLong backAt = new AtomicLong();
     try (Stub discovery = new Stub(peer -> {
       peer.head();
       if (peer.stub().connections() < 2) {
-        backAt.set(System.nanoTime()); // it is back just as it has dropped this call
+        backAt.set(System.nanoTime()); // it comes back just after it has dropped this request
         peer.beSilent();
       }
       peer.say(HEAD + chunk(hostList(44, "Terminating")));
@@ -213,17 +216,17 @@
       loop.execute(watch::follow);
       assertEquals(HostList.Health.TERMINATING, next().hosts().get(0).health());
       long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - backAt.get());
-      assertTrue(took < 2000, "told after " + took + " ms");
+      assertTrue(took < 2000, "received after " + took + " ms");
     }
   }
 
-  /** Guards against a discovery that is slow, whose every answer would come to a call that was given up. */
+  /** If discovery is slow, every response would come to a request that was given up already. */
   @Test
-  void aSlowAnswerIsTakenFromACallThatOthersHaveFollowed() throws Exception {
+  void aSlowResponseToAnEarlierRequestIsRead() throws Exception {
     try (Stub discovery = new Stub(peer -> {
       peer.head();
       if (peer.stub().connections() == 1) {
-        peer.stub().ends.take(); // it answers the first once there is a third
+        peer.stub().ends.take(); // it answers the first request once there is a third
         peer.say(HEAD + chunk(list(44, true, "")));
       } else if (peer.stub().connections() == 3) {
         peer.stub().ends.add(true);
@@ -235,13 +238,13 @@
           lists::add, () -> watch.followLater(), 20_000, 50);
       loop.execute(watch::follow);
       assertEquals(44, next().version());
-      assertTrue(discovery.ends.poll(5, TimeUnit.SECONDS), "the others are given up");
+      assertTrue(discovery.ends.poll(5, TimeUnit.SECONDS), "the other watches are closed");
     }
   }
 
-  /** Guards against half a list, byte by byte: it is no heartbeat, and its end may never come. */
+  /** Parts of a list are no heartbeat: they may arrive byte by byte, and the end of the list never. */
   @Test
-  void aWatchThatBringsBytesAndNothingWholeIsSilent() throws Exception {
+  void aWatchThatDeliversBytesButNoListOrHeartbeatTimesOut() throws Exception {
     try (Stub discovery = new Stub(peer -> {
       peer.head();
       boolean first = peer.stub().connections() == 1;
@@ -257,9 +260,9 @@
     }
   }
 
-  /** Guards against a head that passes for a watch at work. */
+  /** A response head alone must not count as a working watch. */
   @Test
-  void aWatchThatBringsAHeadAndNoListIsSilent() throws Exception {
+  void aWatchThatDeliversAHeadButNoListTimesOut() throws Exception {
     try (Stub discovery = new Stub(peer -> {
       peer.head();
       peer.say(HEAD + (peer.stub().connections() == 1 ? "" : chunk(list(44, true, ""))));
@@ -267,13 +270,13 @@
     })) {
       follow(discovery, 200);
       assertEquals(44, next().version());
-      assertTrue(discovery.ends.poll(5, TimeUnit.SECONDS), "the first is given up");
+      assertTrue(discovery.ends.poll(5, TimeUnit.SECONDS), "the first watch is closed");
     }
   }
 
-  /** All ways in which a call can fail: what discovery has is told within 6 s of its being reached. */
+  /** However a request fails, a list must be known within 6 s of the time when discovery can be reached. */
   @Test
-  void noWayToFailMakesTheNextCallWaitForLong() {
+  void noKindOfFailureDelaysTheNextRequestForLong() {
     long longestWait = 3 * HostListWatcher.MAX_BACKOFF_MS / 2;
     assertTrue(
         HostListWatcher.HEARTBEAT_TIMEOUT_MS + longestWait + HostListWatcher.ANSWER_TIMEOUT_MS < 6000 - 1000);
--- a/src/test/java/beampoint/discovery/HostListWatcherFixture.java
+++ b/src/test/java/beampoint/discovery/HostListWatcherFixture.java
@@ -20,12 +20,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A watch of the list against a scripted discovery, what it brings, and its waits between calls. */
+/** A watcher against a scripted discovery; records the lists that it delivers and its backoffs. */
 abstract class HostListWatcherFixture {
 
   static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  private static final long SHORTEST_TIME_OUT = 1500; // of a watch, in the tests that look at its waits
+  // Shorter delays are recorded as backoffs; timeouts are longer in the tests that check backoffs.
+  private static final long MIN_TIMEOUT_MS = 1500;
 
   final TCPNIOTransport transport = TCPNIOTransportBuilder.newInstance().build();
   final List<Long> waits = Collections.synchronizedList(new ArrayList<>());
@@ -33,7 +34,7 @@
       new ScheduledThreadPoolExecutor(1, new ThreadPoolExecutor.DiscardPolicy()) {
         @Override
         public ScheduledFuture<?> schedule(Runnable task, long delay, TimeUnit unit) {
-          if (unit == TimeUnit.MILLISECONDS && delay > 0 && delay < SHORTEST_TIME_OUT) {
+          if (unit == TimeUnit.MILLISECONDS && delay > 0 && delay < MIN_TIMEOUT_MS) {
             waits.add(delay);
           }
           return super.schedule(task, delay, unit);
@@ -54,16 +55,16 @@
     loop.shutdownNow();
   }
 
-  void follow(Stub discovery, long silenceMs) {
+  void follow(Stub discovery, long heartbeatTimeoutMs) {
     watch =
         new HostListWatcher(transport, loop, counters, new Random(1), Address.parse(discovery.address()), 41,
-            lists::add, () -> watch.followLater(), silenceMs, silenceMs / 2);
+            lists::add, () -> watch.followLater(), heartbeatTimeoutMs, heartbeatTimeoutMs / 2);
     loop.execute(watch::follow);
   }
 
   HostList next() throws InterruptedException {
     HostList list = lists.poll(5, TimeUnit.SECONDS);
-    assertTrue(list != null, "no list came");
+    assertTrue(list != null, "no list was received");
     return list;
   }
 
--- a/src/test/java/beampoint/discovery/HostListWatcherTest.java
+++ b/src/test/java/beampoint/discovery/HostListWatcherTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a watch of the list brings, against a scripted discovery. */
+/** The lists that a watch delivers, against a scripted discovery. */
 @Timeout(30)
 class HostListWatcherTest extends HostListWatcherFixture {
 
   @Test
-  void changesComeAsTheyAreWrittenAndALineMayBeSplitOverChunks() throws Exception {
+  void allFieldsOfAnEntryAreReadAndALineMayBeSplitOverChunks() throws Exception {
     String host = "{\"host\":\"s-1\",\"dial\":\"127.0.0.1:7\",\"site\":\"a\",\"class\":\"m2\",\"block\":3,"
         + "\"health\":\"Terminating\",\"share\":1.5,\"born_ms\":7}";
     try (Stub discovery = new Stub(peer -> {
@@ -37,12 +37,12 @@
     }
   }
 
-  /** Lists may come indented, and one that breaks off must not swallow those after it. */
+  /** Lists may be indented, and one that is cut off must not swallow those after it. */
   @Test
-  void aListMayBeIndentedAndOneThatBreaksOffBringsTheWholeListAgain() throws Exception {
-    String odd = "{\"host\":\"s-\\\\\\\"}{\",\"health\":\"Gone\"}";
+  void aListMayBeIndentedAndOneThatIsCutOffMakesTheWholeListBeRequested() throws Exception {
+    String entry = "{\"host\":\"s-\\\\\\\"}{\",\"health\":\"Gone\"}";
     String indented = new GsonBuilder().setPrettyPrinting().create()
-        .toJson(JsonParser.parseString(list(42, true, odd)));
+        .toJson(JsonParser.parseString(list(42, true, entry)));
     assertTrue(indented.lines().count() > 8);
     try (Stub discovery = new Stub(peer -> {
       boolean again = peer.head().contains("from=0 ");
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void aLineThatIsNoListBringsTheWholeListAgain() throws Exception {
+  void aLineThatIsNoListMakesTheWholeListBeRequested() throws Exception {
     try (Stub discovery = new Stub(peer -> {
       String head = peer.head();
       peer.say(HEAD + chunk(head.contains("from=0") ? list(45, true, "") : "{\"seq\":42}\n"));
@@ -72,15 +72,15 @@
   }
 
   @Test
-  void whatIsNoListIsToldSo() {
+  void textThatIsNoListIsRejected() {
     for (String text : new String[] {"[]", "{}", "{\"seq\":1,\"whole\":true}", "7"}) {
       assertThrows(JsonParseException.class, () -> HostList.parse(text), text);
     }
   }
 
-  /** Guards against one odd entry that keeps all others from being known, or its port from being checked. */
+  /** A malformed entry, such as one whose port is out of range, must not make the whole list fail. */
   @Test
-  void anOddEntryIsLeftOut() {
+  void malformedEntriesAreIgnored() {
     HostList list = HostList.parse(list(1, true, "{},7,"
         + "{\"host\":\"a\",\"dial\":\"nowhere\",\"health\":\"Ready\"},"
         + "{\"host\":\"b\",\"dial\":\"1.2.3.4:70000\",\"health\":\"Ready\"},"
@@ -91,9 +91,9 @@
     assertEquals(HostList.Health.GONE, list.hosts().get(0).health());
   }
 
-  /** An answer may have neither a length nor chunks. */
+  /** A response may have neither a length nor chunks. */
   @Test
-  void aWatchWithoutALengthIsReadAsItComes() throws Exception {
+  void aWatchWithoutALengthIsReadAsItArrives() throws Exception {
     try (Stub discovery = new Stub(peer -> {
       peer.head();
       peer.say("HTTP/1.1 200 OK\r\n\r\n" + list(44, true, ""));
--- a/src/test/java/beampoint/http/HttpFilterTest.java
+++ b/src/test/java/beampoint/http/HttpFilterTest.java
@@ -13,7 +13,7 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 import org.junit.jupiter.api.Test;
 
-/** HTTP answers read off buffers, whole and in pieces of any size. */
+/** Parsing of HTTP responses that arrive in pieces of any size. */
 class HttpFilterTest {
 
   private static final MemoryManager<?> MEMORY = new HeapMemoryManager();
@@ -26,7 +26,7 @@
     return HttpFilter.parse(Side.RESPONSES, progress, in);
   }
 
-  /** What is read of a text that comes in pieces of this size: heads, bodies joined, a bar at each end. */
+  /** Parses a text that arrives in pieces of this size; returns heads and bodies, with a bar at each end. */
   private static String read(String text, int piece) throws HttpException {
     HttpFilter.Progress progress = new HttpFilter.Progress();
     StringBuilder read = new StringBuilder();
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void bodiesOfStatedLengthAndInChunksMayComeInAnyPieces() throws HttpException {
+  void bodiesOfStatedLengthAndInChunksMayArriveInAnyPieces() throws HttpException {
     String text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nSrv-Load: {}\r\nX:\n\r\nab\r\nc"
         + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n1;x=y\r\n\n\r\n10\r\n"
         + "0123456789abcdef\r\n0\r\nTrailer: 1\r\n\r\n"
@@ -63,9 +63,9 @@
     }
   }
 
-  /** Guards against an interim head that passes for the answer, which comes behind it. */
+  /** An interim response (1xx) must not be taken for the final one, which follows it. */
   @Test
-  void interimAnswersAreReadPast() throws HttpException {
+  void interimResponsesAreSkipped() throws HttpException {
     String text = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"
         + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     for (int piece = 1; piece <= text.length(); piece++) {
@@ -73,9 +73,9 @@
     }
   }
 
-  /** Guards against a connection used again though more stands on it than the answer. */
+  /** A connection on which more was received than the response must not be used again. */
   @Test
-  void whatStandsBehindAnAnswerIsToldWithIt() throws HttpException {
+  void bytesAfterAResponseAreReportedWithIt() throws HttpException {
     for (String answer : new String[] {"Content-Length: 2\r\n\r\nok", "Content-Length: 0\r\n\r\n",
         "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"}) {
       for (String more : new String[] {"", "x"}) {
@@ -92,10 +92,10 @@
     }
   }
 
-  /** Guards against spoilt heads and chunks that pass, so that a client is served what nobody made. */
+  /** Malformed heads and chunks must be rejected, so that a client does not get a corrupted value. */
   @Test
-  void spoiltFramingIsAnError() {
-    for (String spoilt : new String[] {"200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n",
+  void malformedFramingIsAnError() {
+    for (String malformed : new String[] {"200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n",
         "200 OK\r\nContent-Length: -1\r\nContent-Length: 5\r\n", "200 OK\r\nContent-Length: +5\r\n",
         "200 OK\r\nContent-Length: 5 5\r\n", "200 OK\r\nContent-Length: 3000000000\r\n",
         "200 OK\r\nno colon here\r\nContent-Length: 5\r\n", "200 OK\r\n: 5\r\nContent-Length: 5\r\n",
@@ -104,7 +104,7 @@
         "2000 OK\r\nContent-Length: 5\r\n",
         "101 Switching\r\nContent-Length: 5\r\n", "200 OK\r\nTransfer-Encoding: gzip, chunked\r\n",
         "200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n"}) {
-      assertThrows(HttpException.class, () -> read("HTTP/1.1 " + spoilt + "\r\nabcde", 500), spoilt);
+      assertThrows(HttpException.class, () -> read("HTTP/1.1 " + malformed + "\r\nabcde", 500), malformed);
     }
     for (String chunks : new String[] {"2\r\nabc\r\n0\r\n\r\n", "2x\r\nab\r\n0\r\n\r\n", "-2\r\nab\r\n"}) {
       assertThrows(HttpException.class,
@@ -112,7 +112,7 @@
     }
   }
 
-  /** Only its end tells how long it is, and that is not in the bytes: none of them is the last. */
+  /** The body ends when the connection is closed, so no part that is read from the bytes is the last. */
   @Test
   void aBodyWithoutALengthLastsUntilTheClose() throws HttpException {
     String text = "HTTP/1.1 200 OK\r\n\r\nabcHTTP/1.1 200 OK\r\n";
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void whatCanNotBeReadIsAnError() {
+  void textThatIsNotHttpOrTooLongIsAnError() {
     assertThrows(HttpException.class, () -> read("VA 5 O1 and more than a head\r\n\r\n", 100));
     assertThrows(HttpException.class, () -> read("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", 100));
     assertThrows(HttpException.class,
--- a/src/test/java/beampoint/ops/AdminServerTest.java
+++ b/src/test/java/beampoint/ops/AdminServerTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Ids as they stand in the path of a call. */
+/** Decoding of cache node ids in request paths. */
 class AdminServerTest {
 
   @Test
--- a/src/test/java/beampoint/settings/LoadColumnsTest.java
+++ b/src/test/java/beampoint/settings/LoadColumnsTest.java
@@ -9,12 +9,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Parsing of load reports by their configured columns. */
 class LoadColumnsTest {
 
   private final LoadColumns columns = new LoadColumns(List.of("err_ps", "mean_ms", "depth", "x1"));
 
   @Test
-  void eachValueIsReadFromItsColumnAndWhatIsNotToldIsNotZero() {
+  void eachValueIsReadFromItsColumnAndAMissingOneIsNotZero() {
     Load load = columns.parse("0,14.5,3,7");
     assertEquals(3, load.queue());
     assertTrue(Double.isNaN(load.utilisation()));
@@ -24,7 +25,7 @@
   }
 
   @Test
-  void aRowThatIsCutOffOrTooLongOrMissingIsNoReport() {
+  void aRowOfTheWrongLengthOrNoneIsNoReport() {
     assertNull(columns.parse(null));
     assertNull(columns.parse(""));
     assertNull(columns.parse("0,14.5,3"));
@@ -32,7 +33,7 @@
   }
 
   @Test
-  void aValueThatCantBeIsNotTold() {
+  void anInvalidValueCountsAsMissing() {
     for (String value : List.of("", "x", "-1", "NaN", "Infinity", "1e999")) {
       Load load = columns.parse("0,14.5," + value + ",7");
       assertTrue(Double.isNaN(load.queue()), value);
@@ -40,7 +41,7 @@
   }
 
   @Test
-  void columnsThatThisVersionDoesNotKnowArePassedOver() {
+  void unknownColumnsAreIgnored() {
     Load load = new LoadColumns(List.of("warp", "depth")).parse("much,2");
     assertEquals(2, load.queue());
   }
@@ -50,7 +51,7 @@
   }
 
   @Test
-  void theConfigurationNamesThemAsAListOrInOneTextAndByDefaultNoneComes() throws InputException {
+  void columnsAreConfiguredAsAListOrAsOneTextAndThereAreNoneByDefault() throws InputException {
     String list = "{\"telemetry\":{\"source\":\"inline\",\"columns\":[\"depth\",\"x1\"]}}";
     assertEquals(List.of("depth", "x1"), read(list).names());
     assertEquals(List.of("depth", "x1"), read(list.replace("[\"depth\",\"x1\"]", "\"depth,x1\"")).names());
@@ -65,8 +66,8 @@
     assertEquals(new Load(2, 0.61), inline.parseNamed("inflight=7,queue=2,util=0.61"));
     assertEquals(new Load(2, 0.61), inline.parseNamed("load_share=0.61,depth=2"));
     assertTrue(Double.isNaN(inline.parseNamed("queue=2").utilisation()));
-    for (String odd : List.of("", ",", "=", "queue", "queue=", "=2", "queue=-1,util=x")) {
-      assertTrue(Double.isNaN(inline.parseNamed(odd).queue()), odd);
+    for (String malformed : List.of("", ",", "=", "queue", "queue=", "=2", "queue=-1,util=x")) {
+      assertTrue(Double.isNaN(inline.parseNamed(malformed).queue()), malformed);
     }
     assertNull(inline.parseNamed(null));
   }
--- a/src/test/java/beampoint/settings/TransitionTest.java
+++ b/src/test/java/beampoint/settings/TransitionTest.java
@@ -13,15 +13,15 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What holds between one set of settings and the next. */
+/** The settings in force during a change of settings. */
 class TransitionTest {
 
-  private static String lane(String name, String effect, String more) {
-    return "{\"name\":\"" + name + "\",\"idempotency\":\"" + effect
+  private static String lane(String name, String idempotency, String more) {
+    return "{\"name\":\"" + name + "\",\"idempotency\":\"" + idempotency
         + "\",\"target-ms\":100,\"hard-limit-ms\":500" + more + "}";
   }
 
-  private static NamedSettings terms(int attempts, String... lanes) throws InputException {
+  private static NamedSettings namedSettings(int attempts, String... lanes) throws InputException {
     return inZones("[\"a\"]", attempts, lanes);
   }
 
@@ -37,13 +37,14 @@
   }
 
   private static RequestClass during(String before, String next) throws InputException {
-    return Transition.duringTransition(terms(2, before), terms(2, next)).settings().classes().get(0);
+    return Transition.duringTransition(namedSettings(2, before), namedSettings(2, next)).settings()
+        .classes().get(0);
   }
 
   @Test
-  void aDroppedClassIsKnownForAWhileAndOneThatStaysKeepsWhatWasLearntByItsName() throws InputException {
-    NamedSettings before = terms(4, lane("a", "safe", ""), lane("b", "safe", ""));
-    NamedSettings next = terms(2, lane("new", "unsafe", ""), lane("b", "safe", ""));
+  void aDroppedClassIsKeptDuringTheTransitionAndAKeptOneIsFoundByItsName() throws InputException {
+    NamedSettings before = namedSettings(4, lane("a", "safe", ""), lane("b", "safe", ""));
+    NamedSettings next = namedSettings(2, lane("new", "unsafe", ""), lane("b", "safe", ""));
     NamedSettings meanwhile = Transition.duringTransition(before, next);
     assertEquals(List.of("new", "b", "a"), meanwhile.names().classes());
     assertEquals(2, meanwhile.settings().limits().maxAttempts());
@@ -53,7 +54,7 @@
   }
 
   @Test
-  void anEffectThatChangesIsTheStricterOfBothMeanwhile() throws InputException {
+  void aChangedIdempotencyIsTheStricterOfBothDuringTheTransition() throws InputException {
     String keyed = ",\"group\":\"zone\",\"dedup-window-ms\":900";
     assertEquals(Idempotency.UNSAFE, during(lane("a", "safe", ""), lane("a", "unsafe", "")).idempotency());
     assertEquals(Idempotency.UNSAFE, during(lane("a", "unsafe", ""), lane("a", "safe", "")).idempotency());
@@ -70,7 +71,7 @@
   }
 
   @Test
-  void howHostsAreNumberedStaysUntilTheNextStart() throws InputException {
+  void theNumberingOfHostsStaysUntilTheNextStart() throws InputException {
     NamedSettings taken =
         Transition.keepStartupSettings(inZones("[\"a\",\"b\"]", 4), inZones("[\"b\",\"a\"]", 2));
     assertEquals(List.of("a", "b"), taken.names().zones());
@@ -78,18 +79,18 @@
   }
 
   @Test
-  void deadlinesAimsAndAttemptsMustBeAboveZero() {
+  void deadlinesTargetsAndAttemptsMustBeAboveZero() {
     for (String number : List.of("0", "-5", "\"soon\"", "null", "\"NaN\"")) {
       String lane = lane("a", "safe", "");
-      assertThrows(InputException.class, () -> terms(2, lane.replace("100", number)), number);
-      assertThrows(InputException.class, () -> terms(2, lane.replace("500", number)), number);
+      assertThrows(InputException.class, () -> namedSettings(2, lane.replace("100", number)), number);
+      assertThrows(InputException.class, () -> namedSettings(2, lane.replace("500", number)), number);
     }
-    assertThrows(InputException.class, () -> terms(0, lane("a", "safe", "")));
-    assertThrows(InputException.class, () -> terms(-1, lane("a", "safe", "")));
+    assertThrows(InputException.class, () -> namedSettings(0, lane("a", "safe", "")));
+    assertThrows(InputException.class, () -> namedSettings(-1, lane("a", "safe", "")));
   }
 
   @Test
-  void theShapeOfAListIsWhatAllItsEntriesHave() {
+  void theKeyPathsOfAListAreThoseThatAllItsEntriesHave() {
     JsonObject object = JsonParser.parseString(
         "{\"a\":{\"b\":1,\"none\":null},\"l\":[{\"x\":1,\"y\":2},{\"x\":3}],\"e\":[]}").getAsJsonObject();
     assertEquals(Set.of("a", "a.b", "l", "l.*.x", "e"), KeyPaths.of(object));
