--- a/src/main/java/beampoint/discovery/HostListWatcher.java
+++ b/src/main/java/beampoint/discovery/HostListWatcher.java
@@ -251,8 +251,7 @@
 
   /** The first watch that is answered becomes the current one; others that wait for an answer are closed. */
   private void responded(Watch watch) {
-    restartTimeout(watch, heartbeatTimeoutMs,
-        () -> end(watch, "no data within " + heartbeatTimeoutMs + " ms"));
+    restartTimeout(watch, heartbeatTimeoutMs, () -> end(watch, "silent"));
     if (unanswered.remove(watch)) {
       close(current);
       current = watch;
@@ -305,8 +304,7 @@
       return;
     }
     watch.received = true;
-    restartTimeout(watch, heartbeatTimeoutMs,
-        () -> end(watch, "no data within " + heartbeatTimeoutMs + " ms"));
+    restartTimeout(watch, heartbeatTimeoutMs, () -> end(watch, "silent"));
     // The address responds, so a watch that breaks or falls silent again is reopened without a long backoff.
     backoffMs = FIRST_BACKOFF_MS;
     if (watch == current) {
