--- a/src/main/java/beampoint/fleet/transport/ViewExchanger.java
+++ b/src/main/java/beampoint/fleet/transport/ViewExchanger.java
@@ -152,7 +152,8 @@
   }
 
   private FilterChain chain(boolean isResponder) {
-    return FilterChainBuilder.stateless().add(new SocketReadFilter()).add(new ExchangeFilter(isResponder)).build();
+    return FilterChainBuilder.stateless().add(new SocketReadFilter()).add(new ExchangeFilter(isResponder))
+        .build();
   }
 
   /**
--- a/src/main/java/beampoint/serve/Config.java
+++ b/src/main/java/beampoint/serve/Config.java
@@ -5,8 +5,8 @@
 import beampoint.settings.FleetSettings;
 import beampoint.settings.InputException;
 import beampoint.settings.JsonFields;
+import beampoint.settings.KeyPaths;
 import beampoint.settings.SettingsReader;
-import beampoint.settings.Shape;
 import beampoint.settings.SocketSettings;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
@@ -76,7 +76,7 @@
         root.text("ops", null) == null ? null : root.address("ops"),
         json.has("fleet") ? FleetSettings.read(root) : null, root.address("discovery"), seed,
         sockets, root.index("limits.memory_mb", 192), HostList.read(json.getAsJsonObject("known")),
-        SettingsReader.read(settings), SocketSettings.read(settings), Shape.of(fields));
+        SettingsReader.read(settings), SocketSettings.read(settings), KeyPaths.of(fields));
   }
 
   /** Copies the configuration with {@code true} in place of the host list, which is long and parsed apart. */
--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -234,7 +234,7 @@
     }
     releaseIfDone(exchange);
     dispatch(new AttemptEnded(exchange.id(), attempt, endpoint, elapsed, result, exchange.isOver(),
-        names.settings().loads().named(load)));
+        names.settings().loads().parseNamed(load)));
   }
 
   @Override
--- a/src/main/java/beampoint/serve/HostListReceiver.java
+++ b/src/main/java/beampoint/serve/HostListReceiver.java
@@ -6,7 +6,7 @@
 import beampoint.Balancer.ListReceived;
 import beampoint.discovery.HostList;
 import beampoint.discovery.HostList.Host;
-import beampoint.discovery.HostListWatcher.Contact;
+import beampoint.discovery.HostListWatcher.WatchResult;
 import beampoint.upstream.Upstreams;
 import java.util.HashSet;
 import java.util.List;
@@ -66,8 +66,8 @@
   }
 
   /** A call to discovery was answered or has failed. An answer without a list confirms the configured one. */
-  void onContact(Contact contact) {
-    if (contact == Contact.RECEIVED && unconfirmed) {
+  void onContact(WatchResult contact) {
+    if (contact == WatchResult.RECEIVED && unconfirmed) {
       unconfirmed = false;
       decisions.dispatch(new ListReceived(ListKind.CHANGES, List.of()));
     }
--- a/src/main/java/beampoint/serve/Proxy.java
+++ b/src/main/java/beampoint/serve/Proxy.java
@@ -114,10 +114,11 @@
         config.discovery(), config.known().version(), hosts::receive, this::watchFailed,
         HostListWatcher.HEARTBEAT_TIMEOUT_MS, HostListWatcher.ANSWER_TIMEOUT_MS);
     decisions.connect(upstreams, watcher);
-    watcher.afterEachCall(hosts::onContact);
+    watcher.onWatchResult(hosts::onContact);
     this.reload = new Reload(config, names, decisions, upstreams, watcher, counters, loop);
     this.fleet = config.fleet() == null ? null : new FleetNode(config.fleet(), name, config.seed(),
-        MembershipSettings.defaults(), settings.siblings(), decisions::setSiblings, transport, loop, clock, counters);
+        MembershipSettings.defaults(), settings.siblings(), decisions::setSiblings, transport, loop, clock,
+        counters);
     this.shutdown = new GracefulShutdown(sessions, decisions, loop, clock, this::hasOtherProcess);
     if (config.ops() == null) {
       this.operations = null;
@@ -142,7 +143,8 @@
     budget.limit(config.memoryMb() * 1024L * 1024 / BUDGET_DIVISOR / processes);
     int clients = processes == 1 ? available / 2 : available * 2 / 3;
     upstreams.setMaxConnections(available - clients);
-    sessions.setConnectionLimits(clients, Math.min(clients * 9 / 10, config.sockets() / MANY_CLIENTS_DIVISOR));
+    sessions.setConnectionLimits(clients,
+        Math.min(clients * 9 / 10, config.sockets() / MANY_CLIENTS_DIVISOR));
   }
 
   /**
@@ -215,7 +217,7 @@
     loop.execute(() -> {
       if (decisions.settings().listPushed()) {
         watcher.follow();
-      } else if (!watcher.isAsking()) {
+      } else if (!watcher.isWatching()) {
         decisions.discoveryContacted(); // no list comes until the module asks for one
       }
     });
--- a/src/main/java/beampoint/serve/Reload.java
+++ b/src/main/java/beampoint/serve/Reload.java
@@ -5,7 +5,7 @@
 import beampoint.discovery.HostListWatcher;
 import beampoint.log.Log;
 import beampoint.settings.Transition;
-import beampoint.settings.Transition.Terms;
+import beampoint.settings.Transition.NamedSettings;
 import beampoint.upstream.Upstreams;
 
 /** Applies a new configuration while the proxy serves. Belongs to the decision thread. */
@@ -67,12 +67,13 @@
    * arrive that clients sent under the old settings.
    */
   private void applySettings(Config next) {
-    Terms present = new Terms(decisions.settings(), names.settings());
-    Terms taken = Transition.taken(present, new Terms(next.settings(), next.socketSettings()));
+    NamedSettings present = new NamedSettings(decisions.settings(), names.settings());
+    NamedSettings taken =
+        Transition.keepStartupSettings(present, new NamedSettings(next.settings(), next.socketSettings()));
     double longest = Math.max(Decisions.longestDeadline(decisions.settings()),
         Decisions.longestDeadline(taken.settings()));
     int thisReload = ++reloads;
-    change(Transition.meanwhile(present, taken));
+    change(Transition.duringTransition(present, taken));
     loop.after(longest + OLD_REQUESTS_MS, () -> {
       if (thisReload == reloads) {
         change(taken);
@@ -80,8 +81,8 @@
     });
   }
 
-  private void change(Terms next) {
-    Terms present = new Terms(decisions.settings(), names.settings());
+  private void change(NamedSettings next) {
+    NamedSettings present = new NamedSettings(decisions.settings(), names.settings());
     if (!next.equals(present)) {
       LOG.info("classes: " + next.names().classes() + ", attempts: "
           + next.settings().limits().maxAttempts());
