--- a/src/test/java/beampoint/serve/Rehearsal.java
+++ b/src/test/java/beampoint/serve/CdsTrainingRun.java
@@ -14,11 +14,11 @@
  * Runs the program once among scripted peers, so that the build can list the classes it uses and archive
  * them: a restarted proxy has a part of a core, and loading them from the jar was half of its start.
  */
-public final class Rehearsal {
+public final class CdsTrainingRun {
 
   private static final int REQUESTS = 200;
 
-  private Rehearsal() {}
+  private CdsTrainingRun() {}
 
   public static void main(String[] args) throws Exception {
     Stub cache = new Stub(peer -> {
--- a/src/test/java/beampoint/serve/CloseCrossingTest.java
+++ b/src/test/java/beampoint/serve/ConnectionCloseTest.java
@@ -25,7 +25,7 @@
 
 /** Bytes cross the close of a connection, on either side of the proxy. */
 @Timeout(30)
-class CloseCrossingTest {
+class ConnectionCloseTest {
 
   private static final int LONG = 60_000;
   private static final int MORE_THAN_MAY_WAIT = 20_000; // requests
--- a/src/test/java/beampoint/serve/ToldTimesTest.java
+++ b/src/test/java/beampoint/serve/DrainAndTimeLeftTest.java
@@ -21,7 +21,7 @@
 
 /** What a proxy is told by its list, and what it tells cache nodes of the time that is left. */
 @Timeout(30)
-class ToldTimesTest {
+class DrainAndTimeLeftTest {
 
   private static final Pattern WAIT = Pattern.compile("d=(\\d+)");
 
--- a/src/test/java/beampoint/serve/LoopTest.java
+++ b/src/test/java/beampoint/serve/EventLoopTest.java
@@ -19,7 +19,7 @@
 
 /** Tasks and timers on the selector's thread. */
 @Timeout(30)
-class LoopTest {
+class EventLoopTest {
 
   private final EventLoop loop = new EventLoop();
   private final TCPNIOTransport transport = TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1)
--- a/src/test/java/beampoint/serve/FirstListTest.java
+++ b/src/test/java/beampoint/serve/InitialListGateTest.java
@@ -22,7 +22,7 @@
 
 /** A process that has just started, and is asked before it knows what discovery has to tell. */
 @Timeout(60)
-class FirstListTest {
+class InitialListGateTest {
 
   private static final String DRAIN = "{\"seq\":2,\"whole\":false,\"hosts\":["
       + "{\"host\":\"cache\",\"dial\":\"127.0.0.1:1\",\"class\":\"m2\",\"health\":\"Terminating\"}]}\n";
--- a/src/test/java/beampoint/serve/HeldUpProcessTest.java
+++ b/src/test/java/beampoint/serve/PausedProcessTest.java
@@ -25,7 +25,7 @@
 
 /** Guards against requests begun for clients that left, or with time that is over, after a stop. */
 @Timeout(60)
-class HeldUpProcessTest {
+class PausedProcessTest {
 
   private static final int TIMES = 5;
   private static final int ALLOWED_MS = 150; // to be held up
@@ -47,7 +47,7 @@
 
   @BeforeEach
   void start() throws Exception {
-    cache = new Stub(HeldUpProcessTest::serve);
+    cache = new Stub(PausedProcessTest::serve);
     discovery = ProxyFixture.discoveryWithoutNews();
     port = new ReservedPort();
     Path config = directory.resolve("config.json");
--- a/src/test/java/beampoint/serve/LateLoopTest.java
+++ b/src/test/java/beampoint/serve/StalledEventLoopTest.java
@@ -20,7 +20,7 @@
 
 /** Guards against requests failed before the module has heard that their attempt ended, by a late loop. */
 @Timeout(30)
-class LateLoopTest {
+class StalledEventLoopTest {
 
   private static final String ASKED = "mg 7f3a v Oasked Pc=read,t=acme,d=600\r\n";
   private static final long HELD_UP_MS = 500;
@@ -77,7 +77,7 @@
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client disturbs = new Client(proxy); Client asks = new Client(proxy)) {
       assertEquals("MN", asks.ask("mn\r\n"));
-      proxy.module.script = LateLoopTest::refuseByTimer;
+      proxy.module.script = StalledEventLoopTest::refuseByTimer;
       disturbs.say("mg 1 v Ofirst Pc=read,t=acme,d=4000\r\n");
       proxy.module.next(RequestReceived.class);
       for (int i = 0; i < MANY; i++) {
--- a/src/test/java/beampoint/serve/HeldUpStartTest.java
+++ b/src/test/java/beampoint/serve/StalledStartTest.java
@@ -13,7 +13,7 @@
 
 /** Guards against a start that is given up as the decision thread does not get on for 10 s. */
 @Timeout(60)
-class HeldUpStartTest {
+class StalledStartTest {
 
   private static final long HELD_UP_MS = 11_000;
 
