--- a/src/test/java/beampoint/serve/AnswerTimeTest.java
+++ b/src/test/java/beampoint/serve/AnswerTimeTest.java
@@ -21,7 +21,7 @@
 
   private static void assertAnsweredInTime(Client client, String expected) throws Exception {
     long begunAt = System.nanoTime();
-    assertEquals(expected, client.ask("mg 1 v O1 Pc=read,t=acme,d=" + WAIT_MS + "\r\n"));
+    assertEquals(expected, client.request("mg 1 v O1 Pc=read,t=acme,d=" + WAIT_MS + "\r\n"));
     double took = (System.nanoTime() - begunAt) / 1e6;
     assertTrue(took > WAIT_MS / 2.0 && took < WAIT_MS + LOST_AFTER_MS, "took " + took + " ms");
   }
--- a/src/test/java/beampoint/serve/ArrivalTimeTest.java
+++ b/src/test/java/beampoint/serve/ArrivalTimeTest.java
@@ -74,12 +74,12 @@
     try (Stub cache = new Stub(ArrivalTimeTest::readOn);
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client first = new Client(proxy); Client asks = new Client(proxy)) {
-      assertEquals("MN", asks.ask("mn\r\n"));
+      assertEquals("MN", asks.request("mn\r\n"));
       proxy.module.script = this::decide;
-      first.say(FIRST);
+      first.send(FIRST);
       heldUp.await();
       long askedAt = System.nanoTime();
-      asks.say(ASKED);
+      asks.send(ASKED);
       assertTold(cache, askedAt);
     }
   }
@@ -91,14 +91,14 @@
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client first = new Client(proxy)) {
       proxy.module.script = this::decide;
-      first.say(FIRST);
+      first.send(FIRST);
       heldUp.await();
       for (int i = 0; i < 30; i++) {
         others.add(new Client(proxy));
       }
       try (Client asks = new Client(proxy)) {
         long askedAt = System.nanoTime();
-        asks.say(ASKED);
+        asks.send(ASKED);
         assertTold(cache, askedAt);
       }
     } finally {
@@ -116,12 +116,12 @@
           ? List.of(new Send(e.id(), "cache", 0)) : List.of();
       for (int i = 0; i < PLACES; i++) {
         crowd.add(new Client(proxy));
-        crowd.get(i).say("mg " + i + " v O" + i + " Pc=read,t=acme,d=4000\r\n");
+        crowd.get(i).send("mg " + i + " v O" + i + " Pc=read,t=acme,d=4000\r\n");
         proxy.module.next(RequestReceived.class);
       }
       try (Client asks = new Client(proxy)) {
         long askedAt = System.nanoTime();
-        asks.say(ASKED);
+        asks.send(ASKED);
         ProxyFixture.sleep(HELD_UP_MS);
         hinderedUntil = System.nanoTime();
         Client.closeAll(crowd);
--- a/src/test/java/beampoint/serve/AttemptOutcomeTest.java
+++ b/src/test/java/beampoint/serve/AttemptOutcomeTest.java
@@ -29,8 +29,8 @@
   private static AttemptEnded oneRead(String cache) throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(cache, Stub.nobody()); Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      assertEquals("SERVER_ERROR busy", client.ask(READ));
-      return proxy.ended();
+      assertEquals("SERVER_ERROR busy", client.request(READ));
+      return proxy.nextAttemptEnded();
     }
   }
 
@@ -45,8 +45,8 @@
       }); ProxyFixture proxy = new ProxyFixture(Stub.nobody(), origin.address());
           Client client = new Client(proxy)) {
         proxy.sendTo("origin");
-        assertEquals("SERVER_ERROR busy", client.ask(READ));
-        assertEquals(Result.valueOf(answer[1]), proxy.ended().result(), answer[0]);
+        assertEquals("SERVER_ERROR busy", client.request(READ));
+        assertEquals(Result.valueOf(answer[1]), proxy.nextAttemptEnded().result(), answer[0]);
       }
     }
   }
@@ -76,8 +76,8 @@
       }); ProxyFixture proxy = new ProxyFixture(Stub.nobody(), origin.address());
           Client client = new Client(proxy)) {
         proxy.sendTo("origin");
-        assertEquals(answer[1].equals("OK") ? "VA 1 O9b" : "SERVER_ERROR busy", client.ask(READ));
-        assertEquals(Result.valueOf(answer[1]), proxy.ended().result());
+        assertEquals(answer[1].equals("OK") ? "VA 1 O9b" : "SERVER_ERROR busy", client.request(READ));
+        assertEquals(Result.valueOf(answer[1]), proxy.nextAttemptEnded().result());
       }
     }
   }
@@ -90,9 +90,9 @@
         new ProxyFixture(cache.address(), Stub.nobody()); Client client = new Client(proxy)) {
       proxy.sendTo("cache");
       for (int i = 0; i < 3; i++) {
-        assertEquals("VA 0 O9b", client.ask(READ));
+        assertEquals("VA 0 O9b", client.request(READ));
         assertEquals("", client.line());
-        assertEquals(Result.OK, proxy.ended().result());
+        assertEquals(Result.OK, proxy.nextAttemptEnded().result());
       }
       assertEquals(3, cache.connections());
     }
@@ -130,8 +130,8 @@
     }); ProxyFixture proxy = new ProxyFixture(Stub.nobody(), origin.address());
         Client client = new Client(proxy)) {
       proxy.sendTo("origin");
-      assertEquals("SERVER_ERROR busy", client.ask(READ));
-      assertEquals(Result.RESET, proxy.ended().result());
+      assertEquals("SERVER_ERROR busy", client.request(READ));
+      assertEquals(Result.RESET, proxy.nextAttemptEnded().result());
     }
   }
 
@@ -143,8 +143,8 @@
       proxy.module.script = event -> event instanceof RequestReceived e
           ? List.of(new Send(e.id(), "cache", 0))
           : event instanceof AttemptEnded e ? List.of(new Fail(e.id())) : List.of();
-      assertEquals("SERVER_ERROR failed", client.ask(READ.replace("4000", "100")));
-      AttemptEnded ended = proxy.ended();
+      assertEquals("SERVER_ERROR failed", client.request(READ.replace("4000", "100")));
+      AttemptEnded ended = proxy.nextAttemptEnded();
       assertEquals(Result.TIMEOUT, ended.result());
       assertFalse(ended.done());
       assertTrue(ended.elapsed() >= 90 && ended.elapsed() < 1000, "after " + ended.elapsed());
@@ -162,9 +162,9 @@
           : event instanceof AttemptEnded e && e.attempt() == 0
               ? List.of(new Send(e.id(), "cache", 0), new Cancel(e.id(), 1))
           : event instanceof AttemptEnded e ? List.of(new Refuse(e.id(), 40)) : List.of();
-      assertEquals("SERVER_ERROR busy 40", client.ask(READ));
-      assertEquals(Result.TIMEOUT, proxy.ended().result());
-      AttemptEnded second = proxy.ended();
+      assertEquals("SERVER_ERROR busy 40", client.request(READ));
+      assertEquals(Result.TIMEOUT, proxy.nextAttemptEnded().result());
+      AttemptEnded second = proxy.nextAttemptEnded();
       assertEquals(1, second.attempt());
     }
   }
@@ -182,7 +182,7 @@
           : event instanceof TimerFired e
               ? List.of(new Probe("cache"), new Probe("origin"), new Refuse(e.token(), 700))
           : List.of();
-      assertEquals("SERVER_ERROR busy 700", client.ask(READ));
+      assertEquals("SERVER_ERROR busy 700", client.request(READ));
       assertEquals(Result.OK, proxy.module.next(ProbeEnded.class).result());
       assertEquals(Result.OK, proxy.module.next(ProbeEnded.class).result());
       assertEquals("mn", cache.nextLine());
@@ -197,7 +197,7 @@
         Client client = new Client(proxy)) {
       proxy.module.script = event -> event instanceof RequestReceived e
           ? List.of(new Probe("origin"), new Probe("cache"), new Fail(e.id())) : List.of();
-      assertEquals("SERVER_ERROR failed", client.ask(READ));
+      assertEquals("SERVER_ERROR failed", client.request(READ));
       assertEquals(Result.CONNECT_FAILED, proxy.module.next(ProbeEnded.class).result());
       assertEquals(Result.TIMEOUT, proxy.module.next(ProbeEnded.class).result());
     }
--- a/src/test/java/beampoint/serve/CdsTrainingRun.java
+++ b/src/test/java/beampoint/serve/CdsTrainingRun.java
@@ -56,26 +56,26 @@
     Main.main(new String[] {"serve", "--config", config.toString()});
     try (Client client = new Client(port); Client leaving = new Client(port)) {
       for (int i = 0; i < REQUESTS; i++) {
-        client.say(i % 10 == 0 ? "ms " + i + " 5 O" + i + " Pc=put,t=acme,d=900,k=" + i + "\r\nvalue\r\n"
+        client.send(i % 10 == 0 ? "ms " + i + " 5 O" + i + " Pc=put,t=acme,d=900,k=" + i + "\r\nvalue\r\n"
             : "mg " + i + " v O" + i + " Pc=read,t=acme,d=900\r\n");
         if (client.line().startsWith("VA")) {
           client.line();
         }
       }
-      leaving.say("mg 1 v Oleaving Pc=read,t=acme,d=900\r\n");
+      leaving.send("mg 1 v Oleaving Pc=read,t=acme,d=900\r\n");
       for (String command : List.of("mn", "version", "mg", "hello", "mg 1 v O1 Pc=none,d=1")) {
-        client.ask(command + "\r\n");
+        client.request(command + "\r\n");
       }
       for (String call : List.of("GET /_ready", "POST /_cache-nodes/detach/gone",
           "POST /_cache-nodes/attach/gone")) {
         try (Client caller = new Client(ops)) {
-          caller.ask(call + " HTTP/1.1\r\nHost: ops\r\n\r\n");
+          caller.request(call + " HTTP/1.1\r\nHost: ops\r\n\r\n");
         }
       }
       configure(directory, port, ops, new Stub(follows), hosts);
       String self = Long.toString(ProcessHandle.current().pid());
       new ProcessBuilder("kill", "-HUP", self).start().waitFor();
-      client.say("stats\r\n");
+      client.send("stats\r\n");
       while (!client.line().equals("END")) {
         // read on
       }
--- a/src/test/java/beampoint/serve/ClientConnectionTest.java
+++ b/src/test/java/beampoint/serve/ClientConnectionTest.java
@@ -37,12 +37,12 @@
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody())) {
       proxy.sendTo("cache");
       Client client = new Client(proxy);
-      client.say(READ);
+      client.send(READ);
       cache.nextLine();
       client.close();
       assertEquals(1, proxy.module.next(RequestGone.class).id());
       cache.ends.add(true);
-      AttemptEnded ended = proxy.ended();
+      AttemptEnded ended = proxy.nextAttemptEnded();
       assertEquals(Result.OK, ended.result());
       assertTrue(ended.done());
     }
@@ -52,13 +52,13 @@
   void badInputCostsAnAnswerAndOverlongInputItsConnectionOnly() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client client = new Client(proxy); Client other = new Client(proxy)) {
-      assertEquals("ERROR", client.ask("hello\r\n"));
-      assertEquals("CLIENT_ERROR unknown class", client.ask("mg 1 v O1 Pc=none,d=100\r\n"));
-      assertEquals("MN", other.ask("mn\r\n"));
-      assertTrue(client.ask("x".repeat(6000)).startsWith("CLIENT_ERROR"));
+      assertEquals("ERROR", client.request("hello\r\n"));
+      assertEquals("CLIENT_ERROR unknown class", client.request("mg 1 v O1 Pc=none,d=100\r\n"));
+      assertEquals("MN", other.request("mn\r\n"));
+      assertTrue(client.request("x".repeat(6000)).startsWith("CLIENT_ERROR"));
       assertNull(client.line());
-      assertEquals("MN", other.ask("mn\r\n"));
-      assertNull(other.ask("quit\r\n"));
+      assertEquals("MN", other.request("mn\r\n"));
+      assertNull(other.request("quit\r\n"));
     }
   }
 
@@ -71,10 +71,10 @@
       proxy.sendTo("cache");
       for (int i = 0; i < 50; i++) {
         try (Client leaving = new Client(proxy)) {
-          leaving.say("mg 1 v O" + i + " Pc=read,t=acme,d=100\r\n");
+          leaving.send("mg 1 v O" + i + " Pc=read,t=acme,d=100\r\n");
         }
       }
-      last.say(READ.replace("4000", "200"));
+      last.send(READ.replace("4000", "200"));
       Set<Long> open = new HashSet<>();
       Set<Long> gone = new HashSet<>();
       // Requests whose clients left before they were begun are told to nobody: how many is up to the machine.
@@ -107,7 +107,7 @@
   void aClientThatGoesOnSendingWhatCanNotBeReadIsTurnedAway() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client client = new Client(proxy)) {
-      client.say("nonsense\r\n".repeat(1000));
+      client.send("nonsense\r\n".repeat(1000));
       int answers = 0;
       try {
         while ("ERROR".equals(client.line())) {
@@ -128,15 +128,15 @@
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy); Client other = new Client(proxy)) {
       proxy.sendTo("cache");
-      client.say(READ);
+      client.send(READ);
       cache.nextLine();
-      assertEquals("CLIENT_ERROR id in use", other.ask(READ));
+      assertEquals("CLIENT_ERROR id in use", other.request(READ));
       cache.ends.add(true);
       assertEquals("VA 0 O9b", client.line());
-      proxy.ended();
+      proxy.nextAttemptEnded();
       proxy.refuseAll();
-      assertEquals("SERVER_ERROR busy", other.ask(READ));
-      assertEquals("CLIENT_ERROR unknown tenant", other.ask(READ.replace("acme", "nobody")));
+      assertEquals("SERVER_ERROR busy", other.request(READ));
+      assertEquals("CLIENT_ERROR unknown tenant", other.request(READ.replace("acme", "nobody")));
     }
   }
 
@@ -146,13 +146,13 @@
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client idle = new Client(proxy); Client silent = new Client(proxy); Client half = new Client(proxy);
         Client later = new Client(proxy)) {
-      assertEquals("MN", idle.ask("mn\r\n"));
-      assertEquals("MN", later.ask("mn\r\nms 1 5 O1"));
-      half.say("mg 7f3a v O9b Pc=re");
+      assertEquals("MN", idle.request("mn\r\n"));
+      assertEquals("MN", later.request("mn\r\nms 1 5 O1"));
+      half.send("mg 7f3a v O9b Pc=re");
       assertNull(silent.line());
       assertNull(half.line());
       assertNull(later.line());
-      assertEquals("MN", idle.ask("mn\r\n"));
+      assertEquals("MN", idle.request("mn\r\n"));
       assertEquals(3, proxy.proxy.counters().get(Counter.CLIENT_CONNECTIONS_CLOSED_STALE));
     }
   }
@@ -184,13 +184,13 @@
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody())) {
       proxy.module.script = event -> List.of();
       try (Client resets = new Client(proxy)) {
-        resets.say(READ);
+        resets.send(READ);
         proxy.module.next(RequestReceived.class);
         resets.socket.setSoLinger(true, 0);
       }
       proxy.module.next(RequestGone.class);
       try (Client client = new Client(proxy)) {
-        client.say(READ);
+        client.send(READ);
         proxy.module.next(RequestReceived.class);
       }
       proxy.module.next(RequestGone.class);
--- a/src/test/java/beampoint/serve/ConnectionCloseTest.java
+++ b/src/test/java/beampoint/serve/ConnectionCloseTest.java
@@ -41,8 +41,8 @@
     }); ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy.port, 4096)) {
       proxy.sendTo("cache");
-      client.say(READ + "ms 7f3a x O9c Pc=put,t=acme,d=4000,k=5c\r\n" + "y".repeat(200_000));
-      assertTrue(proxy.ended().done());
+      client.send(READ + "ms 7f3a x O9c Pc=put,t=acme,d=4000,k=5c\r\n" + "y".repeat(200_000));
+      assertTrue(proxy.nextAttemptEnded().done());
       // The client has read nothing so far: the answer lies in the system's buffers, behind the close.
       proxy.awaitCount(Counter.BAD_COMMANDS, 1);
       Thread.sleep(200); // reads are held back until the close is past, and the lingering is not
@@ -64,7 +64,7 @@
         flood.append(READ.replace("O9b", "O" + i));
       }
       try (Client client = new Client(proxy)) {
-        client.say(flood.toString());
+        client.send(flood.toString());
         proxy.module.next(RequestReceived.class);
       }
       for (int i = 0; i < 32; i++) {
@@ -82,7 +82,7 @@
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody())) {
       proxy.sendTo("cache");
       try (Client client = new Client(proxy)) {
-        client.say(reads(MORE_THAN_MAY_WAIT));
+        client.send(reads(MORE_THAN_MAY_WAIT));
         proxy.awaitCount(Counter.ATTEMPTS_SENT, 32);
       }
       for (int i = 0; i < 32; i++) {
@@ -112,8 +112,8 @@
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      client.say(reads(MORE_THAN_MAY_WAIT));
-      client.say("quit\r\n");
+      client.send(reads(MORE_THAN_MAY_WAIT));
+      client.send("quit\r\n");
       proxy.awaitCount(Counter.ANSWERED_REFUSED, 1);
       sent.countDown();
       int refused = 0;
@@ -141,7 +141,7 @@
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      client.say(reads(MORE_THAN_MAY_WAIT) + "mn\r\nversion\r\n".repeat(20_000));
+      client.send(reads(MORE_THAN_MAY_WAIT) + "mn\r\nversion\r\n".repeat(20_000));
       proxy.awaitCount(Counter.ANSWERED_REFUSED, 1);
       sent.countDown();
       String last = null;
@@ -167,7 +167,7 @@
       for (int i = 0; i < 3000; i++) {
         flood.append(i % 7 == 0 ? "mn\r\n" : READ.replace("O9b", "O" + i));
       }
-      client.say(flood + "quit\r\n");
+      client.send(flood + "quit\r\n");
       for (int i = 0; i < 3000; i++) {
         assertEquals(i % 7 == 0 ? "MN" : "VA 0 O" + i, client.line());
         assertTrue(i % 7 == 0 || client.line().isEmpty());
@@ -191,14 +191,14 @@
     }); ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      assertEquals("VA 2 O9b", client.ask(READ));
+      assertEquals("VA 2 O9b", client.request(READ));
       assertEquals("ab", client.line());
-      assertEquals(Result.OK, proxy.ended().result());
+      assertEquals(Result.OK, proxy.nextAttemptEnded().result());
       answered.countDown();
       assertTrue(cache.ends.poll(5, TimeUnit.SECONDS), "the proxy has ended the connection");
-      assertEquals("VA 2 O9b", client.ask(READ));
+      assertEquals("VA 2 O9b", client.request(READ));
       assertEquals("ab", client.line());
-      assertEquals(Result.OK, proxy.ended().result());
+      assertEquals(Result.OK, proxy.nextAttemptEnded().result());
       assertEquals(2, cache.connections());
     }
   }
@@ -222,7 +222,7 @@
       proxy.module.script = event -> event instanceof RequestReceived e && e.id() == 1
           ? List.of(new Send(1, "origin", 0))
           : event instanceof AttemptEnded e && e.id() == 1 ? List.of(new Send(2, "origin", 0)) : List.of();
-      client.say(READ + READ.replace("O9b", "O9c"));
+      client.send(READ + READ.replace("O9b", "O9c"));
       assertEquals("VA 2 O9b", client.line());
       assertEquals("ab", client.line());
       assertEquals("VA 2 O9c", client.line());
@@ -242,10 +242,10 @@
     }); ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody(), 1024, settings, null);
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      assertEquals("VA 0 O9b", client.ask(READ));
+      assertEquals("VA 0 O9b", client.request(READ));
       assertEquals("", client.line());
       Thread.sleep(1150); // it may be used for 1 s; the node may close it after 1.2 s
-      assertEquals("VA 0 O9b", client.ask(READ));
+      assertEquals("VA 0 O9b", client.request(READ));
       assertEquals(2, cache.connections());
     }
   }
@@ -264,17 +264,17 @@
         }
         return event instanceof RequestReceived e ? List.of(new Refuse(e.id(), 0)) : List.of();
       };
-      assertEquals("MN", last.ask("mn\r\n"));
+      assertEquals("MN", last.request("mn\r\n"));
       try (Client next = new Client(proxy)) {
-        assertEquals("MN", next.ask("mn\r\n"));
-        first.say(READ);
+        assertEquals("MN", next.request("mn\r\n"));
+        first.send(READ);
         await(busy);
-        next.say(READ.replace("O9b", "O9c"));
+        next.send(READ.replace("O9b", "O9c"));
       }
       Thread.sleep(50); // so long it is busy
       gone.countDown();
       assertEquals("SERVER_ERROR busy", first.line());
-      assertEquals("MN", last.ask("mn\r\n"));
+      assertEquals("MN", last.request("mn\r\n"));
       assertEquals(1, proxy.proxy.counters().get(Counter.REQUESTS_TAKEN));
     }
   }
@@ -285,7 +285,7 @@
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client resting = new Client(proxy)) {
       proxy.sendTo("cache");
-      assertEquals("MN", resting.ask("mn\r\n"));
+      assertEquals("MN", resting.request("mn\r\n"));
       CountDownLatch drained = new CountDownLatch(1);
       Thread end = new Thread(() -> {
         try {
@@ -298,7 +298,7 @@
       long begun = System.nanoTime();
       end.start();
       assertNull(resting.line(), "an orderly end, and no reset");
-      resting.say(READ);
+      resting.send(READ);
       assertNull(resting.line(), "nor then");
       await(drained); // though this client closes nothing
       long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
@@ -319,8 +319,8 @@
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), origin.address());
         Client client = new Client(proxy)) {
       proxy.sendTo("origin");
-      assertEquals(expected, client.ask(WRITE));
-      return proxy.ended();
+      assertEquals(expected, client.request(WRITE));
+      return proxy.nextAttemptEnded();
     }
   }
 
--- a/src/test/java/beampoint/serve/ConnectionLimitTest.java
+++ b/src/test/java/beampoint/serve/ConnectionLimitTest.java
@@ -32,12 +32,12 @@
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
       for (int i = 0; i < 4; i++) {
-        client.say("mg " + i + " v O" + i + " Pc=read,d=4000\r\n");
+        client.send("mg " + i + " v O" + i + " Pc=read,d=4000\r\n");
       }
-      assertEquals(Result.NOT_SENT, proxy.ended().result(), "of four one is the origin's");
+      assertEquals(Result.NOT_SENT, proxy.nextAttemptEnded().result(), "of four one is the origin's");
       proxy.sendTo("origin");
-      client.say("mg 5 v O5 Pc=read,d=4000\r\n");
-      assertEquals(Result.OK, proxy.ended().result());
+      client.send("mg 5 v O5 Pc=read,d=4000\r\n");
+      assertEquals(Result.OK, proxy.nextAttemptEnded().result());
     }
   }
 
@@ -49,22 +49,22 @@
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody(), 140);
         Client slow = new Client(proxy); Client other = new Client(proxy)) {
       proxy.refuseAll();
-      slow.say(READ.substring(0, 10));
+      slow.send(READ.substring(0, 10));
       for (int i = 0; i < 11; i++) {
         crowd.add(new Client(proxy));
       }
       proxy.awaitClients(13); // who is accepted later would have moved later than the slow one
-      assertEquals("MN", other.ask("mn\r\n"), "by now all that were accepted are known");
-      slow.say(READ.substring(10, 20));
-      assertEquals("MN", other.ask("mn\r\n"));
-      assertEquals("MN", other.ask("mn\r\n"), "by now what the slow one wrote is read");
+      assertEquals("MN", other.request("mn\r\n"), "by now all that were accepted are known");
+      slow.send(READ.substring(10, 20));
+      assertEquals("MN", other.request("mn\r\n"));
+      assertEquals("MN", other.request("mn\r\n"), "by now what the slow one wrote is read");
       for (int i = 11; i < 41; i++) {
         crowd.add(new Client(proxy));
       }
       proxy.awaitClients(43);
-      assertEquals("MN", other.ask("mn\r\n"), "by now all that were accepted are known");
+      assertEquals("MN", other.request("mn\r\n"), "by now all that were accepted are known");
       assertNull(crowd.get(0).line(), "who has moved nothing for longest made room");
-      assertEquals("SERVER_ERROR busy", slow.ask(READ.substring(20)));
+      assertEquals("SERVER_ERROR busy", slow.request(READ.substring(20)));
       assertEquals(8, proxy.proxy.counters().get(Counter.CLIENT_CONNECTIONS_CLOSED_FULL));
     } finally {
       Client.closeAll(crowd);
@@ -79,16 +79,16 @@
       List<Client> usual = new ArrayList<>();
       for (int i = 0; i < 10; i++) {
         usual.add(new Client(proxy));
-        assertEquals("MN", usual.get(i).ask("mn\r\n"));
+        assertEquals("MN", usual.get(i).request("mn\r\n"));
       }
       for (int i = 0; i < 100; i++) {
         crowd.add(new Client(proxy));
       }
       try (Client next = new Client(proxy)) {
-        assertEquals("MN", next.ask("mn\r\n"));
+        assertEquals("MN", next.request("mn\r\n"));
       }
       for (Client client : usual) {
-        assertEquals("MN", client.ask("mn\r\n"));
+        assertEquals("MN", client.request("mn\r\n"));
         client.close();
       }
     } finally {
@@ -103,10 +103,10 @@
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody(), 300)) {
       for (int i = 0; i < 300 / 3; i++) {
         crowd.add(new Client(proxy));
-        assertEquals("MN", crowd.get(i).ask("mn\r\n"));
+        assertEquals("MN", crowd.get(i).request("mn\r\n"));
       }
       assertNull(crowd.get(0).line(), "who was idle for longest made room");
-      assertEquals("MN", crowd.get(300 / 3 - 1).ask("mn\r\n"));
+      assertEquals("MN", crowd.get(300 / 3 - 1).request("mn\r\n"));
     } finally {
       Client.closeAll(crowd);
     }
@@ -120,11 +120,11 @@
       Client[] busy = new Client[4];
       for (int i = 0; i < busy.length; i++) {
         busy[i] = new Client(proxy);
-        busy[i].say("mg 1 v O" + i + " Pc=read,d=4000\r\n");
+        busy[i].send("mg 1 v O" + i + " Pc=read,d=4000\r\n");
         proxy.module.next(RequestReceived.class);
       }
       try (Client waiting = new Client(proxy)) {
-        waiting.say("mn\r\n");
+        waiting.send("mn\r\n");
         assertEquals(4, proxy.proxy.counters().get(Counter.CLIENT_CONNECTIONS));
         busy[0].close();
         assertEquals("MN", waiting.line());
@@ -132,7 +132,7 @@
         proxy.module.next(RequestGone.class);
         proxy.module.next(RequestGone.class);
         try (Client next = new Client(proxy)) {
-          assertEquals("MN", next.ask("mn\r\n"));
+          assertEquals("MN", next.request("mn\r\n"));
           assertNull(waiting.line(), "the idle one made room");
         }
       }
@@ -149,7 +149,7 @@
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody(), 32 + 2 * 40)) {
       for (int i = 0; i < 28; i++) {
         all.add(new Client(proxy));
-        assertEquals("MN", all.get(i).ask("mn\r\n"));
+        assertEquals("MN", all.get(i).request("mn\r\n"));
       }
       proxy.module.script = event -> {
         if (event instanceof RequestReceived e) {
@@ -158,10 +158,10 @@
         }
         return List.of();
       };
-      all.get(27).say(READ); // holds the decision thread
+      all.get(27).send(READ); // holds the decision thread
       proxy.module.next(RequestReceived.class);
       all.add(new Client(proxy)); // one too many: the first is to make room
-      all.get(0).say(READ.replace("O9b", "Oidle"));
+      all.get(0).send(READ.replace("O9b", "Oidle"));
       held.countDown();
       assertEquals("SERVER_ERROR busy", all.get(0).line());
       assertNull(all.get(1).line(), "the next that was idle made room");
--- a/src/test/java/beampoint/serve/DescriptorsTest.java
+++ b/src/test/java/beampoint/serve/DescriptorsTest.java
@@ -53,7 +53,7 @@
           - counters.get(Counter.CLIENT_CONNECTIONS_CLOSED_STALE);
       assertTrue(open <= SOCKETS / 2, "clients hold " + open);
       try (Client usual = new Client(proxy)) {
-        assertEquals("VA 0 O9b", usual.ask("mg 7f3a v O9b Pc=read,t=acme,d=4000\r\n"));
+        assertEquals("VA 0 O9b", usual.request("mg 7f3a v O9b Pc=read,t=acme,d=4000\r\n"));
       }
     } finally {
       for (Client client : crowd) {
--- a/src/test/java/beampoint/serve/DrainAndTimeLeftTest.java
+++ b/src/test/java/beampoint/serve/DrainAndTimeLeftTest.java
@@ -62,14 +62,14 @@
           : event instanceof AttemptEnded e && e.attempt() == 0 ? List.of(new Send(e.id(), "cache", 0))
           : event instanceof AttemptEnded e ? List.of(new Refuse(e.id(), 0)) : List.of();
       long begun = System.nanoTime();
-      assertEquals("SERVER_ERROR busy", client.ask("mg 1 v O1 Pc=read,t=acme,d=2000\r\n"));
+      assertEquals("SERVER_ERROR busy", client.request("mg 1 v O1 Pc=read,t=acme,d=2000\r\n"));
       double took = (System.nanoTime() - begun) / 1e6;
       int atFirst = told(cache.nextLine());
       int then = told(cache.nextLine());
       assertTrue(atFirst <= 2000, "told at first: " + atFirst);
       assertTrue(then <= 2000 - first, "told then: " + then);
       assertTrue(then >= 2000 - took, "no less than what is left: " + then + ", took " + took);
-      assertEquals(Result.ERROR, proxy.ended().result());
+      assertEquals(Result.ERROR, proxy.nextAttemptEnded().result());
     }
   }
 
--- a/src/test/java/beampoint/serve/DrainBeforeStartTest.java
+++ b/src/test/java/beampoint/serve/DrainBeforeStartTest.java
@@ -61,7 +61,7 @@
   }
 
   private static String read(Client client, int number) throws Exception {
-    String answer = client.ask("mg " + number + " v O" + number + " Pc=read,t=acme,d=1000\r\n");
+    String answer = client.request("mg " + number + " v O" + number + " Pc=read,t=acme,d=1000\r\n");
     return answer.startsWith("VA") ? client.line() : answer;
   }
 
--- a/src/test/java/beampoint/serve/FleetNodeTest.java
+++ b/src/test/java/beampoint/serve/FleetNodeTest.java
@@ -33,7 +33,7 @@
 
   private final Stub discovery = new Stub(Stub.Peer::beSilent);
   private final List<Proxy> fleet = new ArrayList<>();
-  private final List<ProxyFixture.Module> modules = new ArrayList<>();
+  private final List<ProxyFixture.ScriptedModule> modules = new ArrayList<>();
 
   FleetNodeTest() throws Exception {}
 
@@ -51,7 +51,7 @@
         .formatted(number, discovery.address(), number + 1, ProxyFixture.SETTINGS, listen, peers,
             directory == null ? "" : ",\"ops\":\"127.0.0.1:0\""))
         .getAsJsonObject();
-    ProxyFixture.Module module = new ProxyFixture.Module();
+    ProxyFixture.ScriptedModule module = new ProxyFixture.ScriptedModule();
     Config config = Config.read("test", json);
     Proxy proxy = directory == null ? new Proxy(config, settings -> module)
         : new Proxy(config, settings -> module, directory);
@@ -98,7 +98,7 @@
       all.put("n" + i, Status.ALIVE);
     }
     await(fleet, all);
-    for (ProxyFixture.Module module : modules) {
+    for (ProxyFixture.ScriptedModule module : modules) {
       while (module.next(SettingsChanged.class).settings().siblings() != 5) {
         // two are configured, and more come
       }
--- a/src/test/java/beampoint/serve/InitialListGateTest.java
+++ b/src/test/java/beampoint/serve/InitialListGateTest.java
@@ -29,7 +29,7 @@
 
   /** A proxy whose module refuses all, and what the module was told until it was told of a request. */
   private static final class Start implements AutoCloseable {
-    private final ProxyFixture.Module module = new ProxyFixture.Module();
+    private final ProxyFixture.ScriptedModule module = new ProxyFixture.ScriptedModule();
     private final Proxy proxy;
     private final Client client;
     private final long begunAt;
@@ -42,7 +42,7 @@
       proxy.start();
       client = new Client(proxy.port());
       begunAt = System.nanoTime();
-      client.say("mg 1 v O1 Pc=read,t=acme,d=" + waitMs + "\r\n");
+      client.send("mg 1 v O1 Pc=read,t=acme,d=" + waitMs + "\r\n");
     }
 
     void awaitTaken() {
--- a/src/test/java/beampoint/serve/LargeListTest.java
+++ b/src/test/java/beampoint/serve/LargeListTest.java
@@ -101,7 +101,7 @@
         assertEquals(ListKind.CHANGES, change.kind());
         assertEquals(EndpointState.DRAINING, change.endpoints().get(0).state());
         try (Client client = new Client(proxy.port())) {
-          assertEquals("VA 1 O1", client.ask("mg 1 v O1 Pc=read,t=acme,d=5000\r\n"));
+          assertEquals("VA 1 O1", client.request("mg 1 v O1 Pc=read,t=acme,d=5000\r\n"));
         }
         assertEquals(0, proxy.counters().get(Counter.LOGIC_EXCEPTIONS));
       } finally {
--- a/src/test/java/beampoint/serve/LateConnectionTest.java
+++ b/src/test/java/beampoint/serve/LateConnectionTest.java
@@ -13,7 +13,7 @@
 import beampoint.Stub;
 import beampoint.count.Counter;
 import beampoint.serve.ProxyFixture.Client;
-import beampoint.serve.ProxyFixture.Module;
+import beampoint.serve.ProxyFixture.ScriptedModule;
 import java.net.Socket;
 import java.nio.file.Path;
 import java.util.List;
@@ -41,17 +41,17 @@
     try (DelayedListener cache = new DelayedListener(); ProxyFixture proxy = proxy(cache, null)) {
       proxy.sendTo("cache");
       try (Client client = new Client(proxy)) {
-        client.say(READ);
+        client.send(READ);
         proxy.module.next(RequestReceived.class);
       }
       proxy.module.next(RequestGone.class);
-      AttemptEnded ended = proxy.ended();
+      AttemptEnded ended = proxy.nextAttemptEnded();
       assertEquals(Result.NOT_SENT, ended.result());
       assertTrue(ended.done());
       try (Socket late = cache.open()) {
         assertEquals(NOTHING, DelayedListener.readByte(late));
         try (Client next = new Client(proxy)) {
-          next.say(READ);
+          next.send(READ);
           assertEquals('m', DelayedListener.readByte(late), "the connection serves the next request");
         }
       }
@@ -71,11 +71,11 @@
       peer.beSilent();
     }); ProxyFixture proxy = proxy(cache, discovery.address()); Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      client.say(READ);
+      client.send(READ);
       proxy.module.next(RequestReceived.class);
       discovery.ends.add(true);
       assertEquals("SERVER_ERROR busy", client.line());
-      assertEquals(Result.CONNECT_FAILED, proxy.ended().result());
+      assertEquals(Result.CONNECT_FAILED, proxy.nextAttemptEnded().result());
       try (Socket late = cache.open()) {
         assertEquals(NOTHING, DelayedListener.readByte(late));
       }
@@ -86,7 +86,7 @@
   @Test
   void aRequestThatWaitsForAConnectionToANodeThatIsTakenOutGoesElsewhereAtOnce(@TempDir Path directory)
       throws Exception {
-    Module module = new Module();
+    ScriptedModule module = new ScriptedModule();
     module.script = event -> event instanceof RequestReceived e ? List.of(new Send(e.id(), "cache", 0))
         : event instanceof AttemptEnded e ? List.of(new Refuse(e.id(), 0)) : List.of();
     try (DelayedListener cache = new DelayedListener()) {
@@ -94,9 +94,9 @@
           1024, Stub.nobody(), PATIENT, "127.0.0.1:0"), settings -> module, directory);
       proxy.start();
       try (Client client = new Client(proxy.port()); Client operator = new Client(proxy.opsPort())) {
-        client.say(READ);
+        client.send(READ);
         module.next(RequestReceived.class);
-        operator.say("POST /_cache-nodes/detach/cache HTTP/1.1\r\nHost: ops\r\n\r\n");
+        operator.send("POST /_cache-nodes/detach/cache HTTP/1.1\r\nHost: ops\r\n\r\n");
         assertEquals("SERVER_ERROR busy", client.line());
         try (Socket late = cache.open()) {
           assertEquals(NOTHING, DelayedListener.readByte(late));
@@ -114,11 +114,11 @@
         Client client = new Client(proxy)) {
       proxy.module.script = event -> event instanceof RequestReceived e
           ? List.of(new Send(e.id(), "cache", 0, System.currentTimeMillis() + 100)) : List.of();
-      client.say(READ);
+      client.send(READ);
       proxy.module.next(RequestReceived.class);
       Thread.sleep(150); // a span of time, and no order, is what it is about
       try (Socket late = cache.open()) {
-        assertEquals(Result.NOT_SENT, proxy.ended().result());
+        assertEquals(Result.NOT_SENT, proxy.nextAttemptEnded().result());
         assertEquals(NOTHING, DelayedListener.readByte(late));
       }
       assertEquals(1, proxy.proxy.counters().get(Counter.ATTEMPTS_NOT_SENT));
--- a/src/test/java/beampoint/serve/LongValuesTest.java
+++ b/src/test/java/beampoint/serve/LongValuesTest.java
@@ -50,14 +50,14 @@
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      assertEquals("VA " + MAX_VALUE + " O9b", client.ask(READ));
+      assertEquals("VA " + MAX_VALUE + " O9b", client.request(READ));
       assertEquals(value.substring(0, 1000), client.bytes(1000));
-      Balancer.AttemptEnded ended = proxy.ended();
+      Balancer.AttemptEnded ended = proxy.nextAttemptEnded();
       assertEquals(Result.OK, ended.result());
       assertTrue(ended.done());
       cache.ends.add(true);
       assertEquals(value.substring(1000) + "\r\n", client.bytes(MAX_VALUE - 1000 + 2));
-      assertEquals("MN", client.ask("mn\r\n"));
+      assertEquals("MN", client.request("mn\r\n"));
     }
   }
 
@@ -79,7 +79,7 @@
       }); ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
           Client client = new Client(proxy)) {
         proxy.sendTo("cache");
-        assertEquals("VA 100000 O9b", client.ask(READ));
+        assertEquals("VA 100000 O9b", client.request(READ));
         cache.ends.add(true);
         int whole = 0;
         try {
@@ -88,7 +88,7 @@
           // a reset tells as much
         }
         assertTrue(whole < 100_002, "the client can tell");
-        proxy.ended();
+        proxy.nextAttemptEnded();
         assertEquals(1, cache.connections());
         assertEquals(1, proxy.proxy.counters().get(Counter.VALUES_CUT_OFF));
       }
@@ -115,9 +115,9 @@
       }); ProxyFixture proxy = new ProxyFixture(Stub.nobody(), origin.address());
           Client client = new Client(proxy)) {
         proxy.sendTo("origin");
-        assertEquals("VA 700000 O9b", client.ask(READ));
+        assertEquals("VA 700000 O9b", client.request(READ));
         assertEquals(value + "\r\n", client.bytes(700_002));
-        assertEquals("MN", client.ask("mn\r\n"));
+        assertEquals("MN", client.request("mn\r\n"));
       }
     }
   }
@@ -135,18 +135,18 @@
     }); ProxyFixture proxy = new ProxyFixture(Stub.nobody(), origin.address());
         Client client = new Client(proxy); Client other = new Client(proxy)) {
       proxy.sendTo("origin");
-      client.say("ms 7f 1500000 O9b Pc=put,t=acme,d=4000,k=5c\r\n");
+      client.send("ms 7f 1500000 O9b Pc=put,t=acme,d=4000,k=5c\r\n");
       for (int i = 0; i < 1_500_000; i += 50_000) {
-        client.say(value.substring(i, i + 50_000));
-        assertEquals("MN", other.ask("mn\r\n"));
+        client.send(value.substring(i, i + 50_000));
+        assertEquals("MN", other.request("mn\r\n"));
       }
-      assertEquals("HD O9b creceipt", client.ask("\r\n"));
+      assertEquals("HD O9b creceipt", client.request("\r\n"));
       StringBuilder got = new StringBuilder();
       for (String part = origin.nextLine(); part != null; part = origin.lines.poll()) {
         got.append(part.length() == 100_000 ? part : "");
       }
       assertEquals(value, got.toString());
-      assertTrue(other.ask("ms 7f 4194305 Oother Pc=put,d=4000\r\n").startsWith("SERVER_ERROR object"));
+      assertTrue(other.request("ms 7f 4194305 Oother Pc=put,d=4000\r\n").startsWith("SERVER_ERROR object"));
       assertNull(other.line());
     }
   }
@@ -170,12 +170,13 @@
       proxy.sendTo("cache");
       for (int i = 0; i < 20; i++) {
         slow.add(new Client(proxy.port, 16 * 1024));
-        assertEquals("VA " + MAX_VALUE + " Os" + i, slow.get(i).ask("mg 7 v Os" + i + " Pc=read,d=4000\r\n"));
-        assertEquals("VA 5 Oq" + i, quick.ask("mg 5 v Oq" + i + " Pc=read,d=4000\r\n"));
+        assertEquals("VA " + MAX_VALUE + " Os" + i,
+            slow.get(i).request("mg 7 v Os" + i + " Pc=read,d=4000\r\n"));
+        assertEquals("VA 5 Oq" + i, quick.request("mg 5 v Oq" + i + " Pc=read,d=4000\r\n"));
         assertEquals("short", quick.line());
       }
       // Asked on one connection behind a long one: it waits for its turn, and comes.
-      slow.get(0).say("mg 5 v Olast Pc=read,d=4000\r\n");
+      slow.get(0).send("mg 5 v Olast Pc=read,d=4000\r\n");
       for (int i = 0; i < 20; i++) {
         assertEquals(value.hashCode(), slow.get(i).bytes(MAX_VALUE).hashCode());
         assertEquals("", slow.get(i).line());
@@ -183,7 +184,7 @@
       assertEquals("VA 5 Olast", slow.get(0).line());
       assertEquals(0, proxy.proxy.counters().get(Counter.VALUES_CUT_OFF));
       assertEquals(20, proxy.proxy.counters().get(Counter.VALUES_STREAMED));
-      assertEquals("MN", quick.ask("mn\r\n"));
+      assertEquals("MN", quick.request("mn\r\n"));
       assertFalse(log.toString().contains("a task failed"), "last bytes are written after a stream's end");
     } finally {
       System.setErr(usual);
@@ -200,16 +201,16 @@
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody())) {
       proxy.sendTo("cache");
       try (Client client = new Client(proxy)) {
-        assertEquals("VA " + MAX_VALUE + " O9b", client.ask(READ));
+        assertEquals("VA " + MAX_VALUE + " O9b", client.request(READ));
       }
-      proxy.ended();
+      proxy.nextAttemptEnded();
       cache.ends.add(true);
       try (Client client = new Client(proxy)) {
-        client.say("ms 7f 4000000 Oc Pc=put,d=4000\r\n" + value.substring(0, 100_000));
+        client.send("ms 7f 4000000 Oc Pc=put,d=4000\r\n" + value.substring(0, 100_000));
       }
       try (Client client = new Client(proxy)) {
         while (proxy.proxy.held() != 0) {
-          assertEquals("MN", client.ask("mn\r\n")); // until the leaving was seen
+          assertEquals("MN", client.request("mn\r\n")); // until the leaving was seen
         }
       }
     }
@@ -230,7 +231,7 @@
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
       for (int i = 0; i < READ.length(); i++) {
-        client.say(READ.substring(i, i + 1));
+        client.send(READ.substring(i, i + 1));
       }
       assertEquals("VA 70000 O9b", client.line());
       assertEquals(value + "\r\n", client.bytes(70_002));
--- a/src/test/java/beampoint/serve/MigrationTest.java
+++ b/src/test/java/beampoint/serve/MigrationTest.java
@@ -129,7 +129,7 @@
     try (ProxyFixture.Client client = new ProxyFixture.Client(port)) {
       for (int i = 0; i < READS; i++) {
         String id = name + "-" + i;
-        String answer = client.ask("mg key" + (i * 7 % 90) + " v O" + id + " Pc=read,t=acme,d=4000\r\n");
+        String answer = client.request("mg key" + (i * 7 % 90) + " v O" + id + " Pc=read,t=acme,d=4000\r\n");
         if (answer.startsWith("VA 2 O" + id)) {
           assertEquals("hi", client.line());
           served++;
@@ -137,7 +137,7 @@
           assertTrue(answer.startsWith("SERVER_ERROR busy"), answer);
         }
         if (i % 10 == 0) {
-          String put = client.ask("ms key" + i + " 2 Ow" + id + " Pc=put,t=acme,d=4000\r\nxy\r\n");
+          String put = client.request("ms key" + i + " 2 Ow" + id + " Pc=put,t=acme,d=4000\r\nxy\r\n");
           assertTrue(put.startsWith("HD") || put.startsWith("SERVER_ERROR"), put);
         }
         if (reads.incrementAndGet() == 2 * EACH * CLIENTS * READS / 2) {
@@ -152,7 +152,7 @@
   @Test
   void aReportReachesTheModuleOnlyWhereTheSettingsNameItsColumns() throws Exception {
     for (String settings : List.of(NEW, OLD)) {
-      ProxyFixture.Module module = new ProxyFixture.Module();
+      ProxyFixture.ScriptedModule module = new ProxyFixture.ScriptedModule();
       try (Stub cache = cache(false); Stub silent = new Stub(Stub.Peer::beSilent)) {
         List<String> hosts = List.of(ProxyFixture.host("cache", cache.address(), "m2"));
         Proxy proxy = new Proxy(ProxyFixture.config(hosts, 1024, silent.address(), settings), s -> module);
@@ -160,7 +160,7 @@
             ? List.of(new Balancer.Send(e.id(), "cache", 0)) : List.of();
         proxy.start();
         try (ProxyFixture.Client client = new ProxyFixture.Client(proxy.port())) {
-          assertEquals("VA 2 O1", client.ask("mg key v O1 Pc=read,t=acme,d=4000\r\n"));
+          assertEquals("VA 2 O1", client.request("mg key v O1 Pc=read,t=acme,d=4000\r\n"));
           Balancer.AttemptEnded ended = module.next(Balancer.AttemptEnded.class);
           assertEquals(settings.equals(NEW) ? new Balancer.Load(0, 0) : null, ended.load());
         } finally {
--- a/src/test/java/beampoint/serve/OperationsTest.java
+++ b/src/test/java/beampoint/serve/OperationsTest.java
@@ -12,7 +12,7 @@
 import beampoint.count.Counter;
 import beampoint.ops.AdminServer;
 import beampoint.serve.ProxyFixture.Client;
-import beampoint.serve.ProxyFixture.Module;
+import beampoint.serve.ProxyFixture.ScriptedModule;
 import java.lang.management.ManagementFactory;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -32,7 +32,7 @@
 
   @TempDir
   private Path directory;
-  private final Module module = new Module();
+  private final ScriptedModule module = new ScriptedModule();
 
   private Config config(int sockets, String discovery) throws Exception {
     List<String> hosts = List.of(ProxyFixture.host("cache", Stub.nobody(), "m2"),
@@ -40,7 +40,7 @@
     return ProxyFixture.config(hosts, sockets, discovery, ProxyFixture.SETTINGS, "127.0.0.1:0");
   }
 
-  private Proxy proxy(Module own, int sockets) throws Exception {
+  private Proxy proxy(ScriptedModule own, int sockets) throws Exception {
     Proxy proxy = new Proxy(config(sockets, Stub.nobody()), settings -> own, directory);
     proxy.start();
     return proxy;
@@ -48,7 +48,7 @@
 
   private static String status(Proxy proxy, String call) throws Exception {
     try (Client caller = new Client(proxy.opsPort())) {
-      return caller.ask(call + " HTTP/1.1\r\nHost: ops\r\n\r\n").split(" ")[1];
+      return caller.request(call + " HTTP/1.1\r\nHost: ops\r\n\r\n").split(" ")[1];
     }
   }
 
@@ -79,7 +79,7 @@
         ? List.of(new Balancer.Send(e.id(), "cache", 0)) : List.of();
     try (Client client = new Client(proxy.port())) {
       assertEquals("200", status(proxy, "POST /_cache-nodes/detach/cache"));
-      assertEquals("SERVER_ERROR failed", client.ask("mg 1 v O1 Pc=read,d=100\r\n"));
+      assertEquals("SERVER_ERROR failed", client.request("mg 1 v O1 Pc=read,d=100\r\n"));
       assertEquals(0, proxy.counters().get(Counter.ATTEMPTS_SENT), "a debug build stops it");
     } finally {
       proxy.stop();
@@ -117,11 +117,11 @@
     try {
       for (int i = 0; i < 60; i++) {
         open.add(new Client(proxy.port()));
-        open.get(i).say("mg 1 v O" + i + " Pc=read,d=20000\r\n");
+        open.get(i).send("mg 1 v O" + i + " Pc=read,d=20000\r\n");
       }
       for (int i = 0; i < 2 * AdminServer.MAX_CONNECTIONS; i++) {
         open.add(new Client(proxy.opsPort()));
-        open.get(60 + i).say("POST /_cache-nodes/det");
+        open.get(60 + i).send("POST /_cache-nodes/det");
         assertEquals("200", status(proxy, "GET /_ready"));
       }
       assertNull(open.get(60).line(), "the longest unfinished call made room");
@@ -137,7 +137,7 @@
   @Test
   void aProcessThatFollowsAnotherKnowsItsBansBeforeItsFirstList() throws Exception {
     Proxy old = proxy(module, 384);
-    Module next = new Module();
+    ScriptedModule next = new ScriptedModule();
     Proxy successor = null;
     try {
       assertEquals("200", status(old, "POST /_cache-nodes/detach/cache"));
@@ -189,7 +189,7 @@
       start.join(10_000);
       assertEquals("200", status(proxy, "GET /_ready"));
       try (Client client = new Client(proxy.port())) {
-        assertEquals("MN", client.ask("mn\r\n"));
+        assertEquals("MN", client.request("mn\r\n"));
       }
     } finally {
       proxy.stop();
@@ -212,21 +212,21 @@
     module.script = event -> event instanceof Balancer.RequestReceived e
         ? List.of(new Balancer.Refuse(e.id(), 0)) : List.of();
     try (Client client = new Client(proxy.port())) {
-      assertEquals("CLIENT_ERROR unknown class", client.ask("mg 1 v O1 Pc=new,d=400\r\n"));
+      assertEquals("CLIENT_ERROR unknown class", client.request("mg 1 v O1 Pc=new,d=400\r\n"));
       proxy.reload(with(config, ProxyFixture.SETTINGS.replace("\"retry-after\":true,", "")
           .replace("\"name\":\"put\"", "\"name\":\"new\"")));
       proxy.reload(with(config, ProxyFixture.SETTINGS.replace("\"max-attempts\":3,", "")));
-      assertEquals("CLIENT_ERROR unknown class", client.ask("mg 1 v O2 Pc=new,d=400\r\n"));
+      assertEquals("CLIENT_ERROR unknown class", client.request("mg 1 v O2 Pc=new,d=400\r\n"));
       assertEquals(2, proxy.counters().get(Counter.CONFIG_REJECTED));
       proxy.reload(with(config, ProxyFixture.SETTINGS.replace("\"name\":\"put\"", "\"name\":\"new\"")
           .replace("\"max-attempts\":3", "\"max-attempts\":1")));
       SettingsChanged changed = module.next(SettingsChanged.class);
       assertEquals(List.of(0, -1, 1), changed.formerClasses());
       assertEquals(1, changed.settings().limits().maxAttempts());
-      assertEquals("SERVER_ERROR busy", client.ask("mg 1 v O3 Pc=new,d=400\r\n"));
-      assertEquals("SERVER_ERROR busy", client.ask("mg 1 v O4 Pc=put,d=400\r\n"), "still on its way");
+      assertEquals("SERVER_ERROR busy", client.request("mg 1 v O3 Pc=new,d=400\r\n"));
+      assertEquals("SERVER_ERROR busy", client.request("mg 1 v O4 Pc=put,d=400\r\n"), "still on its way");
       assertEquals(List.of(0, 1), module.next(SettingsChanged.class).formerClasses(), "dropped in the end");
-      assertEquals("CLIENT_ERROR unknown class", client.ask("mg 1 v O5 Pc=put,d=400\r\n"));
+      assertEquals("CLIENT_ERROR unknown class", client.request("mg 1 v O5 Pc=put,d=400\r\n"));
     } finally {
       proxy.stop();
     }
@@ -252,7 +252,7 @@
                   e.attempt() < 1 ? new Balancer.Send(e.id(), "cache", 0) : new Balancer.Refuse(e.id(), 0))
           : List.of();
       try (Client client = new Client(proxy.port())) {
-        client.say("mg 1 v O1 Pc=read,d=5000\r\n");
+        client.send("mg 1 v O1 Pc=read,d=5000\r\n");
         cache.nextLine();
         proxy.reload(with(config, ProxyFixture.SETTINGS.replace("\"max-attempts\":3", "\"max-attempts\":1")));
         module.next(SettingsChanged.class);
@@ -263,7 +263,7 @@
         assertEquals(Balancer.Result.FULL, module.next(Balancer.AttemptEnded.class).result());
         assertEquals(Balancer.Result.FULL, module.next(Balancer.AttemptEnded.class).result());
         cache.ends.add(true);
-        assertEquals("SERVER_ERROR busy", client.ask("mg 1 v O2 Pc=read,d=5000\r\n"));
+        assertEquals("SERVER_ERROR busy", client.request("mg 1 v O2 Pc=read,d=5000\r\n"));
         assertEquals(Balancer.Result.FULL, module.next(Balancer.AttemptEnded.class).result());
         assertEquals(Balancer.Result.NOT_SENT, module.next(Balancer.AttemptEnded.class).result());
       } finally {
--- a/src/test/java/beampoint/serve/PausedProcessTest.java
+++ b/src/test/java/beampoint/serve/PausedProcessTest.java
@@ -48,7 +48,7 @@
   @BeforeEach
   void start() throws Exception {
     cache = new Stub(PausedProcessTest::serve);
-    discovery = ProxyFixture.discoveryWithoutNews();
+    discovery = ProxyFixture.unchangedDiscovery();
     port = new ReservedPort();
     Path config = directory.resolve("config.json");
     Files.writeString(config,
@@ -83,7 +83,7 @@
 
   private boolean isReady() {
     try (Client client = new Client(port.number())) {
-      return "MN".equals(client.ask("mn\r\n"));
+      return "MN".equals(client.request("mn\r\n"));
     } catch (IOException e) {
       return false; // it does not listen yet
     }
@@ -125,7 +125,7 @@
   /** A client that has been served, so that there is a connection to the cache. */
   private Client servedClient() throws IOException {
     Client client = new Client(port.number());
-    assertEquals("VA 2 Oserved", client.ask(SERVED));
+    assertEquals("VA 2 Oserved", client.request(SERVED));
     assertEquals("ok", client.line());
     return client;
   }
@@ -149,7 +149,7 @@
     for (int i = 0; i < TIMES; i++) {
       try (Client client = servedClient()) {
         stopWhile(7 * i, ALLOWED_MS, () -> {
-          client.say(ASKED);
+          client.send(ASKED);
           client.socket.close();
         });
         assertNull(sent(300), "begun after its client's close");
@@ -163,7 +163,7 @@
       servedClient().close();
       stopWhile(7 * i, ALLOWED_MS, () -> {
         try (Client client = new Client(port.number())) {
-          client.say(ASKED);
+          client.send(ASKED);
         }
       });
       assertNull(sent(300), "begun after its client's close");
@@ -179,7 +179,7 @@
         TimeUnit.MILLISECONDS.sleep(7 * i);
         stop();
         long askedAt = System.nanoTime();
-        client.say(ASKED);
+        client.send(ASKED);
         TimeUnit.MILLISECONDS.sleep(LONG_MS);
         long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - askedAt);
         signal("CONT");
--- a/src/test/java/beampoint/serve/ProxyFixture.java
+++ b/src/test/java/beampoint/serve/ProxyFixture.java
@@ -49,7 +49,7 @@
        "accounts":[{"name":"acme","quota-per-s":50},{"name":"other","quota-per-s":50}]}""";
 
   /** Plays the module: notes every event and answers it as the test says. */
-  static final class Module implements Balancer {
+  static final class ScriptedModule implements Balancer {
     final LinkedBlockingQueue<Event> events = new LinkedBlockingQueue<>();
     volatile Function<Event, List<Action>> script = event -> List.of();
 
@@ -98,7 +98,7 @@
       in = new BufferedInputStream(socket.getInputStream());
     }
 
-    void say(String text) throws IOException {
+    void send(String text) throws IOException {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
@@ -107,8 +107,8 @@
       return Stub.readLine(in);
     }
 
-    String ask(String text) throws IOException {
-      say(text);
+    String request(String text) throws IOException {
+      send(text);
       return line();
     }
 
@@ -128,10 +128,10 @@
     }
   }
 
-  final Module module = new Module();
+  final ScriptedModule module = new ScriptedModule();
   final Proxy proxy;
   final int port;
-  private final Stub discovery = discoveryWithoutNews();
+  private final Stub discovery = unchangedDiscovery();
 
   /** A proxy that knows a cache node and an origin at these addresses. */
   ProxyFixture(String cache, String origin, int sockets) throws Exception {
@@ -159,7 +159,7 @@
   }
 
   /** A discovery that answers each watch, and says that nothing has changed. */
-  static Stub discoveryWithoutNews() throws IOException {
+  static Stub unchangedDiscovery() throws IOException {
     return new Stub(peer -> {
       peer.head();
       peer.say(LIST_HEAD + "1\r\n\n\r\n");
@@ -241,7 +241,7 @@
     }
   }
 
-  Balancer.AttemptEnded ended() throws InterruptedException {
+  Balancer.AttemptEnded nextAttemptEnded() throws InterruptedException {
     return module.next(Balancer.AttemptEnded.class);
   }
 
--- a/src/test/java/beampoint/serve/ProxyLifecycleTest.java
+++ b/src/test/java/beampoint/serve/ProxyLifecycleTest.java
@@ -39,8 +39,8 @@
   /** Guards against use by the front while code is still being compiled, and answers are late. */
   @Test
   void aProxyIsReadyOnceItIsWarm() throws Exception {
-    ProxyFixture.Module module = new ProxyFixture.Module();
-    ProxyFixture.Module rehearsed = new ProxyFixture.Module();
+    ProxyFixture.ScriptedModule module = new ProxyFixture.ScriptedModule();
+    ProxyFixture.ScriptedModule rehearsed = new ProxyFixture.ScriptedModule();
     CountDownLatch held = new CountDownLatch(1); // the rehearsal, until a client has asked
     rehearsed.script = event -> {
       ProxyFixture.await(held);
@@ -54,12 +54,12 @@
       proxy.startWithWarmUp();
       try (Client client = new Client(proxy.port())) {
         module.next(ListReceived.class);
-        client.say("mn\r\n");
+        client.send("mn\r\n");
         held.countDown();
         String answer = client.line();
         assertEquals("SERVER_ERROR not ready", answer);
         while (!answer.equals("MN")) {
-          answer = client.ask("mn\r\n");
+          answer = client.request("mn\r\n");
         }
         assertEquals(0, proxy.counters().get(Counter.PROBES_SENT), "its questions to itself don't count");
         // Its time is time without a proxy: where most proxies restart at once nobody else serves meanwhile.
@@ -76,7 +76,7 @@
   void aListThatMustBeAskedForIsAskedForByTheModuleAlone() throws Exception {
     String list = "{\"seq\":2,\"whole\":true,\"hosts\":["
         + ProxyFixture.host("s-2", "127.0.0.1:1", "m2") + "]}\n";
-    ProxyFixture.Module module = new ProxyFixture.Module();
+    ProxyFixture.ScriptedModule module = new ProxyFixture.ScriptedModule();
     module.script = event -> event instanceof ListReceived e && e.kind() == ListKind.REMEMBERED
         ? List.of(new FollowList()) : List.of();
     try (Stub discovery = new Stub(peer -> {
@@ -110,9 +110,9 @@
       proxy.module.script = event -> {
         throw new IllegalStateException("a fault, as the test has it");
       };
-      assertEquals("SERVER_ERROR failed", client.ask(READ));
+      assertEquals("SERVER_ERROR failed", client.request(READ));
       proxy.refuseAll();
-      assertEquals("SERVER_ERROR busy", client.ask(READ));
+      assertEquals("SERVER_ERROR busy", client.request(READ));
       assertEquals(1, proxy.proxy.counters().get(Counter.LOGIC_EXCEPTIONS));
     }
   }
@@ -123,8 +123,8 @@
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client busy = new Client(proxy); Client idle = new Client(proxy)) {
       proxy.sendTo("cache");
-      assertEquals("MN", idle.ask("mn\r\n"));
-      busy.say(READ);
+      assertEquals("MN", idle.request("mn\r\n"));
+      busy.send(READ);
       cache.nextLine();
       Thread end = new Thread(() -> {
         try {
@@ -135,9 +135,9 @@
       });
       end.start();
       try (Client late = new Client(proxy)) {
-        String ready = late.ask("mn\r\n");
+        String ready = late.request("mn\r\n");
         while (ready.equals("MN")) {
-          ready = late.ask("mn\r\n"); // until the end has begun
+          ready = late.request("mn\r\n"); // until the end has begun
         }
         assertEquals("SERVER_ERROR not ready", ready, "clients still come for a while");
       }
@@ -170,7 +170,7 @@
           for (int n = 0;; n++) {
             String line;
             try {
-              line = client.ask(READ.replace("O9b", prefix + n));
+              line = client.request(READ.replace("O9b", prefix + n));
             } catch (IOException e) {
               return "end"; // the request crossed the end of its connection
             }
@@ -204,14 +204,14 @@
       proxy.module.script = event -> event instanceof RequestReceived e
           ? List.of(new Send(e.id(), "cache", 0))
           : event instanceof AttemptEnded e ? List.of(new Refuse(e.id(), 0)) : List.of();
-      client.say(READ.replace("4000", "60000"));
+      client.send(READ.replace("4000", "60000"));
       cache.nextLine();
       long before = System.nanoTime();
       proxy.proxy.drain();
       double took = (System.nanoTime() - before) / 1e6;
       assertTrue(took < 1700, "a SIGKILL comes a deadline of 1 s and 0.7 s later; took " + took);
       assertEquals("SERVER_ERROR busy", client.line(), "the module answers, its attempt timed out");
-      assertEquals(Result.TIMEOUT, proxy.ended().result());
+      assertEquals(Result.TIMEOUT, proxy.nextAttemptEnded().result());
     }
   }
 
@@ -223,7 +223,7 @@
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      client.say(ProxyFixture.reads(count).replace("d=4000", "d=60000"));
+      client.send(ProxyFixture.reads(count).replace("d=4000", "d=60000"));
       proxy.module.next(RequestReceived.class);
       CompletableFuture<Integer> answers = CompletableFuture.supplyAsync(() -> {
         int busy = 0;
--- a/src/test/java/beampoint/serve/ProxyRequestTest.java
+++ b/src/test/java/beampoint/serve/ProxyRequestTest.java
@@ -27,7 +27,7 @@
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      assertEquals("VA 5 O9b", client.ask(READ));
+      assertEquals("VA 5 O9b", client.request(READ));
       assertEquals("ab\r\nc\r\n", client.bytes(7));
       String sent = cache.nextLine();
       assertTrue(sent.matches("mg 7f3a v O9b Pc=read,t=acme,d=[1-3]\\d{3}"), sent);
@@ -35,7 +35,7 @@
       assertEquals(0x7f3a, request.key());
       assertEquals(0, request.requestClass());
       assertEquals(0, request.tenant());
-      AttemptEnded ended = proxy.ended();
+      AttemptEnded ended = proxy.nextAttemptEnded();
       assertEquals(Result.OK, ended.result());
       assertTrue(ended.done());
     }
@@ -46,9 +46,9 @@
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.refuseAll();
-      client.ask(READ);
+      client.request(READ);
       assertFalse(proxy.module.next(RequestReceived.class).again());
-      client.ask(READ.replace("O9b", "O9c").replace("d=4000", "d=4000,r=1"));
+      client.request(READ.replace("O9b", "O9c").replace("d=4000", "d=4000,r=1"));
       assertTrue(proxy.module.next(RequestReceived.class).again());
     }
   }
@@ -60,9 +60,9 @@
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
       for (int i = 0; i < 3; i++) {
-        assertEquals("VA 0 O9b", client.ask(READ));
+        assertEquals("VA 0 O9b", client.request(READ));
         assertEquals("", client.line());
-        proxy.ended();
+        proxy.nextAttemptEnded();
       }
       assertEquals(1, cache.connections());
     }
@@ -80,9 +80,9 @@
         Client client = new Client(proxy)) {
       proxy.sendTo("origin");
       long startedAt = System.nanoTime();
-      assertEquals("VA 7 O9b", client.ask(READ));
+      assertEquals("VA 7 O9b", client.request(READ));
       assertEquals("a value", client.line());
-      assertEquals("HD O9b creceipt", client.ask(WRITE));
+      assertEquals("HD O9b creceipt", client.request(WRITE));
       assertEquals("GET /7f3a HTTP/1.1", origin.nextLine());
       assertEquals("Host: " + origin.address(), origin.nextLine());
       assertEquals("Req-Id: 9b", origin.nextLine());
@@ -107,8 +107,8 @@
     }); ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      client.say("mg 1 v Oslow Pc=read,d=4000\r\nmg 2 v Oquick Pc=read,d=4000\r\nmn\r\n");
-      assertEquals(2, proxy.ended().id(), "the quick one ends first");
+      client.send("mg 1 v Oslow Pc=read,d=4000\r\nmg 2 v Oquick Pc=read,d=4000\r\nmn\r\n");
+      assertEquals(2, proxy.nextAttemptEnded().id(), "the quick one ends first");
       cache.ends.add(true);
       assertEquals("VA 0 Oslow", client.line());
       client.line();
@@ -130,9 +130,9 @@
     }); ProxyFixture proxy = new ProxyFixture(Stub.nobody(), origin.address());
         Client client = new Client(proxy)) {
       proxy.sendTo("origin");
-      client.say("ms 1 65536 Oa Pc=put,d=4000\r\n" + value + "\r\n");
+      client.send("ms 1 65536 Oa Pc=put,d=4000\r\n" + value + "\r\n");
       assertEquals("HD Oa cdone", client.line());
-      assertEquals("VA 65536 Ob", client.ask("mg 1 v Ob Pc=read,d=4000\r\n"));
+      assertEquals("VA 65536 Ob", client.request("mg 1 v Ob Pc=read,d=4000\r\n"));
       assertEquals(value, client.bytes(65536));
     }
   }
@@ -150,10 +150,10 @@
         Client client = new Client(proxy.port, 4096)) {
       proxy.sendTo("cache");
       for (int i = 0; i < count; i++) {
-        client.say("mg " + i + " v O" + i + " Pc=read,d=9000\r\n");
+        client.send("mg " + i + " v O" + i + " Pc=read,d=9000\r\n");
       }
       for (int i = 0; i < 20; i++) {
-        proxy.ended(); // these answers are on their way while nobody reads
+        proxy.nextAttemptEnded(); // these answers are on their way while nobody reads
       }
       for (int i = 0; i < count; i++) {
         assertEquals("VA 65536 O" + i, client.line());
@@ -168,8 +168,8 @@
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      assertEquals("SERVER_ERROR busy", client.ask(READ));
-      client.say("stats\r\n");
+      assertEquals("SERVER_ERROR busy", client.request(READ));
+      client.send("stats\r\n");
       StringBuilder stats = new StringBuilder();
       for (String line = client.line(); !line.equals("END"); line = client.line()) {
         stats.append(line).append('\n');
@@ -192,7 +192,7 @@
       peer.say(Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
       peer.beSilent();
     })) {
-      ProxyFixture.Module module = new ProxyFixture.Module();
+      ProxyFixture.ScriptedModule module = new ProxyFixture.ScriptedModule();
       module.script = event -> event instanceof RequestReceived e
           ? List.of(new Send(e.id(), e.id() == 1 ? "cache" : "next", 0)) : List.of();
       Proxy proxy = new Proxy(ProxyFixture.config(List.of(ProxyFixture.host("cache", cache.address(), "m2")),
@@ -201,7 +201,7 @@
         proxy.start();
         try (Client client = new Client(proxy.port())) {
           module.next(ListReceived.class);
-          client.say(READ);
+          client.send(READ);
           cache.nextLine();
           discovery.ends.add(true);
           assertEquals("next", module.next(ListReceived.class).endpoints().get(0).id());
@@ -210,7 +210,7 @@
           assertEquals("", client.line());
           assertTrue(cache.ends.take(), "the connection to the host that is gone is closed");
           cache.ends.add(true);
-          assertEquals("VA 0 O9b", client.ask(READ));
+          assertEquals("VA 0 O9b", client.request(READ));
           assertEquals(2, cache.connections());
         }
       } finally {
--- a/src/test/java/beampoint/serve/ReadAheadTest.java
+++ b/src/test/java/beampoint/serve/ReadAheadTest.java
@@ -36,14 +36,14 @@
         }
         return List.of();
       };
-      other.say(FIRST);
+      other.send(FIRST);
       seen.await();
       try (Client client = new Client(proxy)) {
-        client.say(reads(9_000));
+        client.send(reads(9_000));
       }
       left.countDown();
       assertEquals("SERVER_ERROR busy", other.line());
-      assertEquals("SERVER_ERROR busy", other.ask(READ));
+      assertEquals("SERVER_ERROR busy", other.request(READ));
       assertEquals(2, proxy.proxy.counters().get(Counter.REQUESTS_TAKEN));
     }
   }
@@ -65,7 +65,7 @@
       };
       String text = reads(count);
       long before = System.nanoTime();
-      client.say(text);
+      client.send(text);
       double saidMs = (System.nanoTime() - before) / 1e6;
       double first = proxy.module.next(RequestReceived.class).notAfter();
       double last = first;
--- a/src/test/java/beampoint/serve/StalledEventLoopTest.java
+++ b/src/test/java/beampoint/serve/StalledEventLoopTest.java
@@ -47,10 +47,10 @@
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client asks = new Client(proxy); Client disturbs = new Client(proxy)) {
       proxy.module.script = event -> decide(event, attempts);
-      asks.say(ASKED);
+      asks.send(ASKED);
       proxy.module.next(RequestReceived.class);
       TimeUnit.MILLISECONDS.sleep(350);
-      disturbs.say("mg 1 v Oa Pc=read,t=acme,d=4000\r\nmg 2 v Ob Pc=read,t=acme,d=4000\r\n"
+      disturbs.send("mg 1 v Oa Pc=read,t=acme,d=4000\r\nmg 2 v Ob Pc=read,t=acme,d=4000\r\n"
           + "mg 3 v Oc Pc=read,t=acme,d=4000\r\n");
       assertEquals("SERVER_ERROR busy", asks.line());
       assertEquals(0, proxy.proxy.counters().get(Counter.ANSWERS_OVERDUE));
@@ -76,12 +76,12 @@
   void theModulesTimerRunsThoughTheTimeWasOverAsItWasSet() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client disturbs = new Client(proxy); Client asks = new Client(proxy)) {
-      assertEquals("MN", asks.ask("mn\r\n"));
+      assertEquals("MN", asks.request("mn\r\n"));
       proxy.module.script = StalledEventLoopTest::refuseByTimer;
-      disturbs.say("mg 1 v Ofirst Pc=read,t=acme,d=4000\r\n");
+      disturbs.send("mg 1 v Ofirst Pc=read,t=acme,d=4000\r\n");
       proxy.module.next(RequestReceived.class);
       for (int i = 0; i < MANY; i++) {
-        asks.say("mg 2 v Omany" + i + " Pc=read,t=acme,d=100\r\n");
+        asks.send("mg 2 v Omany" + i + " Pc=read,t=acme,d=100\r\n");
       }
       for (int i = 0; i < MANY; i++) {
         assertEquals("SERVER_ERROR busy", asks.line());
--- a/src/test/java/beampoint/serve/StalledStartTest.java
+++ b/src/test/java/beampoint/serve/StalledStartTest.java
@@ -38,7 +38,7 @@
     try {
       proxy.start();
       try (Client client = new Client(proxy.port())) {
-        assertEquals("MN", client.ask("mn\r\n"));
+        assertEquals("MN", client.request("mn\r\n"));
       }
     } finally {
       proxy.stop();
--- a/src/test/java/beampoint/serve/TimeLeftTest.java
+++ b/src/test/java/beampoint/serve/TimeLeftTest.java
@@ -85,7 +85,7 @@
    */
   private static long atRest(Client client) throws IOException {
     long before = System.nanoTime();
-    assertEquals("MN", client.ask("mn\r\n"));
+    assertEquals("MN", client.request("mn\r\n"));
     return before;
   }
 
@@ -110,7 +110,7 @@
         Client client = new Client(proxy)) {
       proxy.module.script = first("cache", "origin", 0);
       long startedAt = atRest(client);
-      assertEquals("VA 7 O9b", client.ask(READ));
+      assertEquals("VA 7 O9b", client.request(READ));
       assertLeft(time(cache.nextLine()), 0, startedAt);
       String told = next(origin, "Req-Extra: ");
       assertLeft(time(told), HELD_MS, startedAt);
@@ -124,8 +124,8 @@
         Client client = new Client(proxy)) {
       proxy.module.script = first("cache", "origin", HELD_MS);
       long startedAt = atRest(client);
-      assertEquals("VA 7 O9b", client.ask(READ));
-      assertEquals(Result.CONNECT_FAILED, proxy.ended().result());
+      assertEquals("VA 7 O9b", client.request(READ));
+      assertEquals(Result.CONNECT_FAILED, proxy.nextAttemptEnded().result());
       assertLeft(time(next(origin, "Req-Extra: ")), HELD_MS, startedAt);
     }
   }
@@ -144,7 +144,7 @@
         Client client = new Client(proxy)) {
       proxy.module.script = first("origin", "origin", 20); // the connection rests for some ms
       long startedAt = atRest(client);
-      assertEquals("HD O9b creceipt", client.ask(WRITE));
+      assertEquals("HD O9b creceipt", client.request(WRITE));
       assertLeft(time(next(origin, "Req-Extra: ")), 0, startedAt);
       String again = next(origin, "Req-Extra: ");
       assertLeft(time(again), HELD_MS, startedAt);
@@ -159,7 +159,7 @@
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
       long startedAt = atRest(client);
-      client.say(READ);
+      client.send(READ);
       proxy.module.next(RequestReceived.class);
       Thread.sleep(HELD_MS);
       try (Socket late = cache.open()) {
@@ -180,7 +180,7 @@
       proxy.module.script = event -> event instanceof RequestReceived e
           ? List.of(new Send(e.id(), "cache", 700))
           : event instanceof AttemptEnded e ? List.of(new Refuse(e.id(), 0)) : List.of();
-      assertEquals("SERVER_ERROR busy", client.ask(READ));
+      assertEquals("SERVER_ERROR busy", client.request(READ));
       int told = time(cache.nextLine());
       assertTrue(told <= 700 && told > 0, "told " + told);
     }
@@ -203,7 +203,7 @@
         commands.append("mg 7f3a v O").append(i).append("x Pc=read,t=acme,d=4000\r\n");
       }
       long startedAt = atRest(client);
-      client.say(commands.toString());
+      client.send(commands.toString());
       for (int i = 0; i < many; i++) {
         assertEquals("VA 1 O" + i + "x", client.line());
         assertEquals("1", client.line());
@@ -222,8 +222,8 @@
       proxy.module.script = event -> event instanceof RequestReceived e
           ? List.of(new Send(e.id(), "cache", 0.9))
           : event instanceof AttemptEnded e ? List.of(new Refuse(e.id(), 0)) : List.of();
-      assertEquals("SERVER_ERROR busy", client.ask(READ));
-      assertEquals(Result.NOT_SENT, proxy.ended().result());
+      assertEquals("SERVER_ERROR busy", client.request(READ));
+      assertEquals(Result.NOT_SENT, proxy.nextAttemptEnded().result());
       assertTrue(cache.lines.isEmpty(), cache.lines.toString());
     }
   }
--- a/src/test/java/beampoint/serve/UpgradeTest.java
+++ b/src/test/java/beampoint/serve/UpgradeTest.java
@@ -133,7 +133,7 @@
 
   private static String call(int ops, String what) {
     try (Client caller = new Client(ops)) {
-      return caller.ask(what + " HTTP/1.1\r\nHost: ops\r\n\r\n").split(" ")[1];
+      return caller.request(what + " HTTP/1.1\r\nHost: ops\r\n\r\n").split(" ")[1];
     } catch (IOException | RuntimeException e) {
       return "none"; // it does not listen yet
     }
@@ -156,7 +156,7 @@
         while (!stopped) {
           String id = "O" + next.incrementAndGet();
           try (Client client = new Client(port)) {
-            String answer = client.ask("mg " + Integer.toHexString(id.hashCode()) + " v " + id
+            String answer = client.request("mg " + Integer.toHexString(id.hashCode()) + " v " + id
                 + " Pc=read,t=acme,d=900\r\n");
             (answer == null ? lost : answered).incrementAndGet();
           } catch (IOException e) {
@@ -238,7 +238,7 @@
 
   private static Client askLong(int port, String id) throws IOException {
     Client client = new Client(port);
-    assertEquals("VA " + LENGTH + " " + id, client.ask("mg 7f3a v " + id + " Pc=read,t=acme,d=900\r\n"));
+    assertEquals("VA " + LENGTH + " " + id, client.request("mg 7f3a v " + id + " Pc=read,t=acme,d=900\r\n"));
     assertEquals(LENGTH / 2, client.bytes(LENGTH / 2).length());
     return client;
   }
