--- a/src/test/java/beampoint/serve/AnswerTimeTest.java
+++ b/src/test/java/beampoint/serve/AnswerTimeTest.java
@@ -12,22 +12,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Whatever becomes of a request, its client hears of it within half a second of the time that it waits. */
+/** Every request is answered within half a second of its deadline, whatever happens to it. */
 @Timeout(30)
 class AnswerTimeTest {
 
-  private static final int WAIT_MS = 400;
-  private static final int LOST_AFTER_MS = 500; // beyond its time; until then an answer only earns nothing
+  private static final int DEADLINE_MS = 400;
+  private static final int MAX_DELAY_MS = 500; // answers after the deadline earn nothing; later ones are lost
 
   private static void assertAnsweredInTime(Client client, String expected) throws Exception {
-    long begunAt = System.nanoTime();
-    assertEquals(expected, client.request("mg 1 v O1 Pc=read,t=acme,d=" + WAIT_MS + "\r\n"));
-    double took = (System.nanoTime() - begunAt) / 1e6;
-    assertTrue(took > WAIT_MS / 2.0 && took < WAIT_MS + LOST_AFTER_MS, "took " + took + " ms");
+    long startedAt = System.nanoTime();
+    assertEquals(expected, client.request("mg 1 v O1 Pc=read,t=acme,d=" + DEADLINE_MS + "\r\n"));
+    double took = (System.nanoTime() - startedAt) / 1e6;
+    assertTrue(took > DEADLINE_MS / 2.0 && took < DEADLINE_MS + MAX_DELAY_MS, "took " + took + " ms");
   }
 
   @Test
-  void aRequestThatNobodyDecidesIsFailedWhenItsTimeIsUp() throws Exception {
+  void aRequestThatTheModuleLeavesUndecidedFailsAtItsDeadline() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.module.script = event -> List.of();
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void aRequestWhoseCacheNodeSaysNothingIsFailedThoughItsEndIsNotDecided() throws Exception {
+  void aRequestWithoutAnswerOrDecisionFailsAfterItsAttempt() throws Exception {
     try (Stub cache = new Stub(Stub.Peer::beSilent);
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
--- a/src/test/java/beampoint/serve/ArrivalTimeTest.java
+++ b/src/test/java/beampoint/serve/ArrivalTimeTest.java
@@ -21,114 +21,114 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Guards against time told to cache nodes that was over while a request lay in its socket. */
+/** Guards against sending cache nodes a time left from which the time unread in a socket is not deducted. */
 @Timeout(30)
 class ArrivalTimeTest {
 
-  private static final int WAITS_MS = 2000;
-  private static final int SLACK_MS = 150;
-  private static final int HELD_UP_MS = 600;
-  private static final int PLACES = 4; // of clients, where there are 40 descriptors
+  private static final int DEADLINE_MS = 2000;
+  private static final int TOLERANCE_MS = 150;
+  private static final int STALL_MS = 600;
+  private static final int MAX_CLIENTS = 4; // with 40 descriptors
   private static final String FIRST = "mg 1 v Ofirst Pc=read,t=acme,d=4000\r\n";
-  private static final String ASKED = "mg 7f3a v Oasked Pc=read,t=acme,d=" + WAITS_MS + "\r\n";
-  private static final Pattern TIME = Pattern.compile("d=(\\d+)");
+  private static final String REQUEST = "mg 7f3a v Oasked Pc=read,t=acme,d=" + DEADLINE_MS + "\r\n";
+  private static final Pattern TIME_LEFT = Pattern.compile("d=(\\d+)");
 
-  private final CountDownLatch heldUp = new CountDownLatch(1);
-  private volatile long hinderedUntil; // by System.nanoTime(); set before any request is sent on
+  private final CountDownLatch stalled = new CountDownLatch(1);
+  private volatile long stallEndedAt; // by System.nanoTime(); set before any request is sent on
 
-  /** The first request holds the decision thread up; all others go to the cache. */
+  /** The first request stalls the decision thread; all others go to the cache. */
   private List<Action> decide(Event event) {
     if (event instanceof RequestReceived e) {
       if (e.id() > 1) {
         return List.of(new Send(e.id(), "cache", 0));
       }
-      heldUp.countDown();
-      ProxyFixture.sleep(HELD_UP_MS);
-      hinderedUntil = System.nanoTime();
+      stalled.countDown();
+      ProxyFixture.sleep(STALL_MS);
+      stallEndedAt = System.nanoTime();
       return List.of(new Refuse(e.id(), 0));
     }
     return event instanceof AttemptEnded e && !e.done() ? List.of(new Refuse(e.id(), 0)) : List.of();
   }
 
-  /** A cache that notes what it is sent, and answers nothing. */
-  private static void readOn(Stub.Peer peer) throws IOException {
+  /** A cache that reads what it is sent, and answers nothing. */
+  private static void readOnly(Stub.Peer peer) throws IOException {
     for (String line = peer.line(); line != null; line = peer.line()) {
-      // the stub has noted it
+      // the stub has recorded the line
     }
   }
 
   /**
-   * What the cache was told of a request is no more than what was left when the hindrance was over: it was
-   * sent after that.
+   * Checks that the time left that the cache was sent is no more than what was left at the end of the stall,
+   * because the request was sent on after it.
    */
-  private void assertTold(Stub cache, long askedAt) throws InterruptedException {
-    Matcher told = TIME.matcher(cache.nextLine());
-    assertTrue(told.find());
-    int ms = Integer.parseInt(told.group(1));
-    long passed = TimeUnit.NANOSECONDS.toMillis(hinderedUntil - askedAt);
-    assertTrue(ms <= WAITS_MS - passed + SLACK_MS, "told " + ms + " ms after " + passed + " ms");
+  private void assertTimeLeft(Stub cache, long sentAt) throws InterruptedException {
+    Matcher timeLeft = TIME_LEFT.matcher(cache.nextLine());
+    assertTrue(timeLeft.find());
+    int ms = Integer.parseInt(timeLeft.group(1));
+    long passed = TimeUnit.NANOSECONDS.toMillis(stallEndedAt - sentAt);
+    assertTrue(ms <= DEADLINE_MS - passed + TOLERANCE_MS, "sent " + ms + " ms after " + passed + " ms");
   }
 
   @Test
-  void whatCameWhileTheLoopWasHeldUpTellsWhatIsLeft() throws Exception {
-    try (Stub cache = new Stub(ArrivalTimeTest::readOn);
+  void aRequestThatArrivesDuringAStallIsSentWithTheTimeLeft() throws Exception {
+    try (Stub cache = new Stub(ArrivalTimeTest::readOnly);
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
-        Client first = new Client(proxy); Client asks = new Client(proxy)) {
-      assertEquals("MN", asks.request("mn\r\n"));
+        Client first = new Client(proxy); Client client = new Client(proxy)) {
+      assertEquals("MN", client.request("mn\r\n"));
       proxy.module.script = this::decide;
       first.send(FIRST);
-      heldUp.await();
-      long askedAt = System.nanoTime();
-      asks.send(ASKED);
-      assertTold(cache, askedAt);
+      stalled.await();
+      long sentAt = System.nanoTime();
+      client.send(REQUEST);
+      assertTimeLeft(cache, sentAt);
     }
   }
 
   @Test
-  void whoConnectedWhileTheLoopWasHeldUpIsToldWhatIsLeft() throws Exception {
+  void theFirstRequestOfAClientThatConnectsDuringAStallIsSentWithTheTimeLeft() throws Exception {
     List<Client> others = new ArrayList<>();
-    try (Stub cache = new Stub(ArrivalTimeTest::readOn);
+    try (Stub cache = new Stub(ArrivalTimeTest::readOnly);
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client first = new Client(proxy)) {
       proxy.module.script = this::decide;
       first.send(FIRST);
-      heldUp.await();
+      stalled.await();
       for (int i = 0; i < 30; i++) {
         others.add(new Client(proxy));
       }
-      try (Client asks = new Client(proxy)) {
-        long askedAt = System.nanoTime();
-        asks.send(ASKED);
-        assertTold(cache, askedAt);
+      try (Client client = new Client(proxy)) {
+        long sentAt = System.nanoTime();
+        client.send(REQUEST);
+        assertTimeLeft(cache, sentAt);
       }
     } finally {
       Client.closeAll(others);
     }
   }
 
-  /** Clients with requests that are open hold all places; one that connects meanwhile waits until they go. */
+  /** Clients with open requests hold all connections; one that connects meanwhile waits until they close. */
   @Test
-  void whoWaitedForAPlaceIsToldWhatIsLeft() throws Exception {
-    List<Client> crowd = new ArrayList<>();
-    try (Stub cache = new Stub(ArrivalTimeTest::readOn);
+  void theFirstRequestOfAClientThatWaitedToBeAcceptedIsSentWithTheTimeLeft() throws Exception {
+    List<Client> busyClients = new ArrayList<>();
+    try (Stub cache = new Stub(ArrivalTimeTest::readOnly);
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody(), 32 + 8)) {
-      proxy.module.script = event -> event instanceof RequestReceived e && e.id() > PLACES
+      proxy.module.script = event -> event instanceof RequestReceived e && e.id() > MAX_CLIENTS
           ? List.of(new Send(e.id(), "cache", 0)) : List.of();
-      for (int i = 0; i < PLACES; i++) {
-        crowd.add(new Client(proxy));
-        crowd.get(i).send("mg " + i + " v O" + i + " Pc=read,t=acme,d=4000\r\n");
+      for (int i = 0; i < MAX_CLIENTS; i++) {
+        busyClients.add(new Client(proxy));
+        busyClients.get(i).send("mg " + i + " v O" + i + " Pc=read,t=acme,d=4000\r\n");
         proxy.module.next(RequestReceived.class);
       }
-      try (Client asks = new Client(proxy)) {
-        long askedAt = System.nanoTime();
-        asks.send(ASKED);
-        ProxyFixture.sleep(HELD_UP_MS);
-        hinderedUntil = System.nanoTime();
-        Client.closeAll(crowd);
-        assertTold(cache, askedAt);
+      try (Client client = new Client(proxy)) {
+        long sentAt = System.nanoTime();
+        client.send(REQUEST);
+        ProxyFixture.sleep(STALL_MS);
+        stallEndedAt = System.nanoTime();
+        Client.closeAll(busyClients);
+        assertTimeLeft(cache, sentAt);
       }
     } finally {
-      Client.closeAll(crowd);
+      Client.closeAll(busyClients);
     }
   }
 }
--- a/src/test/java/beampoint/serve/AttemptOutcomeTest.java
+++ b/src/test/java/beampoint/serve/AttemptOutcomeTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What peers do becomes the right outcome of an attempt or a probe, and once. */
+/** Whatever a peer does leads to the right outcome of an attempt or a probe, and to one only. */
 @Timeout(30)
 class AttemptOutcomeTest {
 
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void whatTheOriginSaysNeverRanIsToldSo() throws Exception {
+  void aRequestThatTheOriginDeclinedIsReportedAsNotRun() throws Exception {
     for (String[] answer : new String[][] {{"503 Busy\r\nSrv-Declined: 1", "FULL"}, {"503 Busy", "ERROR"},
         {"504 Late\r\nSrv-Declined: 1", "FULL"}, {"500 Failed\r\nSrv-Declined: 1", "ERROR"}}) {
       try (Stub origin = new Stub(peer -> {
@@ -62,9 +62,12 @@
     }
   }
 
-  /** Guards against a value that nobody made, and against a peer taken for broken that spoils an answer. */
+  /**
+   * Guards against a malformed or oversized response that passes for a value, and against one that counts as
+   * a broken connection.
+   */
   @Test
-  void aSpoiltAnswerOfTheOriginIsAnErrorAndInterimOnesAreReadPast() throws Exception {
+  void aMalformedResponseOfTheOriginIsAnErrorAndInterimOnesAreSkipped() throws Exception {
     String good = "Content-Length: 1\r\n\r\n1";
     for (String[] answer : new String[][] {{"HTTP/1.1 200 OK\r\nno colon\r\n" + good, "ERROR"},
         {"HTTP/1.1 200 OK\r\nContent-Length: 4194305\r\n\r\n" + "x".repeat(1_048_577), "ERROR"},
@@ -82,9 +85,9 @@
     }
   }
 
-  /** Guards against a good answer with noise behind it that spoils the next one on its connection. */
+  /** Guards against excess bytes behind an answer that corrupt the next answer on the same connection. */
   @Test
-  void aConnectionWithMoreOnItThanTheAnswerIsNotUsedAgain() throws Exception {
+  void aConnectionWithBytesBehindTheAnswerIsNotReused() throws Exception {
     String value = "VA 0 O9b\r\n\r\n";
     try (Stub cache = ScriptedCache.answering(value + value); ProxyFixture proxy =
         new ProxyFixture(cache.address(), Stub.nobody()); Client client = new Client(proxy)) {
@@ -98,26 +101,32 @@
     }
   }
 
-  /** Guards against a request told as perhaps run, and so failed, that never reached anybody. */
+  /**
+   * Guards against reporting a request that never reached a server as one that may have run, which would be
+   * failed instead of retried.
+   */
   @Test
-  void aRefusedConnectionMeansThatItNeverRan() throws Exception {
+  void aRefusedConnectionMeansThatTheRequestNeverRan() throws Exception {
     assertEquals(Result.CONNECT_FAILED, oneRead(Stub.nobody()).result());
   }
 
-  /** Guards against a repeat of what may have run: after the last byte a break proves nothing. */
+  /**
+   * Guards against a retry of a request that may have run: a connection that breaks after the last byte of
+   * the request does not show whether it did.
+   */
   @Test
-  void aBreakAfterTheLastByteIsAReset() throws Exception {
+  void aConnectionThatBreaksAfterTheLastByteIsAReset() throws Exception {
     try (Stub cache = new Stub(peer -> {
       peer.line();
       peer.reset();
     })) {
       assertEquals(Result.RESET, oneRead(cache.address()).result());
-      assertEquals(1, cache.connections(), "nothing is sent again but by the module");
+      assertEquals(1, cache.connections(), "only the module may retry");
     }
   }
 
   @Test
-  void aValueCutOffIsNoAnswer() throws Exception {
+  void aTruncatedValueIsNoAnswer() throws Exception {
     try (Stub cache = new Stub(peer -> {
       peer.line();
       peer.say("VA 5 O9b\r\nab");
@@ -136,7 +145,7 @@
   }
 
   @Test
-  void aSilentPeerIsGivenUpWhenTheClientStopsWaiting() throws Exception {
+  void anAttemptAtASilentPeerTimesOutAtTheDeadline() throws Exception {
     try (Stub cache = ScriptedCache.silent();
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
@@ -148,12 +157,12 @@
       assertEquals(Result.TIMEOUT, ended.result());
       assertFalse(ended.done());
       assertTrue(ended.elapsed() >= 90 && ended.elapsed() < 1000, "after " + ended.elapsed());
-      assertTrue(cache.ends.take(), "the connection is ended, which gives the attempt up");
+      assertTrue(cache.ends.take(), "the connection is closed, which abandons the attempt");
     }
   }
 
   @Test
-  void anAttemptHasItsOwnLimitAndMayBeCancelled() throws Exception {
+  void anAttemptHasItsOwnTimeoutAndMayBeCancelled() throws Exception {
     try (Stub cache = ScriptedCache.silent();
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
@@ -170,7 +179,7 @@
   }
 
   @Test
-  void timersAndProbesComeBack() throws Exception {
+  void theModuleIsInformedOfFiredTimersAndEndedProbes() throws Exception {
     try (Stub cache = ScriptedCache.answering("MN\r\n"); Stub origin = new Stub(peer -> {
       peer.head();
       peer.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
--- a/src/test/java/beampoint/serve/CdsTrainingRun.java
+++ b/src/test/java/beampoint/serve/CdsTrainingRun.java
@@ -11,8 +11,9 @@
 import java.util.stream.Stream;
 
 /**
- * Runs the program once among scripted peers, so that the build can list the classes it uses and archive
- * them: a restarted proxy has a part of a core, and loading them from the jar was half of its start.
+ * Runs the program once among scripted peers, so that the build can list the classes that it uses and archive
+ * them (class data sharing, CDS). A restarted proxy has only a part of a core, and loading the classes from
+ * the jar took half of its start.
  */
 public final class CdsTrainingRun {
 
@@ -43,16 +44,16 @@
         ProxyFixture.host("gone", Stub.nobody(), "m2"),
         ProxyFixture.host("origin", origin.address(), "origin"));
     String list = "{\"seq\":2,\"whole\":true,\"hosts\":[" + hosts + "]}\n";
-    Stub.Script follows = peer -> {
+    Stub.Script watchScript = peer -> {
       peer.head();
       peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
           + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
       peer.beSilent();
     };
-    Path directory = Files.createTempDirectory("rehearsal");
+    Path directory = Files.createTempDirectory("cds-training");
     int port = freePort();
     int ops = freePort();
-    Path config = configure(directory, port, ops, new Stub(follows), hosts);
+    Path config = configure(directory, port, ops, new Stub(watchScript), hosts);
     Main.main(new String[] {"serve", "--config", config.toString()});
     try (Client client = new Client(port); Client leaving = new Client(port)) {
       for (int i = 0; i < REQUESTS; i++) {
@@ -72,21 +73,21 @@
           caller.request(call + " HTTP/1.1\r\nHost: ops\r\n\r\n");
         }
       }
-      configure(directory, port, ops, new Stub(follows), hosts);
-      String self = Long.toString(ProcessHandle.current().pid());
-      new ProcessBuilder("kill", "-HUP", self).start().waitFor();
+      configure(directory, port, ops, new Stub(watchScript), hosts);
+      String pid = Long.toString(ProcessHandle.current().pid());
+      new ProcessBuilder("kill", "-HUP", pid).start().waitFor();
       client.send("stats\r\n");
       while (!client.line().equals("END")) {
-        // read on
+        // skips the counters
       }
     }
-    try (Stream<Path> left = Files.list(Path.of(System.getenv().getOrDefault("TMPDIR", "/tmp")))) {
-      String ours = "beampoint-n0-" + port;
-      for (Path file : left.filter(f -> f.getFileName().toString().startsWith(ours)).toList()) {
+    try (Stream<Path> files = Files.list(Path.of(System.getenv().getOrDefault("TMPDIR", "/tmp")))) {
+      String prefix = "beampoint-n0-" + port;
+      for (Path file : files.filter(f -> f.getFileName().toString().startsWith(prefix)).toList()) {
         Files.delete(file);
       }
     }
-    System.exit(0); // as a SIGTERM does
+    System.exit(0); // ends the program as a SIGTERM does
   }
 
   private static int freePort() throws Exception {
--- a/src/test/java/beampoint/serve/ClientConnectionTest.java
+++ b/src/test/java/beampoint/serve/ClientConnectionTest.java
@@ -27,12 +27,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What clients do with their connections: they leave, send nonsense, or stop amid a command. */
+/** Clients that disconnect, send invalid input, or stop in the middle of a command. */
 @Timeout(30)
 class ClientConnectionTest {
 
   @Test
-  void aClientThatLeavesIsToldToTheModuleAndTheAttemptEndsAfterIt() throws Exception {
+  void theModuleIsInformedOfAClientThatDisconnectsAndThenOfTheAttemptsEnd() throws Exception {
     try (Stub cache = ScriptedCache.held();
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody())) {
       proxy.sendTo("cache");
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void badInputCostsAnAnswerAndOverlongInputItsConnectionOnly() throws Exception {
+  void invalidInputIsAnsweredAndOverlongInputClosesOnlyItsOwnConnection() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client client = new Client(proxy); Client other = new Client(proxy)) {
       assertEquals("ERROR", client.request("hello\r\n"));
@@ -62,9 +62,12 @@
     }
   }
 
-  /** Guards against a request that the module decides on, and never hears the end of, as its client left. */
+  /**
+   * Guards against a request that the module receives after its client's disconnect was reported: the module
+   * would never learn that the request is over.
+   */
   @Test
-  void aRequestWhoseClientLeavesAtOnceIsNotToldAfterItsLeaving() throws Exception {
+  void aRequestIsNotReportedAfterItsClientsDisconnect() throws Exception {
     try (Stub cache = new Stub(Stub.Peer::beSilent);
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client last = new Client(proxy)) {
@@ -77,34 +80,35 @@
       last.send(READ.replace("4000", "200"));
       Set<Long> open = new HashSet<>();
       Set<Long> gone = new HashSet<>();
-      // Requests whose clients left before they were begun are told to nobody: how many is up to the machine.
-      boolean lastIsTold = false;
-      while (!lastIsTold || !open.isEmpty()) { // fails where an attempt never ends, as no event comes then
+      // Requests whose clients left before they were started are not reported; their number varies.
+      boolean lastReceived = false;
+      while (!lastReceived || !open.isEmpty()) { // if an attempt never ends, next() fails for lack of events
         Balancer.Event event = proxy.module.next(Balancer.Event.class);
         if (event instanceof RequestReceived e) {
-          assertFalse(gone.contains(e.id()), "request " + e.id() + " was told after its leaving");
+          assertFalse(gone.contains(e.id()), "request " + e.id() + " was received after it was gone");
           open.add(e.id());
-          lastIsTold |= e.key() == 0x7f3a;
+          lastReceived |= e.key() == 0x7f3a;
         } else if (event instanceof RequestGone e) {
           gone.add(e.id());
         } else if (event instanceof AttemptEnded e) {
           open.remove(e.id());
         }
       }
-      // What is still on its way, if the machine is busy.
+      // Events that are still to come if the machine is busy.
       for (Balancer.Event event = proxy.module.events.poll(200, TimeUnit.MILLISECONDS); event != null; event =
           proxy.module.events.poll(200, TimeUnit.MILLISECONDS)) {
         if (event instanceof RequestGone e) {
           gone.add(e.id());
         }
-        assertFalse(event instanceof RequestReceived e && gone.contains(e.id()), "told after its leaving");
+        assertFalse(event instanceof RequestReceived e && gone.contains(e.id()),
+            "received after it was gone");
       }
     }
   }
 
-  /** Guards against a client that sends nonsense at full speed: each line of it costs an answer. */
+  /** Guards against a client that sends invalid lines at full speed, each of which costs an answer. */
   @Test
-  void aClientThatGoesOnSendingWhatCanNotBeReadIsTurnedAway() throws Exception {
+  void aClientThatKeepsSendingInvalidCommandsIsDisconnected() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client client = new Client(proxy)) {
       client.send("nonsense\r\n".repeat(1000));
@@ -114,16 +118,16 @@
           answers++;
         }
       } catch (SocketException e) {
-        // reset, as not all that was sent has been read
+        // reset, as the proxy has not read all that was sent
       }
       assertTrue(answers <= 8, answers + " answers");
       assertEquals(8, proxy.proxy.counters().get(Counter.BAD_COMMANDS));
     }
   }
 
-  /** Guards against one id that stands for two requests: an answer names its request by it. */
+  /** Guards against two open requests with the same id, because answers name their request by its id. */
   @Test
-  void anIdThatIsInUseIsNotTakenAgain() throws Exception {
+  void anIdThatIsInUseIsRejected() throws Exception {
     try (Stub cache = ScriptedCache.held();
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy); Client other = new Client(proxy)) {
@@ -140,9 +144,9 @@
     }
   }
 
-  /** Guards against connections that are held and not used, or for half a command. */
+  /** Guards against connections that are held open without a command, or with an incomplete one. */
   @Test
-  void aClientThatSaysNothingOrHalfACommandIsClosed() throws Exception {
+  void aConnectionWithoutACompleteCommandIsClosed() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client idle = new Client(proxy); Client silent = new Client(proxy); Client half = new Client(proxy);
         Client later = new Client(proxy)) {
@@ -157,25 +161,28 @@
     }
   }
 
-  /** Guards against ends of connections that cost as much as faults: the library words a line for each. */
+  /**
+   * Guards against closes of connections that cost as much as errors, for each of which the library formats a
+   * log message.
+   */
   @Test
-  void aClientThatLeavesIsNoFaultOfTheFilters() throws Exception {
+  void aClientThatDisconnectsCausesNoErrorInTheFilters() throws Exception {
     Logger library = Logger.getLogger("org.glassfish.grizzly");
-    List<String> worded = new CopyOnWriteArrayList<>();
+    List<String> messages = new CopyOnWriteArrayList<>();
     Handler handler = new Handler() {
       @Override
-      public void publish(LogRecord line) {
-        worded.add(line.getMessage());
+      public void publish(LogRecord logRecord) {
+        messages.add(logRecord.getMessage());
       }
 
       @Override
       public void flush() {
-        // nothing is held back
+        // nothing is buffered
       }
 
       @Override
       public void close() {
-        // nothing is open
+        // there is nothing to close
       }
     };
     handler.setLevel(Level.ALL);
@@ -194,7 +201,7 @@
         proxy.module.next(RequestReceived.class);
       }
       proxy.module.next(RequestGone.class);
-      assertEquals(List.of(), worded.stream().filter(line -> line.contains("GRIZZLY0013")).toList());
+      assertEquals(List.of(), messages.stream().filter(message -> message.contains("GRIZZLY0013")).toList());
     } finally {
       library.removeHandler(handler);
       library.setLevel(null);
--- a/src/test/java/beampoint/serve/ConfigTest.java
+++ b/src/test/java/beampoint/serve/ConfigTest.java
@@ -21,10 +21,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The configuration, and the names on the sockets as the module's numbers. */
+/** The configuration, and the numbers by which the module knows the names on the wire. */
 class ConfigTest {
 
-  private static JsonObject good() {
+  private static JsonObject validConfig() {
     return JsonParser.parseString("""
         {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"ffffffffffffffff",
          "known":{"seq":1,"whole":true,"hosts":[%s]},"settings":%s}"""
@@ -43,8 +43,8 @@
 
   @Test
   void theSettingsHaveTheSameNamesAsInTheSimulator() throws Exception {
-    Config config = Config.read("config.json", good());
-    assertEquals(-1, config.seed(), "all of 64 bits");
+    Config config = Config.read("config.json", validConfig());
+    assertEquals(-1, config.seed(), "all 64 bits are used");
     assertEquals(-1, config.settings().seed());
     assertEquals(1, config.settings().originKind());
     assertEquals(2, config.settings().siblings());
@@ -56,8 +56,8 @@
   }
 
   @Test
-  void aFleetThatCannotBeUsedIsToldWithItsPlace() throws Exception {
-    assertNull(Config.read("config.json", good()).fleet());
+  void anInvalidFleetIsRejectedWithItsFieldNamed() throws Exception {
+    assertNull(Config.read("config.json", validConfig()).fleet());
     String[][] cases = {{"7", "fleet.cluster': missing"}, {"{}", "fleet.cluster': missing"},
         {"{\"cluster\":\"\",\"listen\":\"127.0.0.1:1\"}", "fleet.cluster': not a name"},
         {"{\"cluster\":\"c\",\"listen\":\"here\"}", "fleet.listen': not of the form"},
@@ -67,14 +67,14 @@
             + "{\"name\":\"a\",\"address\":\"h:2\"}]}", "fleet.peers.1.name': duplicate name"},
         {"{\"cluster\":\"c\",\"listen\":\"127.0.0.1:1\",\"dial\":[{\"name\":\"a b\",\"address\":\"h:1\"}]}",
             "fleet.dial.0.name': not a name"}};
-    for (String[] odd : cases) {
-      JsonObject json = good();
-      json.add("fleet", JsonParser.parseString(odd[0]));
-      assertTrue(problem(json).contains(odd[1]), problem(json));
+    for (String[] invalid : cases) {
+      JsonObject json = validConfig();
+      json.add("fleet", JsonParser.parseString(invalid[0]));
+      assertTrue(problem(json).contains(invalid[1]), problem(json));
     }
   }
 
-  /** Guards against a limit that a fleet of 2,300 members meets: it would not start. */
+  /** Guards against a limit that is too low for a fleet of 2,300 members, which would then not start. */
   @Test
   void aFleetMayHaveAsManyPeersAsThereMayBeMembersAndNoMore() throws Exception {
     for (int peers : new int[] {2_300, FleetSettings.MAX_MEMBERS - 1, FleetSettings.MAX_MEMBERS}) {
@@ -85,7 +85,7 @@
   }
 
   private static JsonObject withPeers(int peers) {
-    JsonObject json = good();
+    JsonObject json = validConfig();
     String list = IntStream.range(0, peers)
         .mapToObj(i -> "{\"name\":\"n%d\",\"address\":\"127.0.0.1:%d\"}".formatted(i, 10_000 + i))
         .collect(Collectors.joining(","));
@@ -94,25 +94,25 @@
     return json;
   }
 
-  /** What the new shape added: absent, it leaves a proxy of the old shape as it was. */
+  /** Keys that were added to the settings are optional: a proxy without them works as before. */
   @Test
-  void crossingZonesIsFreeAndNoReportComesUnlessTheSettingsSaySo() throws Exception {
-    Config config = Config.read("config.json", good());
+  void byDefaultCrossingZonesIsFreeAndNoLoadReportIsExpected() throws Exception {
+    Config config = Config.read("config.json", validConfig());
     assertEquals(0, config.settings().prices().crossZone());
     assertEquals(List.of(), config.socketSettings().loads().names());
-    JsonObject json = good();
+    JsonObject json = validConfig();
     json.getAsJsonObject("settings").add("prices", JsonParser.parseString("{\"cross-zone\":0.03}"));
     json.getAsJsonObject("settings").add("telemetry",
         JsonParser.parseString("{\"source\":\"inline\",\"columns\":[\"depth\"]}"));
-    Config moved = Config.read("config.json", json);
-    assertEquals(0.03, moved.settings().prices().crossZone());
-    assertEquals(List.of("depth"), moved.socketSettings().loads().names());
+    Config extended = Config.read("config.json", json);
+    assertEquals(0.03, extended.settings().prices().crossZone());
+    assertEquals(List.of("depth"), extended.socketSettings().loads().names());
   }
 
-  /** Guards against a host of a kind that the settings don't know, taken for an origin that is not there. */
+  /** Guards against a host of an unknown kind that is taken for the origin where the settings have none. */
   @Test
-  void anUnknownKindIsNoOrigin() throws Exception {
-    JsonObject json = good();
+  void anUnknownKindIsNotTheOrigin() throws Exception {
+    JsonObject json = validConfig();
     json.getAsJsonObject("settings").remove("family-info");
     json.getAsJsonObject("known").getAsJsonArray("hosts").get(0).getAsJsonObject().addProperty("class", "m9");
     Config config = Config.read("config.json", json);
@@ -121,26 +121,26 @@
   }
 
   @Test
-  void whatIsWrongIsToldPlainly(@TempDir Path dir) throws Exception {
-    JsonObject json = good();
+  void anInvalidConfigurationIsRejectedWithItsFieldOrFileNamed(@TempDir Path dir) throws Exception {
+    JsonObject json = validConfig();
     json.addProperty("listen", "nowhere");
     assertTrue(problem(json).contains("'listen'"), problem(json));
-    json = good();
+    json = validConfig();
     json.addProperty("seed", "xyz");
     assertTrue(problem(json).contains("'seed'"), problem(json));
-    json = good();
+    json = validConfig();
     json.add("limits", JsonParser.parseString("{\"sockets\":36}"));
     assertTrue(problem(json).contains("too few: 36"), problem(json));
-    json = good();
+    json = validConfig();
     json.remove("settings");
     assertTrue(problem(json).contains("'settings'"), problem(json));
-    json = good();
+    json = validConfig();
     json.getAsJsonObject("settings").getAsJsonArray("lanes").get(0).getAsJsonObject().remove("target-ms");
     assertTrue(problem(json).contains("lanes.0.target-ms"), problem(json));
-    json = good();
+    json = validConfig();
     json.getAsJsonObject("settings").add("prices", JsonParser.parseString("{\"cross-zone\":-0.01}"));
     assertTrue(problem(json).contains("'prices.cross-zone': below 0"), problem(json));
-    json = good();
+    json = validConfig();
     json.getAsJsonObject("settings").add("telemetry",
         JsonParser.parseString("{\"columns\":{\"count\":\"x\"}}"));
     assertTrue(problem(json).contains("telemetry.columns.count"), problem(json));
@@ -153,9 +153,12 @@
     }
   }
 
-  /** Guards against the key that tells the module that there is none, and against proxies that disagree. */
+  /**
+   * Guards against a negative number for a key, which means to the module that there is no key, and against
+   * proxies that give different numbers to one key.
+   */
   @Test
-  void aKeyHasOneNumberEverywhereAndNeverANegativeOne() {
+  void aKeyHasTheSameNumberInAllProxiesAndNeverANegativeOne() {
     assertEquals(0x7f3a9c21e0b4d655L, key("7f3a9c21e0b4d655"));
     assertEquals(0x7f3a9c21e0b4d655L, key("ff3a9c21e0b4d655"));
     assertEquals(0x7fffffffffffffffL, key("ffffffffffffffff"));
@@ -168,7 +171,7 @@
     Clock clock = new Clock();
     double before = System.currentTimeMillis();
     double read = clock.getAsDouble();
-    assertTrue(Math.abs(read - before) < 5000, "a host's start is Unix time, and so must be the clock");
+    assertTrue(Math.abs(read - before) < 5000, "the clock must be Unix time, as hosts' start times are");
     for (int i = 0; i < 1000; i++) {
       double next = clock.getAsDouble();
       assertTrue(next >= read);
--- a/src/test/java/beampoint/serve/ConnectionLimitTest.java
+++ b/src/test/java/beampoint/serve/ConnectionLimitTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Who gets a connection where descriptors are short. */
+/** Which clients and servers get connections where file descriptors are scarce. */
 @Timeout(30)
 class ConnectionLimitTest {
 
-  /** Guards against caches that are silent and hold every connection, so that nothing reaches the origin. */
+  /** Guards against silent caches that hold every connection, so that no request reaches the origin. */
   @Test
   void cachesLeaveConnectionsForTheOrigin() throws Exception {
     try (Stub cache = new Stub(Stub.Peer::beSilent); Stub origin = new Stub(peer -> {
@@ -34,87 +34,90 @@
       for (int i = 0; i < 4; i++) {
         client.send("mg " + i + " v O" + i + " Pc=read,d=4000\r\n");
       }
-      assertEquals(Result.NOT_SENT, proxy.nextAttemptEnded().result(), "of four one is the origin's");
+      assertEquals(Result.NOT_SENT, proxy.nextAttemptEnded().result(), "one of four is for the origin");
       proxy.sendTo("origin");
       client.send("mg 5 v O5 Pc=read,d=4000\r\n");
       assertEquals(Result.OK, proxy.nextAttemptEnded().result());
     }
   }
 
-  /** Guards against slow writers that go before a crowd that has stopped, as the crowd is younger. */
+  /** Guards against evicting a slow client before newer clients that have stopped sending. */
   @Test
-  void whoWritesSlowlyStaysWhileACrowdThatHasStoppedMakesRoom() throws Exception {
-    List<Client> crowd = new ArrayList<>();
-    // Of 140 descriptors clients may have 35 before they make room, a third of those amid a command.
+  void aSlowClientStaysConnectedWhileClientsThatStoppedSendingAreEvicted() throws Exception {
+    List<Client> clients = new ArrayList<>();
+    // Of 140 descriptors clients may use 35 before some are evicted, a third of those within a command.
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody(), 140);
         Client slow = new Client(proxy); Client other = new Client(proxy)) {
       proxy.refuseAll();
       slow.send(READ.substring(0, 10));
       for (int i = 0; i < 11; i++) {
-        crowd.add(new Client(proxy));
+        clients.add(new Client(proxy));
       }
-      proxy.awaitClients(13); // who is accepted later would have moved later than the slow one
-      assertEquals("MN", other.request("mn\r\n"), "by now all that were accepted are known");
+      proxy.awaitClients(13); // a client accepted later would have been active later than the slow one
+      assertEquals("MN", other.request("mn\r\n"), "all accepted connections are registered by now");
       slow.send(READ.substring(10, 20));
       assertEquals("MN", other.request("mn\r\n"));
-      assertEquals("MN", other.request("mn\r\n"), "by now what the slow one wrote is read");
+      assertEquals("MN", other.request("mn\r\n"), "what the slow client sent is read by now");
       for (int i = 11; i < 41; i++) {
-        crowd.add(new Client(proxy));
+        clients.add(new Client(proxy));
       }
       proxy.awaitClients(43);
-      assertEquals("MN", other.request("mn\r\n"), "by now all that were accepted are known");
-      assertNull(crowd.get(0).line(), "who has moved nothing for longest made room");
+      assertEquals("MN", other.request("mn\r\n"), "all accepted connections are registered by now");
+      assertNull(clients.get(0).line(), "the client without progress for longest was evicted");
       assertEquals("SERVER_ERROR busy", slow.request(READ.substring(20)));
       assertEquals(8, proxy.proxy.counters().get(Counter.CLIENT_CONNECTIONS_CLOSED_FULL));
     } finally {
-      Client.closeAll(crowd);
+      Client.closeAll(clients);
     }
   }
 
-  /** Guards against crowds that connect and say nothing, and take the place of the usual clients. */
+  /** Guards against many clients that connect and send nothing, and displace the active clients. */
   @Test
-  void crowdsThatSayNothingMakeRoomForThoseThatSpeak() throws Exception {
-    List<Client> crowd = new ArrayList<>();
+  void clientsThatSendNothingAreEvictedBeforeActiveOnes() throws Exception {
+    List<Client> clients = new ArrayList<>();
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody(), 32 + 40)) {
-      List<Client> usual = new ArrayList<>();
+      List<Client> active = new ArrayList<>();
       for (int i = 0; i < 10; i++) {
-        usual.add(new Client(proxy));
-        assertEquals("MN", usual.get(i).request("mn\r\n"));
+        active.add(new Client(proxy));
+        assertEquals("MN", active.get(i).request("mn\r\n"));
       }
       for (int i = 0; i < 100; i++) {
-        crowd.add(new Client(proxy));
+        clients.add(new Client(proxy));
       }
       try (Client next = new Client(proxy)) {
         assertEquals("MN", next.request("mn\r\n"));
       }
-      for (Client client : usual) {
+      for (Client client : active) {
         assertEquals("MN", client.request("mn\r\n"));
         client.close();
       }
     } finally {
-      Client.closeAll(crowd);
+      Client.closeAll(clients);
     }
   }
 
-  /** Guards against clients that ask once and stay, until all that the clients' side may hold is taken. */
+  /** Guards against clients that send one request and stay connected, until their side may open no more. */
   @Test
-  void clientsThatAskOnceAndStayMakeRoomBeforeAThirdOfTheDescriptorsIsTaken() throws Exception {
-    List<Client> crowd = new ArrayList<>();
+  void idleClientsAreEvictedBeforeTheyHoldAThirdOfTheDescriptors() throws Exception {
+    List<Client> clients = new ArrayList<>();
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody(), 300)) {
       for (int i = 0; i < 300 / 3; i++) {
-        crowd.add(new Client(proxy));
-        assertEquals("MN", crowd.get(i).request("mn\r\n"));
+        clients.add(new Client(proxy));
+        assertEquals("MN", clients.get(i).request("mn\r\n"));
       }
-      assertNull(crowd.get(0).line(), "who was idle for longest made room");
-      assertEquals("MN", crowd.get(300 / 3 - 1).request("mn\r\n"));
+      assertNull(clients.get(0).line(), "the client that was idle for longest was evicted");
+      assertEquals("MN", clients.get(300 / 3 - 1).request("mn\r\n"));
     } finally {
-      Client.closeAll(crowd);
+      Client.closeAll(clients);
     }
   }
 
-  /** Guards against accepting without end, or not at all, once all descriptors for clients are taken. */
+  /**
+   * Guards against accepting connections without limit, or no longer at all, once all descriptors for clients
+   * are in use.
+   */
   @Test
-  void clientsBeyondTheDescriptorsWaitOrTakeThePlaceOfIdleOnes() throws Exception {
+  void clientsBeyondTheLimitWaitOrReplaceIdleOnes() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody(), 32 + 8)) {
       proxy.module.script = event -> List.of(); // requests stay open, so no connection is idle
       Client[] busy = new Client[4];
@@ -133,7 +136,7 @@
         proxy.module.next(RequestGone.class);
         try (Client next = new Client(proxy)) {
           assertEquals("MN", next.request("mn\r\n"));
-          assertNull(waiting.line(), "the idle one made room");
+          assertNull(waiting.line(), "the idle client was evicted");
         }
       }
       busy[2].close();
@@ -141,9 +144,9 @@
     }
   }
 
-  /** Guards against a request that is lost, or sent on twice, as its idle connection is just being closed. */
+  /** Guards against a request that is lost, or sent twice, as its idle connection is being evicted. */
   @Test
-  void aCommandThatWasReadIsAnsweredThoughItsConnectionWasIdleWhenRoomWasNeeded() throws Exception {
+  void aCommandThatWasReadIsAnsweredThoughItsConnectionWasChosenForEviction() throws Exception {
     CountDownLatch held = new CountDownLatch(1);
     List<Client> all = new ArrayList<>();
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody(), 32 + 2 * 40)) {
@@ -158,13 +161,13 @@
         }
         return List.of();
       };
-      all.get(27).send(READ); // holds the decision thread
+      all.get(27).send(READ); // blocks the decision thread
       proxy.module.next(RequestReceived.class);
-      all.add(new Client(proxy)); // one too many: the first is to make room
+      all.add(new Client(proxy)); // one too many: the first is to be evicted
       all.get(0).send(READ.replace("O9b", "Oidle"));
       held.countDown();
       assertEquals("SERVER_ERROR busy", all.get(0).line());
-      assertNull(all.get(1).line(), "the next that was idle made room");
+      assertNull(all.get(1).line(), "the next idle client was evicted");
     } finally {
       Client.closeAll(all);
     }
--- a/src/test/java/beampoint/serve/ProxyFixture.java
+++ b/src/test/java/beampoint/serve/ProxyFixture.java
@@ -17,16 +17,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** A proxy with a scripted module, among scripted peers on loopback, and a client that talks to it. */
+/** A proxy with a scripted decision module among scripted peers on loopback, and a client for it. */
 final class ProxyFixture implements AutoCloseable {
 
-  /** With which discovery begins to answer a watch. */
+  /** The head of the response with which discovery answers a watch. */
   static final String LIST_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   /** A client's read of a value. */
   static final String READ = "mg 7f3a v O9b Pc=read,t=acme,d=4000\r\n";
 
-  /** So many reads, of which each has an id of its own: {@code O} and its number from 0 on. */
+  /** The given number of reads, each with an id of its own: {@code O} and its number, from 0 on. */
   static String reads(int count) {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < count; i++) {
@@ -48,24 +48,24 @@
                 {"name":"put","idempotency":"keyed","group":"all","target-ms":500,"hard-limit-ms":1000}],
        "accounts":[{"name":"acme","quota-per-s":50},{"name":"other","quota-per-s":50}]}""";
 
-  /** Plays the module: notes every event and answers it as the test says. */
+  /** Stands for the decision module: records every event and returns the actions of the test's script. */
   static final class ScriptedModule implements Balancer {
     final LinkedBlockingQueue<Event> events = new LinkedBlockingQueue<>();
     volatile Function<Event, List<Action>> script = event -> List.of();
 
     @Override
     public List<Action> handle(double now, Event event) {
-      var present = script; // who has seen the event may change the script: that is for those after it
+      var current = script; // read first: a test that has seen the event may set the script for later ones
       events.add(event);
-      return present.apply(event);
+      return current.apply(event);
     }
 
-    /** The next event of a type; fails after five seconds without one. */
+    /** Returns the next event of a type and drops those before it; fails after 5 s without any event. */
     <E extends Event> E next(Class<E> type) throws InterruptedException {
       while (true) {
         Event event = events.poll(5, TimeUnit.SECONDS);
         if (event == null) {
-          throw new AssertionError("no " + type.getSimpleName() + " came");
+          throw new AssertionError("no " + type.getSimpleName() + " received: no event within 5 s");
         }
         if (type.isInstance(event)) {
           return type.cast(event);
@@ -74,7 +74,7 @@
     }
   }
 
-  /** A client's connection. */
+  /** The connection of a client to the proxy. */
   static final class Client implements AutoCloseable {
     final Socket socket;
     private final InputStream in;
@@ -87,7 +87,7 @@
       this(port, 0);
     }
 
-    /** A client that takes in only so many bytes ahead of its reading, if that is not 0. */
+    /** A client with a receive buffer of so many bytes; 0 leaves the system's default. */
     Client(int port, int receiveBuffer) throws IOException {
       socket = new Socket();
       if (receiveBuffer > 0) {
@@ -107,11 +107,13 @@
       return Stub.readLine(in);
     }
 
+    /** Sends text and returns the next line. */
     String request(String text) throws IOException {
       send(text);
       return line();
     }
 
+    /** The next bytes; fewer at the end of the stream. */
     String bytes(int count) throws IOException {
       return new String(in.readNBytes(count), StandardCharsets.ISO_8859_1);
     }
@@ -133,24 +135,24 @@
   final int port;
   private final Stub discovery = unchangedDiscovery();
 
-  /** A proxy that knows a cache node and an origin at these addresses. */
+  /** A proxy with a cache node and an origin at these addresses, and so many descriptors configured. */
   ProxyFixture(String cache, String origin, int sockets) throws Exception {
     this(cache, origin, sockets, SETTINGS, null);
   }
 
-  /** The same with settings of its own and, where the address is not null, a discovery of the test's. */
+  /** The same with other settings and, if its address is not null, with the test's own discovery. */
   ProxyFixture(String cache, String origin, int sockets, String settings, String discoveryAddress)
       throws Exception {
     List<String> hosts = new ArrayList<>();
     hosts.add(host("cache", cache, "m2"));
     hosts.add(host("origin", origin, "origin"));
     String address = discoveryAddress == null ? discovery.address() : discoveryAddress;
-    proxy = new Proxy(config(hosts, sockets, address, settings), told -> module);
+    proxy = new Proxy(config(hosts, sockets, address, settings), ignored -> module);
     proxy.start();
     port = proxy.port();
     module.next(Balancer.ListReceived.class);
     if (discoveryAddress == null) {
-      module.next(Balancer.ListReceived.class); // discovery has confirmed the first
+      module.next(Balancer.ListReceived.class); // discovery has confirmed the configured list
     }
   }
 
@@ -158,7 +160,7 @@
     this(cache, origin, 1024);
   }
 
-  /** A discovery that answers each watch, and says that nothing has changed. */
+  /** A discovery that answers each watch with an empty line: the list has not changed. */
   static Stub unchangedDiscovery() throws IOException {
     return new Stub(peer -> {
       peer.head();
@@ -191,7 +193,10 @@
     return Config.read("test", JsonParser.parseString(json).getAsJsonObject());
   }
 
-  /** Sends every request that may wait to one endpoint, and refuses what did not end there. */
+  /**
+   * Makes the module send every request to one endpoint, and refuse overflow requests and those whose attempt
+   * has failed.
+   */
   void sendTo(String endpoint) {
     module.script = event -> {
       if (event instanceof Balancer.RequestReceived e) {
@@ -205,25 +210,25 @@
     };
   }
 
-  /** Refuses every request. */
+  /** Makes the module refuse every request. */
   void refuseAll() {
     module.script = event -> event instanceof Balancer.RequestReceived e
         ? List.of(new Balancer.Refuse(e.id(), 0)) : List.of();
   }
 
-  /** Waits until the proxy has accepted so many connections of clients, since its start. */
+  /** Waits until the proxy has accepted so many client connections since its start. */
   void awaitClients(long count) {
     awaitCount(Counter.CLIENT_CONNECTIONS, count);
   }
 
-  /** Waits until a counter has come to so much. */
+  /** Waits until a counter has reached a value. */
   void awaitCount(Counter counter, long count) {
     while (proxy.counters().get(counter) < count) {
       Thread.onSpinWait();
     }
   }
 
-  /** Sleeps in a script of the module, which declares no exceptions. */
+  /** Sleeps in a module's script, which can't throw checked exceptions. */
   static void sleep(long ms) {
     try {
       TimeUnit.MILLISECONDS.sleep(ms);
@@ -232,7 +237,7 @@
     }
   }
 
-  /** Waits in a script of the module, which declares no exceptions. */
+  /** Waits for a latch in a module's script, which can't throw checked exceptions. */
   static void await(CountDownLatch latch) {
     try {
       latch.await();
--- a/src/test/java/beampoint/serve/ScriptedCache.java
+++ b/src/test/java/beampoint/serve/ScriptedCache.java
@@ -2,12 +2,12 @@
 
 import beampoint.Stub;
 
-/** Cache nodes on loopback that answer by a script. */
+/** Cache nodes on loopback with a fixed behaviour. */
 final class ScriptedCache {
 
   private ScriptedCache() {}
 
-  /** A cache node that answers every command so. */
+  /** A cache node that gives the same answer to every command. */
   static Stub answering(String answer) throws Exception {
     return new Stub(peer -> {
       while (peer.line() != null) {
@@ -16,7 +16,7 @@
     });
   }
 
-  /** A cache node that takes a command and never answers. */
+  /** A cache node that reads a command and never answers. */
   static Stub silent() throws Exception {
     return new Stub(peer -> {
       peer.line();
@@ -24,7 +24,7 @@
     });
   }
 
-  /** A cache node that answers a read once the test adds to the stub's ends. */
+  /** A cache node that answers a read only once the test adds to the stub's {@code ends}. */
   static Stub held() throws Exception {
     return new Stub(peer -> {
       peer.line();
