--- a/src/test/java/beampoint/serve/DrainAndTimeLeftTest.java
+++ b/src/test/java/beampoint/serve/DrainAndTimeLeftTest.java
@@ -19,17 +19,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a proxy is told by its list, and what it tells cache nodes of the time that is left. */
+/** A drain that the host list reports, and the time left that cache nodes are sent. */
 @Timeout(30)
 class DrainAndTimeLeftTest {
 
-  private static final Pattern WAIT = Pattern.compile("d=(\\d+)");
+  private static final Pattern TIME_LEFT = Pattern.compile("d=(\\d+)");
 
   private static String chunk(String text) {
     return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
 
-  /** Guards against an entry that is left out for want of an address, and the drain that it tells with it. */
+  /** Guards against skipping an entry that has no address, and with it the drain that it reports. */
   @Test
   void aDrainWithoutAnAddressIsADrain() throws Exception {
     String drain = "{\"host\":\"cache\",\"site\":\"a\",\"class\":\"m2\",\"health\":\"Terminating\"}";
@@ -46,13 +46,13 @@
     }
   }
 
-  /** A cache node is told what is left to the client, also of a further attempt. */
+  /** A cache node is sent the time left until the client's deadline, with a retry too. */
   @Test
-  void aFurtherAttemptTellsTheCacheNodeNoMoreThanWhatIsLeftToTheClient() throws Exception {
-    int first = 300; // ms that the first attempt takes
+  void aRetrySendsTheCacheNodeNoMoreThanTheTimeLeft() throws Exception {
+    int firstAttemptMs = 300;
     try (Stub cache = new Stub(peer -> {
       for (String line = peer.line(); line != null; line = peer.line()) {
-        Thread.sleep(first);
+        Thread.sleep(firstAttemptMs);
         peer.say("SERVER_ERROR failed\r\n");
       }
     }); ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
@@ -61,20 +61,20 @@
           ? List.of(new Send(e.id(), "cache", 0))
           : event instanceof AttemptEnded e && e.attempt() == 0 ? List.of(new Send(e.id(), "cache", 0))
           : event instanceof AttemptEnded e ? List.of(new Refuse(e.id(), 0)) : List.of();
-      long begun = System.nanoTime();
+      long startedAt = System.nanoTime();
       assertEquals("SERVER_ERROR busy", client.request("mg 1 v O1 Pc=read,t=acme,d=2000\r\n"));
-      double took = (System.nanoTime() - begun) / 1e6;
-      int atFirst = told(cache.nextLine());
-      int then = told(cache.nextLine());
-      assertTrue(atFirst <= 2000, "told at first: " + atFirst);
-      assertTrue(then <= 2000 - first, "told then: " + then);
-      assertTrue(then >= 2000 - took, "no less than what is left: " + then + ", took " + took);
+      double took = (System.nanoTime() - startedAt) / 1e6;
+      int firstTimeLeft = timeLeft(cache.nextLine());
+      int retryTimeLeft = timeLeft(cache.nextLine());
+      assertTrue(firstTimeLeft <= 2000, "first attempt: " + firstTimeLeft);
+      assertTrue(retryTimeLeft <= 2000 - firstAttemptMs, "retry: " + retryTimeLeft);
+      assertTrue(retryTimeLeft >= 2000 - took, "retry below the time left: " + retryTimeLeft + ", took " + took);
       assertEquals(Result.ERROR, proxy.nextAttemptEnded().result());
     }
   }
 
-  private static int told(String line) {
-    Matcher matcher = WAIT.matcher(line);
+  private static int timeLeft(String line) {
+    Matcher matcher = TIME_LEFT.matcher(line);
     assertTrue(matcher.find(), line);
     return Integer.parseInt(matcher.group(1));
   }
--- a/src/test/java/beampoint/serve/DrainBeforeStartTest.java
+++ b/src/test/java/beampoint/serve/DrainBeforeStartTest.java
@@ -13,19 +13,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Guards against sends to a node that was told to drain before this start, while discovery is down. */
+/** Guards against sending, while discovery is down, to a node that began to drain before this start. */
 @Timeout(30)
 class DrainBeforeStartTest {
 
   private static final int READS = 40;
-  private static final long BETWEEN_READS_MS = 25; // a second in all, several calls of discovery long
+  private static final long READ_INTERVAL_MS = 25; // a second for all, as long as several calls to discovery
   private static final String VALUE = "value";
 
-  private final CountDownLatch discoveryIsBack = new CountDownLatch(1);
+  private final CountDownLatch discoveryIsUp = new CountDownLatch(1);
   private Stub cache;
   private Stub origin;
   private Stub discovery;
-  private volatile String news; // what discovery says once it is back
+  private volatile String update; // what discovery sends once it is up
   private Proxy proxy;
 
   @BeforeEach
@@ -42,8 +42,8 @@
     });
     discovery = new Stub(peer -> {
       peer.head();
-      discoveryIsBack.await();
-      peer.say(ProxyFixture.LIST_HEAD + Integer.toHexString(news.length()) + "\r\n" + news + "\r\n");
+      discoveryIsUp.await();
+      peer.say(ProxyFixture.LIST_HEAD + Integer.toHexString(update.length()) + "\r\n" + update + "\r\n");
       peer.beSilent();
     });
     List<String> known = List.of(ProxyFixture.host("cache", cache.address(), "m2"),
@@ -65,35 +65,35 @@
     return answer.startsWith("VA") ? client.line() : answer;
   }
 
-  /** Reads all along; the origin serves them where another answer is not expected. */
-  private void readAndExpectNothingAtTheCache(Client client, String answer) throws Exception {
+  /** Sends reads one after the other; the origin serves them, unless another answer is expected. */
+  private void assertReadsBypassTheCache(Client client, String answer) throws Exception {
     for (int i = 0; i < READS; i++) {
       assertEquals(answer, read(client, i));
-      TimeUnit.MILLISECONDS.sleep(BETWEEN_READS_MS);
+      TimeUnit.MILLISECONDS.sleep(READ_INTERVAL_MS);
     }
-    assertEquals(List.of(), List.copyOf(cache.lines), "the cache was sent something");
+    assertEquals(List.of(), List.copyOf(cache.lines), "requests sent to the cache");
   }
 
   @Test
   void nothingIsSentToARememberedNodeWhileDiscoveryIsDown() throws Exception {
-    news = "{\"seq\":2,\"whole\":false,\"hosts\":["
+    update = "{\"seq\":2,\"whole\":false,\"hosts\":["
         + "{\"host\":\"cache\",\"class\":\"m2\",\"health\":\"Terminating\"}]}\n";
     try (Client client = new Client(proxy.port())) {
-      readAndExpectNothingAtTheCache(client, VALUE);
-      discoveryIsBack.countDown();
+      assertReadsBypassTheCache(client, VALUE);
+      discoveryIsUp.countDown();
       while (read(client, READS).equals(VALUE)) {
-        TimeUnit.MILLISECONDS.sleep(BETWEEN_READS_MS);
+        TimeUnit.MILLISECONDS.sleep(READ_INTERVAL_MS);
       }
-      readAndExpectNothingAtTheCache(client, "SERVER_ERROR busy 700"); // no cache is left
+      assertReadsBypassTheCache(client, "SERVER_ERROR busy 700"); // no cache is left
     }
   }
 
   @Test
-  void aRememberedNodeIsUsedOnceDiscoveryHasNoNews() throws Exception {
-    news = "\n";
+  void aRememberedNodeIsUsedOnceDiscoveryReportsNoChange() throws Exception {
+    update = "\n";
     try (Client client = new Client(proxy.port())) {
-      readAndExpectNothingAtTheCache(client, VALUE);
-      discoveryIsBack.countDown();
+      assertReadsBypassTheCache(client, VALUE);
+      discoveryIsUp.countDown();
       while (cache.lines.stream().noneMatch(line -> line.startsWith("mg "))) {
         assertEquals(VALUE, read(client, READS));
       }
--- a/src/test/java/beampoint/serve/EventLoopTest.java
+++ b/src/test/java/beampoint/serve/EventLoopTest.java
@@ -39,11 +39,11 @@
 
   private Object next() throws InterruptedException {
     Object next = done.poll(5, TimeUnit.SECONDS);
-    assertTrue(next != null, "nothing ran");
+    assertTrue(next != null, "no task ran within 5 s");
     return next;
   }
 
-  /** Guards against a thread that sleeps in its selector while others give it work. */
+  /** Guards against a thread that stays in its selector while other threads queue tasks. */
   @Test
   void tasksOfOtherThreadsRunInOrderOnOneThread() throws Exception {
     for (int i = 0; i < 100; i++) {
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void timersRunInTheOrderOfTheirTimesAndThenOfTheirSetting() throws Exception {
+  void timersRunInTheOrderOfTheirDueTimesAndThenOfCreation() throws Exception {
     loop.execute(() -> {
       for (int delay : new int[] {30, 10, 20, 10}) {
         loop.schedule(() -> done.add(delay), delay, TimeUnit.MILLISECONDS);
@@ -72,9 +72,9 @@
     assertEquals(List.of(0, 10, 10, 20, 30), ran);
   }
 
-  /** Guards against timers that were cancelled and stay: there is one for each request and attempt. */
+  /** Guards against cancelled timers that stay in the queue: each request and each attempt sets one. */
   @Test
-  void cancelledTimersNeitherRunNorStay() throws Exception {
+  void cancelledTimersNeitherRunNorStayInTheQueue() throws Exception {
     List<Future<?>> cancelled = new ArrayList<>();
     loop.execute(() -> {
       for (int i = 0; i < 5000; i++) {
@@ -83,22 +83,22 @@
       cancelled.forEach(timer -> timer.cancel(false));
       done.add(loop.timerCount());
     });
-    assertTrue((int) next() <= 1000, "most have left");
+    assertTrue((int) next() <= 1000, "most of the cancelled timers are removed");
     loop.schedule(() -> done.add("last"), 60, TimeUnit.MILLISECONDS);
     assertEquals("last", next());
   }
 
-  /** Guards against a fault in one task that ends the thread, or a periodic timer that stops others. */
+  /** Guards against an exception in a task or timer that ends the thread or stops periodic timers. */
   @Test
-  void aTaskThatFailsCostsItselfOnly() throws Exception {
+  void anExceptionInATaskAffectsNoOther() throws Exception {
     loop.execute(() -> {
-      throw new IllegalStateException("a fault, as the test has it");
+      throw new IllegalStateException("thrown by the test");
     });
     loop.schedule(() -> {
-      throw new IllegalStateException("a fault, as the test has it");
+      throw new IllegalStateException("thrown by the test");
     }, 1, TimeUnit.MILLISECONDS);
-    CountDownLatch thrice = new CountDownLatch(3);
-    loop.scheduleWithFixedDelay(thrice::countDown, 1, 1, TimeUnit.MILLISECONDS);
-    assertTrue(thrice.await(5, TimeUnit.SECONDS));
+    CountDownLatch threeRuns = new CountDownLatch(3);
+    loop.scheduleWithFixedDelay(threeRuns::countDown, 1, 1, TimeUnit.MILLISECONDS);
+    assertTrue(threeRuns.await(5, TimeUnit.SECONDS));
   }
 }
--- a/src/test/java/beampoint/serve/FleetNodeTest.java
+++ b/src/test/java/beampoint/serve/FleetNodeTest.java
@@ -37,12 +37,12 @@
 
   FleetNodeTest() throws Exception {}
 
-  /** Starts a proxy; it knows the first one's address. */
+  /** Starts a proxy that has the address of the first one configured as that of a peer. */
   private Proxy start(int number) throws Exception {
     return start(number, "127.0.0.1:0", null);
   }
 
-  /** One that operators can replace, if it has a directory, by a second process at the same address. */
+  /** Starts a proxy that a second process at the same address can replace if it has a directory. */
   private Proxy start(int number, String listen, Path directory) throws Exception {
     String peers = number == 0 ? "" : "{\"name\":\"n0\",\"address\":\"" + address(fleet.get(0)) + "\"}";
     JsonObject json = JsonParser.parseString("""
@@ -69,11 +69,11 @@
 
   private static Map<String, Status> view(Proxy proxy) throws Exception {
     Map<String, Status> view = new TreeMap<>();
-    proxy.members().forEach(news -> view.put(news.member(), news.status()));
+    proxy.members().forEach(member -> view.put(member.member(), member.status()));
     return view;
   }
 
-  /** Waits until all of them see the members so. */
+  /** Waits until all these proxies have the expected view of the members. */
   private void await(List<Proxy> proxies, Map<String, Status> expected) throws Exception {
     for (Proxy proxy : proxies) {
       while (!view(proxy).equals(expected)) {
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void membersFindEachOtherAndHearOfACrashARestartAndAnOrderlyEnd() throws Exception {
+  void membersFindEachOtherAndDetectACrashARestartAndALeave() throws Exception {
     Map<String, Status> all = new TreeMap<>();
     for (int i = 0; i < 5; i++) {
       fleet.add(start(i));
@@ -100,27 +100,27 @@
     await(fleet, all);
     for (ProxyFixture.ScriptedModule module : modules) {
       while (module.next(SettingsChanged.class).settings().siblings() != 5) {
-        // two are configured, and more come
+        // two are configured; the number grows as members join
       }
     }
     fleet.get(2).stop();
-    List<Proxy> rest = new ArrayList<>(fleet);
-    rest.remove(2);
+    List<Proxy> others = new ArrayList<>(fleet);
+    others.remove(2);
     all.put("n2", Status.DEAD);
-    await(rest, all);
+    await(others, all);
     assertEquals(1, fleet.get(0).counters().get(Counter.MEMBERS_DIED));
-    Proxy again = start(2); // under its name, at another address, with nothing kept
-    fleet.set(2, again);
-    rest.add(again);
+    Proxy restarted = start(2); // with its name, at another address, without any stored state
+    fleet.set(2, restarted);
+    others.add(restarted);
     all.put("n2", Status.ALIVE);
-    await(rest, all);
+    await(others, all);
     fleet.get(3).drain();
-    rest.remove(fleet.get(3));
+    others.remove(fleet.get(3));
     all.put("n3", Status.LEFT);
-    await(rest.subList(0, 3), all);
+    await(others.subList(0, 3), all);
   }
 
-  /** Guards against two processes of one proxy that are taken for two members, or end one another. */
+  /** Guards against two processes of one proxy that count as two members, or displace each other. */
   @Test
   void twoProcessesOfOneProxyAreOneMember(@TempDir Path directory) throws Exception {
     fleet.add(start(0));
@@ -132,7 +132,7 @@
     while (first.processes() < 2 || second.processes() < 2) {
       Thread.onSpinWait();
     }
-    assertEquals(List.of(), second.members(), "it waits for its turn");
+    assertEquals(List.of(), second.members(), "it does not join while the first process runs");
     assertEquals(both, view(fleet.get(0)));
     first.drain();
     both.put("n1", Status.LEFT);
@@ -145,9 +145,9 @@
     assertEquals(0, fleet.get(0).counters().get(Counter.MEMBERS_DIED));
   }
 
-  /** Guards against peers that are none: they cost themselves, and members stay what they are. */
+  /** Guards against senders that are no members: only they are affected, and members keep their status. */
   @Test
-  void whatIsNoMessageIsDroppedAndCountedOverUdpAndTcp() throws Exception {
+  void invalidMessagesAreDroppedAndCountedOverUdpAndTcp() throws Exception {
     fleet.add(start(0));
     fleet.add(start(1));
     Map<String, Status> both = Map.of("n0", Status.ALIVE, "n1", Status.ALIVE);
@@ -165,7 +165,7 @@
     for (byte[] view : views) {
       try (Socket hostile = new Socket(address.getAddress(), address.getPort())) {
         hostile.getOutputStream().write(view);
-        assertEquals(-1, hostile.getInputStream().read(), "it is ended");
+        assertEquals(-1, hostile.getInputStream().read(), "the connection is closed");
       }
     }
     while (fleet.get(0).counters().get(Counter.MEMBER_MESSAGES_DROPPED) < 20) {
@@ -176,8 +176,8 @@
   }
 
   @Test
-  void withoutAFleetThereIsNoThreadOfItAndNoMore() throws Exception {
-    Set<Thread> before = memberThreads(); // those of an earlier test may be ending
+  void withoutAFleetThereIsNoThreadForIt() throws Exception {
+    Set<Thread> before = memberThreads(); // those of an earlier test may still be ending
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody())) {
       assertTrue(proxy.port > 0);
       assertTrue(before.containsAll(memberThreads()));
--- a/src/test/java/beampoint/serve/LargeListTest.java
+++ b/src/test/java/beampoint/serve/LargeListTest.java
@@ -26,15 +26,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lists of hundreds and thousands of hosts, from a socket to the decisions. */
+/** Lists of hundreds and thousands of hosts, from a socket to the decision module. */
 @Timeout(60)
 class LargeListTest {
 
-  private static final int CHUNK = 1_000; // in bytes: a list comes in many pieces
+  private static final int CHUNK_BYTES = 1_000; // so that a list arrives in many pieces
   private final LinkedBlockingQueue<ListReceived> lists = new LinkedBlockingQueue<>();
 
-  /** The decisions as in service; every list is noted once they have taken it. */
-  private Balancer noting(Balancer.Settings settings) {
+  /** The decision module that proxies use; every list is recorded once the module has handled it. */
+  private Balancer recording(Balancer.Settings settings) {
     Balancer policy = new BalancerPolicy(settings);
     return (now, event) -> {
       List<Balancer.Action> actions = policy.handle(now, event);
@@ -60,18 +60,18 @@
     return new GsonBuilder().setPrettyPrinting().create().toJson(JsonParser.parseString(json));
   }
 
-  private static void say(Stub.Peer peer, String text) throws java.io.IOException {
-    for (int from = 0; from < text.length(); from += CHUNK) {
-      String part = text.substring(from, Math.min(text.length(), from + CHUNK));
+  private static void sendChunked(Stub.Peer peer, String text) throws java.io.IOException {
+    for (int from = 0; from < text.length(); from += CHUNK_BYTES) {
+      String part = text.substring(from, Math.min(text.length(), from + CHUNK_BYTES));
       peer.say(Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
     }
   }
 
-  /** The whole list and then a change of one host; a request is answered with either. */
-  private void take(int caches, UnaryOperator<String> form) throws Exception {
+  /** Checks that a whole list, and then a change of one host, are received; then a request is answered. */
+  private void receiveListAndChange(int caches, UnaryOperator<String> format) throws Exception {
     String value = "VA 1 O1\r\nx\r\n";
     CountDownLatch changed = new CountDownLatch(1);
-    CompletableFuture<List<String>> told = new CompletableFuture<>();
+    CompletableFuture<List<String>> announced = new CompletableFuture<>();
     try (Stub cache = new Stub(peer -> {
       while (peer.line() != null) {
         peer.say(value);
@@ -79,17 +79,17 @@
     }); Stub origin = new Stub(Stub.Peer::beSilent); Stub discovery = new Stub(peer -> {
       peer.head();
       peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-      List<String> hosts = told.join();
-      say(peer, form.apply(list(2, true, hosts)) + "\n");
+      List<String> hosts = announced.join();
+      sendChunked(peer, format.apply(list(2, true, hosts)) + "\n");
       changed.await();
       String last = hosts.get(caches - 1).replace("Ready", "Terminating");
-      say(peer, form.apply(list(3, false, List.of(last))) + "\n");
+      sendChunked(peer, format.apply(list(3, false, List.of(last))) + "\n");
       peer.beSilent();
     })) {
       List<String> hosts = hosts(caches, cache.address(), origin.address());
-      told.complete(hosts);
+      announced.complete(hosts);
       Config config = ProxyFixture.config(hosts.subList(0, 1), 1024, discovery.address());
-      Proxy proxy = new Proxy(config, this::noting);
+      Proxy proxy = new Proxy(config, this::recording);
       try {
         proxy.start();
         ListReceived whole = lists.poll(20, TimeUnit.SECONDS);
@@ -112,13 +112,13 @@
 
   @ParameterizedTest
   @ValueSource(ints = {2, 610, 1_500, 4_096})
-  void aListOfAnyPlannedSizeIsTakenWholeAndAsAChangeOfOne(int caches) throws Exception {
-    take(caches, UnaryOperator.identity());
+  void aListOfAnyPlannedSizeAndAChangeOfOneHostAreReceived(int caches) throws Exception {
+    receiveListAndChange(caches, UnaryOperator.identity());
   }
 
   @Test
   void aListOfTheLargestSizeMayBeIndented() throws Exception {
     assertTrue(indented(list(2, true, hosts(1, "a:1", "b:1"))).lines().count() > 20);
-    take(4_096, LargeListTest::indented);
+    receiveListAndChange(4_096, LargeListTest::indented);
   }
 }
--- a/src/test/java/beampoint/serve/LateConnectionTest.java
+++ b/src/test/java/beampoint/serve/LateConnectionTest.java
@@ -21,23 +21,23 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A connection to a cache node comes up late: what has happened meanwhile decides what is written on it. */
+/** A connection to a cache node is established late: what happened before decides what is written to it. */
 @Timeout(30)
 class LateConnectionTest {
 
   private static final String READ = "mg 7f3a v O9b Pc=read,t=acme,d=9000\r\n";
-  private static final String PATIENT =
+  private static final String LONG_CONNECT_TIMEOUT =
       ProxyFixture.SETTINGS.replace("\"connect-timeout-ms\":1000", "\"connect-timeout-ms\":8000");
   private static final int NOTHING = -2;
 
   private static ProxyFixture proxy(DelayedListener cache, String discovery) throws Exception {
-    assertTrue(PATIENT.contains("8000"));
-    return new ProxyFixture(cache.address(), Stub.nobody(), 1024, PATIENT, discovery);
+    assertTrue(LONG_CONNECT_TIMEOUT.contains("8000"));
+    return new ProxyFixture(cache.address(), Stub.nobody(), 1024, LONG_CONNECT_TIMEOUT, discovery);
   }
 
-  /** Guards against work for nobody: its client has gone while the connection was made. */
+  /** Guards against work for a client that disconnected while the connection was being established. */
   @Test
-  void aRequestWhoseClientHasGoneIsNotWrittenOnceTheConnectionStands() throws Exception {
+  void aRequestWhoseClientHasGoneIsNotWrittenOnceConnected() throws Exception {
     try (DelayedListener cache = new DelayedListener(); ProxyFixture proxy = proxy(cache, null)) {
       proxy.sendTo("cache");
       try (Client client = new Client(proxy)) {
@@ -58,16 +58,16 @@
     }
   }
 
-  /** Guards against a drain that is broken by a request that waited for its connection beyond the grace. */
+  /** Guards against a request that awaits its connection to a draining node beyond the grace period. */
   @Test
-  void aRequestThatWaitsForAConnectionToANodeThatDrainsGoesElsewhereAtOnce() throws Exception {
-    String drains = ProxyFixture.host("cache", "127.0.0.1:9", "m2").replace("Ready", "Terminating");
+  void aRequestThatAwaitsAConnectionToADrainingNodeFailsOverAtOnce() throws Exception {
+    String draining = ProxyFixture.host("cache", "127.0.0.1:9", "m2").replace("Ready", "Terminating");
     try (DelayedListener cache = new DelayedListener(); Stub discovery = new Stub(peer -> {
       peer.head();
       peer.say("HTTP/1.1 200 OK\r\n\r\n\n");
       peer.stub().ends.take();
       peer.say("{\"seq\":2,\"whole\":false,\"hosts\":["
-          + drains.replace("127.0.0.1:9", cache.address()) + "]}\n");
+          + draining.replace("127.0.0.1:9", cache.address()) + "]}\n");
       peer.beSilent();
     }); ProxyFixture proxy = proxy(cache, discovery.address()); Client client = new Client(proxy)) {
       proxy.sendTo("cache");
@@ -82,16 +82,16 @@
     }
   }
 
-  /** The same where operators have taken it out. */
+  /** The same for a node that operators have banned. */
   @Test
-  void aRequestThatWaitsForAConnectionToANodeThatIsTakenOutGoesElsewhereAtOnce(@TempDir Path directory)
+  void aRequestThatAwaitsAConnectionToABannedNodeFailsOverAtOnce(@TempDir Path directory)
       throws Exception {
     ScriptedModule module = new ScriptedModule();
     module.script = event -> event instanceof RequestReceived e ? List.of(new Send(e.id(), "cache", 0))
         : event instanceof AttemptEnded e ? List.of(new Refuse(e.id(), 0)) : List.of();
     try (DelayedListener cache = new DelayedListener()) {
       Proxy proxy = new Proxy(ProxyFixture.config(List.of(ProxyFixture.host("cache", cache.address(), "m2")),
-          1024, Stub.nobody(), PATIENT, "127.0.0.1:0"), settings -> module, directory);
+          1024, Stub.nobody(), LONG_CONNECT_TIMEOUT, "127.0.0.1:0"), settings -> module, directory);
       proxy.start();
       try (Client client = new Client(proxy.port()); Client operator = new Client(proxy.opsPort())) {
         client.send(READ);
@@ -107,16 +107,19 @@
     }
   }
 
-  /** Guards against a repeat that comes when it is not dropped any more: its time ended on the way. */
+  /**
+   * Guards against a retry that arrives when its server no longer drops duplicates of it: the time by which
+   * it had to begin passed while it awaited its connection.
+   */
   @Test
-  void whatMustNotBeginAnyMoreIsNotWrittenOnceTheConnectionStands() throws Exception {
+  void anAttemptThatMustNotBeginAnyMoreIsNotWrittenOnceConnected() throws Exception {
     try (DelayedListener cache = new DelayedListener(); ProxyFixture proxy = proxy(cache, null);
         Client client = new Client(proxy)) {
       proxy.module.script = event -> event instanceof RequestReceived e
           ? List.of(new Send(e.id(), "cache", 0, System.currentTimeMillis() + 100)) : List.of();
       client.send(READ);
       proxy.module.next(RequestReceived.class);
-      Thread.sleep(150); // a span of time, and no order, is what it is about
+      Thread.sleep(150); // the test depends on elapsed time, not on the order of events
       try (Socket late = cache.open()) {
         assertEquals(Result.NOT_SENT, proxy.nextAttemptEnded().result());
         assertEquals(NOTHING, DelayedListener.readByte(late));
--- a/src/test/java/beampoint/serve/PausedProcessTest.java
+++ b/src/test/java/beampoint/serve/PausedProcessTest.java
@@ -23,20 +23,20 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards against requests begun for clients that left, or with time that is over, after a stop. */
+/** Guards against starting, after a pause, requests whose clients have left or whose time is over. */
 @Timeout(60)
 class PausedProcessTest {
 
-  private static final int TIMES = 5;
-  private static final int ALLOWED_MS = 150; // to be held up
-  private static final int LONG_MS = 400;
-  private static final int SLACK_MS = 150;
-  private static final int WAITS_MS = 700;
-  private static final String ASKED = "mg 7f3a v Oasked Pc=read,t=acme,d=" + WAITS_MS + "\r\n";
-  private static final String SERVED = "mg 1 v Oserved Pc=read,t=acme,d=" + WAITS_MS + "\r\n";
+  private static final int REPETITIONS = 5;
+  private static final int ALLOWED_PAUSE_MS = 150; // a process may be paused for this long
+  private static final int LONG_PAUSE_MS = 400;
+  private static final int TOLERANCE_MS = 150;
+  private static final int DEADLINE_MS = 700;
+  private static final String REQUEST = "mg 7f3a v Oasked Pc=read,t=acme,d=" + DEADLINE_MS + "\r\n";
+  private static final String FIRST_REQUEST = "mg 1 v Oserved Pc=read,t=acme,d=" + DEADLINE_MS + "\r\n";
   private static final String SETTINGS =
-      ProxyFixture.SETTINGS.replaceAll("\"(target|hard-limit)-ms\":[0-9]+", "\"$1-ms\":" + WAITS_MS);
-  private static final Pattern TIME = Pattern.compile("d=(\\d+)");
+      ProxyFixture.SETTINGS.replaceAll("\"(target|hard-limit)-ms\":[0-9]+", "\"$1-ms\":" + DEADLINE_MS);
+  private static final Pattern TIME_LEFT = Pattern.compile("d=(\\d+)");
 
   @TempDir
   private Path directory;
@@ -61,7 +61,7 @@
     builder.environment().put("TMPDIR", directory.toString());
     process = builder.redirectOutput(directory.resolve("log").toFile()).start();
     while (!isReady()) {
-      assertTrue(process.isAlive(), "it ended before it was ready");
+      assertTrue(process.isAlive(), "the process ended before it was ready");
       TimeUnit.MILLISECONDS.sleep(10);
     }
   }
@@ -74,7 +74,7 @@
     discovery.close();
   }
 
-  /** Takes each request and answers it at once. */
+  /** Answers each command at once. */
   private static void serve(Stub.Peer peer) throws IOException {
     for (String line = peer.line(); line != null; line = peer.line()) {
       peer.say(line.equals("mn") ? "MN\r\n" : "VA 2 " + line.split(" ")[3] + " h1\r\nok\r\n");
@@ -85,7 +85,7 @@
     try (Client client = new Client(port.number())) {
       return "MN".equals(client.request("mn\r\n"));
     } catch (IOException e) {
-      return false; // it does not listen yet
+      return false; // the process does not listen yet
     }
   }
 
@@ -93,15 +93,15 @@
     assertTrue(TestProcess.signal(process, name));
   }
 
-  /** Stops the process, and returns once each of its threads stands still. */
-  private void stop() throws Exception {
+  /** Pauses the process, and returns once each of its threads has stopped. */
+  private void pause() throws Exception {
     signal("STOP");
-    while (!standsStill()) {
+    while (!isPaused()) {
       TimeUnit.MILLISECONDS.sleep(1);
     }
   }
 
-  private boolean standsStill() throws IOException {
+  private boolean isPaused() throws IOException {
     File[] threads = new File("/proc/" + process.pid() + "/task").listFiles();
     for (File thread : threads) {
       String status = Files.readString(thread.toPath().resolve("status"));
@@ -112,8 +112,8 @@
     return true;
   }
 
-  /** The next request that the cache is sent, probes aside; null where none comes for a while. */
-  private String sent(long ms) throws InterruptedException {
+  /** The next request that the cache receives, apart from probes; null if none comes within so many ms. */
+  private String nextRequest(long ms) throws InterruptedException {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
     String line = cache.lines.poll(ms, TimeUnit.MILLISECONDS);
     while (line != null && !line.startsWith("mg 7f3a")) {
@@ -122,78 +122,78 @@
     return line;
   }
 
-  /** A client that has been served, so that there is a connection to the cache. */
+  /** A client that has been served, so that a connection to the cache exists. */
   private Client servedClient() throws IOException {
     Client client = new Client(port.number());
-    assertEquals("VA 2 Oserved", client.request(SERVED));
+    assertEquals("VA 2 Oserved", client.request(FIRST_REQUEST));
     assertEquals("ok", client.line());
     return client;
   }
 
-  /** Stops the process, after a pause of some ms, while clients do something and for a time after that. */
-  private void stopWhile(int pauseMs, int stopMs, ClientActions clients) throws Exception {
-    TimeUnit.MILLISECONDS.sleep(pauseMs);
-    stop();
+  /** Pauses the process after a delay, while clients act and for so many ms after that. */
+  private void pauseWhile(int delayMs, int pauseMs, ClientActions clients) throws Exception {
+    TimeUnit.MILLISECONDS.sleep(delayMs);
+    pause();
     clients.run();
-    TimeUnit.MILLISECONDS.sleep(stopMs);
+    TimeUnit.MILLISECONDS.sleep(pauseMs);
     signal("CONT");
   }
 
-  /** What clients do. */
+  /** What clients do while the process is paused. */
   private interface ClientActions {
     void run() throws IOException;
   }
 
   @Test
-  void aRequestWhoseClientHasLeftMeanwhileIsNotBegun() throws Exception {
-    for (int i = 0; i < TIMES; i++) {
+  void aRequestWhoseClientLeavesDuringAPauseIsNotStarted() throws Exception {
+    for (int i = 0; i < REPETITIONS; i++) {
       try (Client client = servedClient()) {
-        stopWhile(7 * i, ALLOWED_MS, () -> {
-          client.send(ASKED);
+        pauseWhile(7 * i, ALLOWED_PAUSE_MS, () -> {
+          client.send(REQUEST);
           client.socket.close();
         });
-        assertNull(sent(300), "begun after its client's close");
+        assertNull(nextRequest(300), "started after its client's close");
       }
     }
   }
 
   @Test
-  void aRequestWhoseClientHasComeAndLeftMeanwhileIsNotBegun() throws Exception {
-    for (int i = 0; i < TIMES; i++) {
+  void aRequestWhoseClientComesAndLeavesDuringAPauseIsNotStarted() throws Exception {
+    for (int i = 0; i < REPETITIONS; i++) {
       servedClient().close();
-      stopWhile(7 * i, ALLOWED_MS, () -> {
+      pauseWhile(7 * i, ALLOWED_PAUSE_MS, () -> {
         try (Client client = new Client(port.number())) {
-          client.send(ASKED);
+          client.send(REQUEST);
         }
       });
-      assertNull(sent(300), "begun after its client's close");
+      assertNull(nextRequest(300), "started after its client's close");
     }
   }
 
-  /** A machine that is too busy may leave no time to send it on: then it is refused, but not each time. */
+  /** On a busy machine a request may have no time left; it is refused then, but not in all repetitions. */
   @Test
-  void whatCameMeanwhileTellsWhatIsLeft() throws Exception {
-    int sentOn = 0;
-    for (int i = 0; i < TIMES; i++) {
+  void aRequestThatArrivesDuringAPauseIsSentWithTheTimeLeft() throws Exception {
+    int sentCount = 0;
+    for (int i = 0; i < REPETITIONS; i++) {
       try (Client client = servedClient()) {
         TimeUnit.MILLISECONDS.sleep(7 * i);
-        stop();
-        long askedAt = System.nanoTime();
-        client.send(ASKED);
-        TimeUnit.MILLISECONDS.sleep(LONG_MS);
-        long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - askedAt);
+        pause();
+        long sentAt = System.nanoTime();
+        client.send(REQUEST);
+        TimeUnit.MILLISECONDS.sleep(LONG_PAUSE_MS);
+        long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt);
         signal("CONT");
         String answer = client.line();
-        Matcher told = TIME.matcher(String.valueOf(sent(100)));
-        if (told.find()) {
-          sentOn++;
-          int ms = Integer.parseInt(told.group(1));
-          assertTrue(ms <= WAITS_MS - passed + SLACK_MS, "told " + ms + " ms after " + passed + " ms");
+        Matcher timeLeft = TIME_LEFT.matcher(String.valueOf(nextRequest(100)));
+        if (timeLeft.find()) {
+          sentCount++;
+          int ms = Integer.parseInt(timeLeft.group(1));
+          assertTrue(ms <= DEADLINE_MS - passed + TOLERANCE_MS, "sent " + ms + " ms after " + passed + " ms");
         } else {
           assertTrue(answer.startsWith("SERVER_ERROR"), answer);
         }
       }
     }
-    assertTrue(sentOn > 0, "none was sent on");
+    assertTrue(sentCount > 0, "no request was sent on");
   }
 }
--- a/src/test/java/beampoint/serve/SelectorPassesTest.java
+++ b/src/test/java/beampoint/serve/SelectorPassesTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Guards against work for clients whose end lies unread after a stall; all times in ms. */
+/** Guards against work for clients whose close is still unread after a stall. All times are in ms. */
 class SelectorPassesTest {
 
   private final SelectorPasses passes = new SelectorPasses(0);
@@ -16,51 +16,51 @@
     return (long) (ms * TimeUnit.MILLISECONDS.toNanos(1));
   }
 
-  private void select(double askedAt, double longest, double endedAt) {
-    passes.selected(nanos(askedAt), nanos(longest), nanos(endedAt));
+  private void select(double startedAt, double maxWait, double endedAt) {
+    passes.selected(nanos(startedAt), nanos(maxWait), nanos(endedAt));
   }
 
-  private boolean readsAgain(double at) {
+  private boolean mustReadAgain(double at) {
     return passes.mustReadAgain(nanos(at));
   }
 
-  /** How long a selection may wait where nothing is due. */
-  private long longestWait(double askedAt) {
-    return passes.maxWaitMs(nanos(askedAt), Long.MAX_VALUE);
+  /** How long a selection may wait if no task or timer is due. */
+  private long maxWait(double startedAt) {
+    return passes.maxWaitMs(nanos(startedAt), Long.MAX_VALUE);
   }
 
-  private void assertSince(double ms) {
+  private void assertEarliestArrival(double ms) {
     assertEquals(nanos(ms), passes.earliestArrival());
   }
 
   @Test
-  void whatEndsAWaitCameThen() {
+  void whatEndsAWaitArrivedAtItsEnd() {
     select(1, 50, 40);
-    assertSince(40);
-    assertFalse(readsAgain(41));
-    assertEquals(SelectorPasses.MAX_WAIT_MS, longestWait(42));
+    assertEarliestArrival(40);
+    assertFalse(mustReadAgain(41));
+    assertEquals(SelectorPasses.MAX_WAIT_MS, maxWait(42));
   }
 
   @Test
-  void whatIsFoundAfterAWaitThatWasOverrunCanHaveComeSinceItBegan() {
+  void whatIsFoundAfterAnOverlongWaitMayHaveArrivedSinceItsStart() {
     select(1, 50, 151);
-    assertSince(1);
-    assertTrue(readsAgain(152));
-    assertEquals(0, longestWait(152.9));
+    assertEarliestArrival(1);
+    assertTrue(mustReadAgain(152));
+    assertEquals(0, maxWait(152.9));
     select(153, 0, 153.1);
-    assertSince(1); // what this one found may have come as early
-    assertFalse(readsAgain(154));
+    assertEarliestArrival(1); // what this selection found may have arrived as early
+    assertFalse(mustReadAgain(154));
     select(155, 50, 160);
-    assertSince(160);
+    assertEarliestArrival(160);
   }
 
-  /** A stop of 150 ms between the end of a pass's work and the next selection, also a slow one. */
+  /** A pause of 150 ms between the end of a pass's work and the next selection, which may itself be slow. */
   @Test
-  void aStopBetweenWorkAndSelectionIsSeen() {
+  void aPauseBetweenWorkAndSelectionIsDetected() {
     for (double slow : new double[] {0, 0.5, 1, 5, 20}) {
       SelectorPasses fresh = new SelectorPasses(0);
       fresh.selected(0, nanos(50), nanos(10));
-      assertFalse(fresh.mustReadAgain(nanos(10.1))); // its work ends at 11, the stop at 161
+      assertFalse(fresh.mustReadAgain(nanos(10.1))); // its work ends at 11, the pause at 161
       assertEquals(0, fresh.maxWaitMs(nanos(161), Long.MAX_VALUE));
       fresh.selected(nanos(161), 0, nanos(161 + slow));
       assertEquals(nanos(10), fresh.earliestArrival(), "a selection of " + slow);
@@ -68,48 +68,49 @@
     }
   }
 
-  /** A stop of 150 ms, whenever it begins, is seen: the longest wait ends well before it does. */
+  /** A pause of 150 ms is detected whenever it begins: the longest wait ends well before the pause does. */
   @Test
-  void aStopOf150MsIsSeenWheneverItBegins() {
-    for (double longest = 1; longest <= SelectorPasses.MAX_WAIT_MS; longest++) {
-      for (double begins = 0; begins <= longest; begins++) {
+  void aPauseOf150MsIsDetectedWheneverItBegins() {
+    for (double maxWait = 1; maxWait <= SelectorPasses.MAX_WAIT_MS; maxWait++) {
+      for (double pauseStart = 0; pauseStart <= maxWait; pauseStart++) {
         SelectorPasses fresh = new SelectorPasses(0);
-        fresh.selected(0, nanos(longest), nanos(begins + 150));
-        assertTrue(fresh.mustReadAgain(nanos(begins + 150)), begins + " ms into a wait of " + longest);
-        assertTrue(fresh.earliestArrival() <= nanos(begins));
+        fresh.selected(0, nanos(maxWait), nanos(pauseStart + 150));
+        assertTrue(fresh.mustReadAgain(nanos(pauseStart + 150)),
+            pauseStart + " ms into a wait of " + maxWait);
+        assertTrue(fresh.earliestArrival() <= nanos(pauseStart));
       }
     }
   }
 
   @Test
-  void whatIsFoundAfterALongPassCanHaveComeSinceTheSelectionBefore() {
+  void whatIsFoundAfterALongPassMayHaveArrivedSinceTheSelectionBefore() {
     select(1, 50, 10);
-    assertFalse(readsAgain(10));
-    assertEquals(0, longestWait(100)); // its work took 90
-    select(100, 0, 105); // it was slow itself, and did not wait
-    assertSince(10);
-    assertTrue(readsAgain(105));
+    assertFalse(mustReadAgain(10));
+    assertEquals(0, maxWait(100)); // its work took 90
+    select(100, 0, 105); // the selection was slow itself, and did not wait
+    assertEarliestArrival(10);
+    assertTrue(mustReadAgain(105));
     select(106, 0, 106);
-    assertSince(10);
-    assertFalse(readsAgain(106));
+    assertEarliestArrival(10);
+    assertFalse(mustReadAgain(106));
   }
 
-  /** The thread was held up while it read: ends may have come behind what it has read. */
+  /** The thread stalled while it read: closes may have arrived behind what it has read. */
   @Test
   void aReadThatTookLongIsFollowedByAnother() {
     select(1, 50, 10);
-    assertTrue(readsAgain(40));
+    assertTrue(mustReadAgain(40));
     select(41, 0, 41);
-    assertSince(10);
-    assertFalse(readsAgain(41));
+    assertEarliestArrival(10);
+    assertFalse(mustReadAgain(41));
   }
 
-  /** Guards against a thread that only reads: where each pass is held up, work goes on after every second. */
+  /** Guards against a thread that only reads: if each pass stalls, work continues after every second one. */
   @Test
-  void itReadsAgainOnceAtMost() {
+  void itReadsAgainOnceInARowAtMost() {
     for (int i = 0; i < 10; i++) {
       select(200 * i, 50, 200 * i + 150);
-      assertEquals(i % 2 == 0, readsAgain(200 * i + 151), "pass " + i);
+      assertEquals(i % 2 == 0, mustReadAgain(200 * i + 151), "pass " + i);
     }
   }
 }
--- a/src/test/java/beampoint/serve/StalledEventLoopTest.java
+++ b/src/test/java/beampoint/serve/StalledEventLoopTest.java
@@ -18,23 +18,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Guards against requests failed before the module has heard that their attempt ended, by a late loop. */
+/** Guards against a late event loop that fails requests before the module knows that their attempts ended. */
 @Timeout(30)
 class StalledEventLoopTest {
 
-  private static final String ASKED = "mg 7f3a v Oasked Pc=read,t=acme,d=600\r\n";
-  private static final long HELD_UP_MS = 500;
-  private static final long DECIDED_MS = 5;
-  private static final int MANY = 20;
-  private static final long DISTURBING = 2; // the request at which it is held up
+  private static final String REQUEST = "mg 7f3a v Oasked Pc=read,t=acme,d=600\r\n";
+  private static final long STALL_MS = 500;
+  private static final long DECISION_MS = 5;
+  private static final int REQUESTS = 20;
+  private static final long STALLING_ID = 2; // of the request at which the loop stalls
 
-  /** Holds the decision thread up at the first of the other client's commands. */
+  /** Stalls the decision thread at the first of the other client's commands. */
   private static List<Action> decide(Event event, int attempts) {
     if (event instanceof RequestReceived e) {
-      if (e.id() == DISTURBING) {
-        ProxyFixture.sleep(HELD_UP_MS);
+      if (e.id() == STALLING_ID) {
+        ProxyFixture.sleep(STALL_MS);
       }
-      return List.of(e.id() < DISTURBING ? new Send(e.id(), "cache", 0) : new Refuse(e.id(), 0));
+      return List.of(e.id() < STALLING_ID ? new Send(e.id(), "cache", 0) : new Refuse(e.id(), 0));
     }
     if (event instanceof AttemptEnded e && !e.done()) {
       return List.of(e.attempt() < attempts - 1 ? new Send(e.id(), "cache", 0) : new Refuse(e.id(), 0));
@@ -45,14 +45,14 @@
   private static void check(int attempts) throws Exception {
     try (Stub cache = new Stub(Stub.Peer::beSilent);
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
-        Client asks = new Client(proxy); Client disturbs = new Client(proxy)) {
+        Client client = new Client(proxy); Client other = new Client(proxy)) {
       proxy.module.script = event -> decide(event, attempts);
-      asks.send(ASKED);
+      client.send(REQUEST);
       proxy.module.next(RequestReceived.class);
       TimeUnit.MILLISECONDS.sleep(350);
-      disturbs.send("mg 1 v Oa Pc=read,t=acme,d=4000\r\nmg 2 v Ob Pc=read,t=acme,d=4000\r\n"
+      other.send("mg 1 v Oa Pc=read,t=acme,d=4000\r\nmg 2 v Ob Pc=read,t=acme,d=4000\r\n"
           + "mg 3 v Oc Pc=read,t=acme,d=4000\r\n");
-      assertEquals("SERVER_ERROR busy", asks.line());
+      assertEquals("SERVER_ERROR busy", client.line());
       assertEquals(0, proxy.proxy.counters().get(Counter.ANSWERS_OVERDUE));
     }
   }
@@ -62,29 +62,30 @@
     check(1);
   }
 
-  /** Further attempts, for which there is no time, end at once and are told one by one. */
+  /** Retries for which no time is left end at once, and the module receives their ends one by one. */
   @Test
-  void theModulesAnswerIsGivenThoughItTriesAgainFirst() throws Exception {
+  void theModulesAnswerIsGivenThoughItRetriesFirst() throws Exception {
     check(3);
   }
 
   /**
-   * Requests that came while the thread was held up, and whose time is over as the module hears of them, wait
-   * for a timer of the module's. Each takes it some ms, so the first are told long before the timers run.
+   * Requests that arrived during a stall of the thread, and whose deadline has passed when the module
+   * receives them, wait for a timer of the module. It takes some ms for each, so it receives the first ones
+   * long before the timers run.
    */
   @Test
-  void theModulesTimerRunsThoughTheTimeWasOverAsItWasSet() throws Exception {
+  void theModulesTimerRunsThoughTheDeadlineHadPassedWhenItWasSet() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
-        Client disturbs = new Client(proxy); Client asks = new Client(proxy)) {
-      assertEquals("MN", asks.request("mn\r\n"));
+        Client other = new Client(proxy); Client client = new Client(proxy)) {
+      assertEquals("MN", client.request("mn\r\n"));
       proxy.module.script = StalledEventLoopTest::refuseByTimer;
-      disturbs.send("mg 1 v Ofirst Pc=read,t=acme,d=4000\r\n");
+      other.send("mg 1 v Ofirst Pc=read,t=acme,d=4000\r\n");
       proxy.module.next(RequestReceived.class);
-      for (int i = 0; i < MANY; i++) {
-        asks.send("mg 2 v Omany" + i + " Pc=read,t=acme,d=100\r\n");
+      for (int i = 0; i < REQUESTS; i++) {
+        client.send("mg 2 v Omany" + i + " Pc=read,t=acme,d=100\r\n");
       }
-      for (int i = 0; i < MANY; i++) {
-        assertEquals("SERVER_ERROR busy", asks.line());
+      for (int i = 0; i < REQUESTS; i++) {
+        assertEquals("SERVER_ERROR busy", client.line());
       }
       assertEquals(0, proxy.proxy.counters().get(Counter.ANSWERS_OVERDUE));
     }
@@ -95,7 +96,7 @@
       return List.of(new Refuse(e.token(), 0));
     }
     if (event instanceof RequestReceived e) {
-      ProxyFixture.sleep(e.id() == 1 ? HELD_UP_MS : DECIDED_MS);
+      ProxyFixture.sleep(e.id() == 1 ? STALL_MS : DECISION_MS);
       return List.of(e.id() == 1 ? new Refuse(e.id(), 0) : new SetTimer(0, e.id()));
     }
     return List.of();
--- a/src/test/java/beampoint/serve/StalledStartTest.java
+++ b/src/test/java/beampoint/serve/StalledStartTest.java
@@ -11,30 +11,30 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Guards against a start that is given up as the decision thread does not get on for 10 s. */
+/** Guards against a start that fails as the decision thread makes no progress for 10 s. */
 @Timeout(60)
 class StalledStartTest {
 
-  private static final long HELD_UP_MS = 11_000;
+  private static final long STALL_MS = 11_000;
 
-  /** Takes long over its first event. */
+  /** Takes long to handle its first event. */
   private static final class SlowModule implements Balancer {
-    private boolean asked;
+    private boolean hasStalled;
 
     @Override
     public List<Action> handle(double now, Event event) {
-      if (!asked) {
-        asked = true;
-        ProxyFixture.sleep(HELD_UP_MS);
+      if (!hasStalled) {
+        hasStalled = true;
+        ProxyFixture.sleep(STALL_MS);
       }
       return List.of();
     }
   }
 
   @Test
-  void aStartThatIsHeldUpIsNotGivenUp() throws Exception {
+  void aStalledStartDoesNotFail() throws Exception {
     List<String> hosts = List.of(ProxyFixture.host("cache", Stub.nobody(), "m2"));
-    Proxy proxy = new Proxy(ProxyFixture.config(hosts, 1024, Stub.nobody()), told -> new SlowModule());
+    Proxy proxy = new Proxy(ProxyFixture.config(hosts, 1024, Stub.nobody()), ignored -> new SlowModule());
     try {
       proxy.start();
       try (Client client = new Client(proxy.port())) {
