--- a/src/test/java/beampoint/serve/ConnectionCloseTest.java
+++ b/src/test/java/beampoint/serve/ConnectionCloseTest.java
@@ -23,48 +23,48 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Bytes cross the close of a connection, on either side of the proxy. */
+/** Bytes that are in transit while a connection is being closed, on either side of the proxy. */
 @Timeout(30)
 class ConnectionCloseTest {
 
-  private static final int LONG = 60_000;
-  private static final int MORE_THAN_MAY_WAIT = 20_000; // requests
+  private static final int VALUE_BYTES = 60_000;
+  private static final int REQUESTS_OVER_LIMIT = 20_000; // more than may be queued
 
-  /** Guards against a close over bytes that nobody read: the system resets, and answers go with it. */
+  /** Guards against a close with unread input, on which the system resets and discards answers in transit. */
   @Test
-  void anAnswerOnItsWayOutlivesACloseOverBytesThatNobodyRead() throws Exception {
-    String value = "x".repeat(LONG);
+  void anAnswerInTransitSurvivesACloseWithUnreadInput() throws Exception {
+    String value = "x".repeat(VALUE_BYTES);
     try (Stub cache = new Stub(peer -> {
       while (peer.line() != null) {
-        peer.say("VA " + LONG + " O9b\r\n" + value + "\r\n");
+        peer.say("VA " + VALUE_BYTES + " O9b\r\n" + value + "\r\n");
       }
     }); ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy.port, 4096)) {
       proxy.sendTo("cache");
       client.send(READ + "ms 7f3a x O9c Pc=put,t=acme,d=4000,k=5c\r\n" + "y".repeat(200_000));
       assertTrue(proxy.nextAttemptEnded().done());
-      // The client has read nothing so far: the answer lies in the system's buffers, behind the close.
+      // The client has read nothing so far: the answer is in the system's buffers when the close begins.
       proxy.awaitCount(Counter.BAD_COMMANDS, 1);
-      Thread.sleep(200); // reads are held back until the close is past, and the lingering is not
-      assertEquals("VA " + LONG + " O9b", client.line());
-      assertEquals(value + "\r\n", client.bytes(LONG + 2));
+      Thread.sleep(200); // reads only once the close has begun and while it still lingers
+      assertEquals("VA " + VALUE_BYTES + " O9b", client.line());
+      assertEquals(value + "\r\n", client.bytes(VALUE_BYTES + 2));
       assertEquals("CLIENT_ERROR bad data chunk", client.line());
       assertNull(client.line());
     }
   }
 
-  /** Guards against a flood that is served on though its client has gone, as its end is not read. */
+  /** Guards against serving the requests of a client that has gone, as the close behind them is not read. */
   @Test
-  void theEndOfAClientThatSentManyRequestsAtOnceIsSeenWhileTheFirstAreOpen() throws Exception {
+  void aCloseBehindManyRequestsIsSeenWhileTheFirstAreOpen() throws Exception {
     try (Stub cache = new Stub(Stub.Peer::beSilent);
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody())) {
       proxy.sendTo("cache");
-      StringBuilder flood = new StringBuilder();
+      StringBuilder commands = new StringBuilder();
       for (int i = 0; i < 500; i++) {
-        flood.append(READ.replace("O9b", "O" + i));
+        commands.append(READ.replace("O9b", "O" + i));
       }
       try (Client client = new Client(proxy)) {
-        client.send(flood.toString());
+        client.send(commands.toString());
         proxy.module.next(RequestReceived.class);
       }
       for (int i = 0; i < 32; i++) {
@@ -75,14 +75,14 @@
     }
   }
 
-  /** Guards against attempts for a client that sent more than may wait, and has left. */
+  /** Guards against attempts for a client that has left after sending more requests than may be queued. */
   @Test
-  void theEndOfAClientThatSentMoreThanMayWaitIsSeen() throws Exception {
+  void aCloseBehindMoreRequestsThanMayBeQueuedIsSeen() throws Exception {
     try (Stub cache = new Stub(Stub.Peer::beSilent);
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody())) {
       proxy.sendTo("cache");
       try (Client client = new Client(proxy)) {
-        client.send(reads(MORE_THAN_MAY_WAIT));
+        client.send(reads(REQUESTS_OVER_LIMIT));
         proxy.awaitCount(Counter.ATTEMPTS_SENT, 32);
       }
       for (int i = 0; i < 32; i++) {
@@ -104,20 +104,20 @@
     });
   }
 
-  /** Guards against a proxy that holds all that a client sends: what may not wait is refused in its place. */
+  /** Guards against an unlimited queue of a client's requests: those over the limit are refused in order. */
   @Test
-  void whatMayNotWaitIsRefusedInItsOrder() throws Exception {
+  void requestsOverTheQueueLimitAreRefusedInOrder() throws Exception {
     CountDownLatch sent = new CountDownLatch(1);
     try (Stub cache = cacheBehind(sent);
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      client.send(reads(MORE_THAN_MAY_WAIT));
+      client.send(reads(REQUESTS_OVER_LIMIT));
       client.send("quit\r\n");
       proxy.awaitCount(Counter.ANSWERED_REFUSED, 1);
       sent.countDown();
       int refused = 0;
-      for (int i = 0; i < MORE_THAN_MAY_WAIT; i++) {
+      for (int i = 0; i < REQUESTS_OVER_LIMIT; i++) {
         String line = client.line();
         if (line.equals("SERVER_ERROR busy")) {
           refused++;
@@ -129,19 +129,19 @@
       }
       assertNull(client.line());
       assertEquals(refused, proxy.proxy.counters().get(Counter.ANSWERED_REFUSED));
-      assertEquals(MORE_THAN_MAY_WAIT, proxy.proxy.counters().get(Counter.REQUESTS_TAKEN));
+      assertEquals(REQUESTS_OVER_LIMIT, proxy.proxy.counters().get(Counter.REQUESTS_TAKEN));
     }
   }
 
-  /** Guards against answers that take up the memory while they wait: who asks on without end is ended. */
+  /** Guards against queued answers that fill the memory: a client that sends without end is disconnected. */
   @Test
-  void answersThatWaitAreBoundedToo() throws Exception {
+  void queuedAnswersAreLimitedToo() throws Exception {
     CountDownLatch sent = new CountDownLatch(1);
     try (Stub cache = cacheBehind(sent);
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      client.send(reads(MORE_THAN_MAY_WAIT) + "mn\r\nversion\r\n".repeat(20_000));
+      client.send(reads(REQUESTS_OVER_LIMIT) + "mn\r\nversion\r\n".repeat(20_000));
       proxy.awaitCount(Counter.ANSWERED_REFUSED, 1);
       sent.countDown();
       String last = null;
@@ -151,23 +151,23 @@
         last = line;
       }
       assertEquals("SERVER_ERROR too many commands", last);
-      assertTrue(answers > MORE_THAN_MAY_WAIT && answers < MORE_THAN_MAY_WAIT + 10_000,
+      assertTrue(answers > REQUESTS_OVER_LIMIT && answers < REQUESTS_OVER_LIMIT + 10_000,
           "answers: " + answers);
     }
   }
 
-  /** Guards against commands that wait behind others and are never begun, or come out of order. */
+  /** Guards against queued commands that are never started, or answered out of order. */
   @Test
   void manyRequestsAtOnceAreAllAnsweredInTheirOrder() throws Exception {
     try (Stub cache = cacheBehind(new CountDownLatch(0));
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      StringBuilder flood = new StringBuilder();
+      StringBuilder commands = new StringBuilder();
       for (int i = 0; i < 3000; i++) {
-        flood.append(i % 7 == 0 ? "mn\r\n" : READ.replace("O9b", "O" + i));
+        commands.append(i % 7 == 0 ? "mn\r\n" : READ.replace("O9b", "O" + i));
       }
-      client.send(flood + "quit\r\n");
+      client.send(commands + "quit\r\n");
       for (int i = 0; i < 3000; i++) {
         assertEquals(i % 7 == 0 ? "MN" : "VA 0 O" + i, client.line());
         assertTrue(i % 7 == 0 || client.line().isEmpty());
@@ -176,9 +176,9 @@
     }
   }
 
-  /** Guards against half a line on a resting connection, which would stand before the next answer. */
+  /** Guards against a partial line on an idle connection, which would precede the next answer. */
   @Test
-  void halfALineOnARestingConnectionCostsThatConnectionAndNoRequest() throws Exception {
+  void aPartialLineOnAnIdleConnectionClosesItAndFailsNoRequest() throws Exception {
     CountDownLatch answered = new CountDownLatch(1);
     try (Stub cache = new Stub(peer -> {
       peer.line();
@@ -195,7 +195,7 @@
       assertEquals("ab", client.line());
       assertEquals(Result.OK, proxy.nextAttemptEnded().result());
       answered.countDown();
-      assertTrue(cache.ends.poll(5, TimeUnit.SECONDS), "the proxy has ended the connection");
+      assertTrue(cache.ends.poll(5, TimeUnit.SECONDS), "the proxy has closed the connection");
       assertEquals("VA 2 O9b", client.request(READ));
       assertEquals("ab", client.line());
       assertEquals(Result.OK, proxy.nextAttemptEnded().result());
@@ -203,22 +203,22 @@
     }
   }
 
-  /** Guards against a second answer of the origin, which names no id, as the answer to the next request. */
+  /** Guards against taking a second answer of the origin, which has no id, for that to the next request. */
   @Test
-  void aSecondAnswerThatComesLateIsNotTheNextOnes() throws Exception {
+  void aLateSecondAnswerIsNotTakenForThatToTheNextRequest() throws Exception {
     try (Stub origin = new Stub(peer -> {
       boolean first = peer.stub().connections() == 1;
       for (String head = peer.head(); head != null; head = peer.head()) {
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n";
         boolean next = head.contains("Req-Id: 9c");
         if (first && next) {
-          peer.say(answer + "ab"); // the second answer crosses it
+          peer.say(answer + "ab"); // the second answer crosses the next request
         }
         peer.say(answer + (next ? "cd" : "ab"));
       }
     }); ProxyFixture proxy = new ProxyFixture(Stub.nobody(), origin.address());
         Client client = new Client(proxy)) {
-      // The second is sent in the moment in which the first has its answer.
+      // The second request is sent at the moment at which the first is answered.
       proxy.module.script = event -> event instanceof RequestReceived e && e.id() == 1
           ? List.of(new Send(1, "origin", 0))
           : event instanceof AttemptEnded e && e.id() == 1 ? List.of(new Send(2, "origin", 0)) : List.of();
@@ -230,9 +230,12 @@
     }
   }
 
-  /** Guards against a request that crosses the node's own close of an idle connection, between two sweeps. */
+  /**
+   * Guards against a request that crosses the node's own close of an idle connection, as it is sent between
+   * two periodic checks of idle connections.
+   */
   @Test
-  void aConnectionThatHasStoodIdleForTooLongIsNotUsedThoughNoSweepHasMetIt() throws Exception {
+  void aConnectionThatWasIdleForTooLongIsNotReusedBeforeThePeriodicCheck() throws Exception {
     String settings = ProxyFixture.SETTINGS.replace("\"conn-idle-ms\":60000", "\"conn-idle-ms\":1200")
         .replace("\"connect-timeout-ms\":1000", "\"connect-timeout-ms\":100");
     try (Stub cache = new Stub(peer -> {
@@ -244,15 +247,15 @@
       proxy.sendTo("cache");
       assertEquals("VA 0 O9b", client.request(READ));
       assertEquals("", client.line());
-      Thread.sleep(1150); // it may be used for 1 s; the node may close it after 1.2 s
+      Thread.sleep(1150); // it may be reused for 1 s; the node may close it after 1.2 s
       assertEquals("VA 0 O9b", client.request(READ));
       assertEquals(2, cache.connections());
     }
   }
 
-  /** Guards against work for a client whose end lies unread behind its request, while this thread is busy. */
+  /** Guards against work for a client whose close lies unread behind its request while the thread is busy. */
   @Test
-  void aClientThatAsksAndGoesWhileTheProxyIsBusyIsNotServed() throws Exception {
+  void aClientThatSendsARequestAndLeavesWhileTheProxyIsBusyIsNotServed() throws Exception {
     CountDownLatch busy = new CountDownLatch(1);
     CountDownLatch gone = new CountDownLatch(1);
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
@@ -271,7 +274,7 @@
         await(busy);
         next.send(READ.replace("O9b", "O9c"));
       }
-      Thread.sleep(50); // so long it is busy
+      Thread.sleep(50); // the time for which it is busy
       gone.countDown();
       assertEquals("SERVER_ERROR busy", first.line());
       assertEquals("MN", last.request("mn\r\n"));
@@ -279,13 +282,13 @@
     }
   }
 
-  /** Guards against a request that is begun after the shutdown, and against clients that hold that up. */
+  /** Guards against a request that is started after the shutdown, and against clients that delay it. */
   @Test
-  void aRestingClientSeesTheEndAndWhatItSaysThenIsNotBegunNorHoldsUpTheShutdown() throws Exception {
+  void anIdleClientIsClosedOnShutdownAndItsLaterRequestIsNeitherStartedNorDelaysIt() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
-        Client resting = new Client(proxy)) {
+        Client idle = new Client(proxy)) {
       proxy.sendTo("cache");
-      assertEquals("MN", resting.request("mn\r\n"));
+      assertEquals("MN", idle.request("mn\r\n"));
       CountDownLatch drained = new CountDownLatch(1);
       Thread end = new Thread(() -> {
         try {
@@ -295,14 +298,14 @@
           Thread.currentThread().interrupt();
         }
       });
-      long begun = System.nanoTime();
+      long startedAt = System.nanoTime();
       end.start();
-      assertNull(resting.line(), "an orderly end, and no reset");
-      resting.send(READ);
-      assertNull(resting.line(), "nor then");
-      await(drained); // though this client closes nothing
-      long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-      assertTrue(took < 2000, "ended after " + took + " ms");
+      assertNull(idle.line(), "an orderly close, not a reset");
+      idle.send(READ);
+      assertNull(idle.line(), "no reset after a further request either");
+      await(drained); // though this client does not close its connection
+      long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
+      assertTrue(took < 2000, "took " + took + " ms");
       assertEquals(0, proxy.proxy.counters().get(Counter.REQUESTS_TAKEN));
     }
   }
@@ -324,9 +327,9 @@
     }
   }
 
-  /** An answer over HTTP may have neither a length nor chunks: it ends where the origin closes. */
+  /** An HTTP response may have neither a length nor chunks: it ends when the origin closes the connection. */
   @Test
-  void anAnswerWithoutALengthIsWholeOnceTheOriginHasClosed() throws Exception {
+  void aResponseWithoutALengthIsCompleteOnceTheOriginHasClosed() throws Exception {
     try (Stub origin = new Stub(peer -> {
       peer.head();
       peer.bytes(5);
@@ -337,14 +340,14 @@
     }
   }
 
-  /** Guards against an answer that was cut off and passes for a whole one: a reset is no end. */
+  /** Guards against a truncated response that passes for a complete one: a reset does not end a response. */
   @Test
-  void anAnswerWithoutALengthIsNoneWhereTheOriginHasReset() throws Exception {
+  void aResponseWithoutALengthIsIncompleteIfTheOriginResets() throws Exception {
     try (Stub origin = new Stub(peer -> {
       peer.head();
       peer.bytes(5);
       peer.say("HTTP/1.1 200 OK\r\n\r\nrec");
-      Thread.sleep(50); // a reset takes with it what was not read
+      Thread.sleep(50); // a reset discards what was not read
       peer.reset();
     })) {
       AttemptEnded ended = oneWrite(origin, "SERVER_ERROR busy");
--- a/src/test/java/beampoint/serve/DrainAndTimeLeftTest.java
+++ b/src/test/java/beampoint/serve/DrainAndTimeLeftTest.java
@@ -68,7 +68,7 @@
       int retryTimeLeft = timeLeft(cache.nextLine());
       assertTrue(firstTimeLeft <= 2000, "first attempt: " + firstTimeLeft);
       assertTrue(retryTimeLeft <= 2000 - firstAttemptMs, "retry: " + retryTimeLeft);
-      assertTrue(retryTimeLeft >= 2000 - took, "retry below the time left: " + retryTimeLeft + ", took " + took);
+      assertTrue(retryTimeLeft >= 2000 - took, "retry below time left: " + retryTimeLeft + ", took " + took);
       assertEquals(Result.ERROR, proxy.nextAttemptEnded().result());
     }
   }
--- a/src/test/java/beampoint/serve/LongValuesTest.java
+++ b/src/test/java/beampoint/serve/LongValuesTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Values over 64 KiB between scripted peers: as they come, whole or told to be cut off, at any pace. */
+/** Values over 64 KiB: passed on as they arrive, complete or recognisably truncated, at any speed. */
 @Timeout(60)
 class LongValuesTest {
 
@@ -32,8 +32,8 @@
     return value.substring(0, length);
   }
 
-  /** A cache node that gives a part of a value, and the rest once the test adds to the stub's ends. */
-  private static Stub heldHalfWay(String value, int first, String end) throws Exception {
+  /** A cache node that sends a part of a value, and the rest once the test adds to the stub's ends. */
+  private static Stub pausedHalfWay(String value, int first, String end) throws Exception {
     return new Stub(peer -> {
       peer.line();
       peer.say("VA " + value.length() + " O9b h1\r\n" + value.substring(0, first));
@@ -44,9 +44,9 @@
   }
 
   @Test
-  void theFirstBytesGoOnBeforeTheRestHasCome() throws Exception {
+  void theFirstBytesArePassedOnBeforeTheRestArrives() throws Exception {
     String value = value(MAX_VALUE);
-    try (Stub cache = heldHalfWay(value, 1000, "\r\n");
+    try (Stub cache = pausedHalfWay(value, 1000, "\r\n");
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
@@ -61,9 +61,9 @@
     }
   }
 
-  /** Guards against half a value that looks whole, and against one that is begun twice. */
+  /** Guards against a truncated value that looks complete, and a value whose transfer is started twice. */
   @Test
-  void aLongValueThatIsCutOffOrSpoiltEndsTheClientsConnectionAndIsNotAskedForAgain() throws Exception {
+  void aTruncatedOrMalformedLongValueClosesTheClientsConnectionAndIsNotRetried() throws Exception {
     String value = value(100_000);
     for (String end : new String[] {"cut", "xx"}) {
       try (Stub cache = new Stub(peer -> {
@@ -81,13 +81,13 @@
         proxy.sendTo("cache");
         assertEquals("VA 100000 O9b", client.request(READ));
         cache.ends.add(true);
-        int whole = 0;
+        int received = 0;
         try {
-          whole = client.bytes(100_002).length();
+          received = client.bytes(100_002).length();
         } catch (java.net.SocketException e) {
-          // a reset tells as much
+          // a reset shows the truncation too
         }
-        assertTrue(whole < 100_002, "the client can tell");
+        assertTrue(received < 100_002, "the client can recognise the truncation");
         proxy.nextAttemptEnded();
         assertEquals(1, cache.connections());
         assertEquals(1, proxy.proxy.counters().get(Counter.VALUES_CUT_OFF));
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void theOriginsLongValuesGoOnWithStatedLengthOrInChunks() throws Exception {
+  void theOriginsLongValuesArePassedOnWithContentLengthOrChunked() throws Exception {
     String value = value(700_000);
     for (boolean chunked : new boolean[] {false, true}) {
       try (Stub origin = new Stub(peer -> {
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void aLongWriteInPiecesIsHeldAndSentOnWholeAndWhatIsTooLongIsRefusedAtOnce() throws Exception {
+  void aLongWriteInPiecesIsBufferedAndSentOnWholeAndATooLongOneIsRejectedAtOnce() throws Exception {
     String value = value(1_500_000);
     try (Stub origin = new Stub(peer -> {
       String head = peer.head();
@@ -151,12 +151,12 @@
     }
   }
 
-  /** Guards against values that take all memory as clients read slowly, and requests that wait for them. */
+  /** Guards against values that fill the memory as clients read slowly, and requests that wait for them. */
   @Test
-  void manySlowReadersHoldLittleAndSmallRequestsAreServedBesideThem() throws Exception {
+  void manySlowReadersHoldLittleMemoryAndDoNotDelaySmallRequests() throws Exception {
     String value = value(MAX_VALUE);
     List<Client> slow = new ArrayList<>();
-    PrintStream usual = System.err;
+    PrintStream originalErr = System.err;
     ByteArrayOutputStream log = new ByteArrayOutputStream();
     System.setErr(new PrintStream(log, true));
     try (Stub cache = new Stub(peer -> {
@@ -175,7 +175,7 @@
         assertEquals("VA 5 Oq" + i, quick.request("mg 5 v Oq" + i + " Pc=read,d=4000\r\n"));
         assertEquals("short", quick.line());
       }
-      // Asked on one connection behind a long one: it waits for its turn, and comes.
+      // A request behind a long value on the same connection waits for its turn and is answered.
       slow.get(0).send("mg 5 v Olast Pc=read,d=4000\r\n");
       for (int i = 0; i < 20; i++) {
         assertEquals(value.hashCode(), slow.get(i).bytes(MAX_VALUE).hashCode());
@@ -187,7 +187,7 @@
       assertEquals("MN", quick.request("mn\r\n"));
       assertFalse(log.toString().contains("a task failed"), "last bytes are written after a stream's end");
     } finally {
-      System.setErr(usual);
+      System.setErr(originalErr);
       for (Client client : slow) {
         client.close();
       }
@@ -195,9 +195,9 @@
   }
 
   @Test
-  void aClientThatLeavesHalfWayEndsTheReadingAndNothingIsKept() throws Exception {
+  void aClientThatLeavesDuringATransferEndsItAndNothingIsKept() throws Exception {
     String value = value(MAX_VALUE);
-    try (Stub cache = heldHalfWay(value, 200_000, "\r\n");
+    try (Stub cache = pausedHalfWay(value, 200_000, "\r\n");
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody())) {
       proxy.sendTo("cache");
       try (Client client = new Client(proxy)) {
@@ -210,7 +210,7 @@
       }
       try (Client client = new Client(proxy)) {
         while (proxy.proxy.held() != 0) {
-          assertEquals("MN", client.request("mn\r\n")); // until the leaving was seen
+          assertEquals("MN", client.request("mn\r\n")); // until the disconnect was seen
         }
       }
     }
--- a/src/test/java/beampoint/serve/MigrationTest.java
+++ b/src/test/java/beampoint/serve/MigrationTest.java
@@ -22,25 +22,25 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** During a move proxies of the old shape and of the new one stand before the same cache nodes. */
+/** During a migration, proxies with the old and with the new settings serve from the same cache nodes. */
 class MigrationTest {
 
   private static final int CACHES = 6;
-  private static final int EACH = 2; // proxies of a kind
-  private static final int CLIENTS = 4; // of a proxy
-  private static final int READS = 150; // of a client, and one write in ten beside them
+  private static final int PROXIES_PER_KIND = 2; // the kinds are old and new settings
+  private static final int CLIENTS_PER_PROXY = 4;
+  private static final int READS_PER_CLIENT = 150; // with a write at each tenth
   private static final double GRACE_MS = 250;
 
-  /** Probes, no reports, crossing zones is free. */
-  private static final String OLD = settings("\"probes\":true", "");
-  /** Reports with answers, second copies, no probes; connections and crossing zones cost. */
-  private static final String NEW = settings("\"probes\":false,\"second-copies\":true",
+  /** Probes, no load reports, crossing zones is free. */
+  private static final String OLD_SETTINGS = settings("\"probes\":true", "");
+  /** Load reports with answers, hedged requests, no probes; connections and crossing zones have prices. */
+  private static final String NEW_SETTINGS = settings("\"probes\":false,\"second-copies\":true",
       "\"telemetry\":{\"source\":\"inline\",\"columns\":[\"depth\",\"load_share\"]},"
           + "\"prices\":{\"connection\":0.03,\"handshake\":0.03,\"cross-zone\":0.02},");
 
-  private static String settings(String limits, String more) {
+  private static String settings(String limits, String extra) {
     return "{\"discovery\":\"automatic\",\"siblings\":4,\"zone\":0,\"localities\":[\"a\",\"b\"],"
-        + "\"skus\":[\"m2\",\"origin\"],\"family-info\":{\"mode\":\"aside\",\"origin-kind\":1}," + more
+        + "\"skus\":[\"m2\",\"origin\"],\"family-info\":{\"mode\":\"aside\",\"origin-kind\":1}," + extra
         + "\"policy-limits\":{\"max-attempts\":4," + limits + ",\"retry-after\":true,"
         + "\"max-retry-after-ms\":300,\"connect-timeout-ms\":1000,\"conn-idle-ms\":60000},"
         + "\"rules\":{\"drain-grace-ms\":" + GRACE_MS + "},"
@@ -50,12 +50,12 @@
   }
 
   private final Map<String, AtomicInteger> effects = new ConcurrentHashMap<>();
-  private final CountDownLatch drained = new CountDownLatch(1);
-  private final AtomicInteger told = new AtomicInteger();
-  private volatile long toldAt = Long.MAX_VALUE;
-  private final AtomicInteger late = new AtomicInteger();
+  private final CountDownLatch drainBegins = new CountDownLatch(1);
+  private final AtomicInteger drainsSent = new AtomicInteger();
+  private volatile long drainSentAt = Long.MAX_VALUE;
+  private final AtomicInteger lateRequests = new AtomicInteger();
 
-  /** A cache node with two slots that holds every key, and says how many wait. */
+  /** A cache node with two slots that has every key, and reports how many requests wait. */
   private Stub cache(boolean drains) throws IOException {
     Semaphore slots = new Semaphore(2, true);
     return new Stub(peer -> {
@@ -64,8 +64,8 @@
           peer.say("MN\r\n");
           continue;
         }
-        if (drains && System.nanoTime() - toldAt > (GRACE_MS + 50) * 1e6) {
-          late.incrementAndGet();
+        if (drains && System.nanoTime() - drainSentAt > (GRACE_MS + 50) * 1e6) {
+          lateRequests.incrementAndGet();
         }
         String report = " Lqueue=" + slots.getQueueLength() + ",util=" + (2 - slots.availablePermits()) / 2.0;
         slots.acquire();
@@ -74,15 +74,15 @@
           Thread.onSpinWait(); // the work of a request
         }
         slots.release();
-        peer.say("VA 2 " + word(line, 'O') + " h1" + report + "\r\nhi\r\n");
+        peer.say("VA 2 " + wordWith(line, 'O') + " h1" + report + "\r\nhi\r\n");
       }
     });
   }
 
-  private static String word(String line, char first) {
-    for (String word : line.split(" ")) {
-      if (word.charAt(0) == first) {
-        return word;
+  private static String wordWith(String line, char first) {
+    for (String wordWith : line.split(" ")) {
+      if (wordWith.charAt(0) == first) {
+        return wordWith;
       }
     }
     throw new IllegalArgumentException(line);
@@ -107,15 +107,15 @@
     });
   }
 
-  /** Tells of a drain once half of the reads are answered. */
+  /** A discovery that reports a drain once half of the reads are answered. */
   private Stub discovery(String drain) throws IOException {
     return new Stub(peer -> {
       peer.head();
       peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-      drained.await();
+      drainBegins.await();
       peer.say(Integer.toHexString(drain.length()) + "\r\n" + drain + "\r\n");
-      if (told.incrementAndGet() == 2 * EACH) {
-        toldAt = System.nanoTime();
+      if (drainsSent.incrementAndGet() == 2 * PROXIES_PER_KIND) {
+        drainSentAt = System.nanoTime();
       }
       peer.beSilent();
     });
@@ -123,11 +123,11 @@
 
   private final AtomicInteger reads = new AtomicInteger();
 
-  /** A client's reads and writes, one after the other; how many were served, and what else came. */
-  private int talk(int port, String name) throws IOException {
+  /** Sends a client's reads and writes one after the other; returns how many reads were served. */
+  private int runClient(int port, String name) throws IOException {
     int served = 0;
     try (ProxyFixture.Client client = new ProxyFixture.Client(port)) {
-      for (int i = 0; i < READS; i++) {
+      for (int i = 0; i < READS_PER_CLIENT; i++) {
         String id = name + "-" + i;
         String answer = client.request("mg key" + (i * 7 % 90) + " v O" + id + " Pc=read,t=acme,d=4000\r\n");
         if (answer.startsWith("VA 2 O" + id)) {
@@ -140,18 +140,18 @@
           String put = client.request("ms key" + i + " 2 Ow" + id + " Pc=put,t=acme,d=4000\r\nxy\r\n");
           assertTrue(put.startsWith("HD") || put.startsWith("SERVER_ERROR"), put);
         }
-        if (reads.incrementAndGet() == 2 * EACH * CLIENTS * READS / 2) {
-          drained.countDown();
+        if (reads.incrementAndGet() == 2 * PROXIES_PER_KIND * CLIENTS_PER_PROXY * READS_PER_CLIENT / 2) {
+          drainBegins.countDown();
         }
       }
     }
     return served;
   }
 
-  /** Guards against a report that is taken for an answer, or reaches a module whose settings name none. */
+  /** Guards against a load report that is taken for an answer, or that a module without columns receives. */
   @Test
-  void aReportReachesTheModuleOnlyWhereTheSettingsNameItsColumns() throws Exception {
-    for (String settings : List.of(NEW, OLD)) {
+  void aLoadReportReachesTheModuleOnlyIfTheSettingsNameItsColumns() throws Exception {
+    for (String settings : List.of(NEW_SETTINGS, OLD_SETTINGS)) {
       ProxyFixture.ScriptedModule module = new ProxyFixture.ScriptedModule();
       try (Stub cache = cache(false); Stub silent = new Stub(Stub.Peer::beSilent)) {
         List<String> hosts = List.of(ProxyFixture.host("cache", cache.address(), "m2"));
@@ -162,7 +162,7 @@
         try (ProxyFixture.Client client = new ProxyFixture.Client(proxy.port())) {
           assertEquals("VA 2 O1", client.request("mg key v O1 Pc=read,t=acme,d=4000\r\n"));
           Balancer.AttemptEnded ended = module.next(Balancer.AttemptEnded.class);
-          assertEquals(settings.equals(NEW) ? new Balancer.Load(0, 0) : null, ended.load());
+          assertEquals(settings.equals(NEW_SETTINGS) ? new Balancer.Load(0, 0) : null, ended.load());
         } finally {
           proxy.stop();
         }
@@ -171,7 +171,7 @@
   }
 
   @Test
-  void instancesOfBothShapesKeepTheRulesAndNeitherStarvesTheOther() throws Exception {
+  void instancesWithOldAndNewSettingsKeepTheRulesAndNeitherKindStarvesTheOther() throws Exception {
     List<Stub> stubs = new ArrayList<>();
     List<Proxy> proxies = new ArrayList<>();
     ExecutorService clients = Executors.newCachedThreadPool();
@@ -188,15 +188,15 @@
           + "]}\n";
       stubs.add(discovery(drain));
       List<List<Future<Integer>>> kinds = List.of(new ArrayList<>(), new ArrayList<>());
-      for (int p = 0; p < 2 * EACH; p++) {
+      for (int p = 0; p < 2 * PROXIES_PER_KIND; p++) {
         Proxy proxy = new Proxy(ProxyFixture.config(hosts, 1024, stubs.get(CACHES + 1).address(),
-            p % 2 == 0 ? OLD : NEW), BalancerPolicy::new);
+            p % 2 == 0 ? OLD_SETTINGS : NEW_SETTINGS), BalancerPolicy::new);
         proxies.add(proxy);
         proxy.start();
-        for (int c = 0; c < CLIENTS; c++) {
+        for (int c = 0; c < CLIENTS_PER_PROXY; c++) {
           String name = "p" + p + "c" + c;
-          Callable<Integer> talk = () -> talk(proxy.port(), name);
-          kinds.get(p % 2).add(clients.submit(talk));
+          Callable<Integer> client = () -> runClient(proxy.port(), name);
+          kinds.get(p % 2).add(clients.submit(client));
         }
       }
       int[] served = new int[2];
@@ -205,12 +205,13 @@
           served[kind] += each.get(60, TimeUnit.SECONDS);
         }
       }
-      double all = EACH * CLIENTS * READS;
-      assertTrue(Math.min(served[0], served[1]) >= 0.9 * all, "old " + served[0] + ", new " + served[1]
-          + " of " + all + " each");
-      assertEquals(0, late.get(), "sent to a drained cache node");
+      double expected = PROXIES_PER_KIND * CLIENTS_PER_PROXY * READS_PER_CLIENT;
+      assertTrue(Math.min(served[0], served[1]) >= 0.9 * expected, "old " + served[0] + ", new " + served[1]
+          + " of " + expected + " each");
+      assertEquals(0, lateRequests.get(), "requests sent to a drained cache node");
       effects.forEach((id, count) -> assertEquals(1, count.get(), "effects of " + id));
-      assertTrue(effects.size() >= 0.9 * 2 * EACH * CLIENTS * READS / 10, "writes: " + effects.size());
+      assertTrue(effects.size() >= 0.9 * 2 * PROXIES_PER_KIND * CLIENTS_PER_PROXY * READS_PER_CLIENT / 10,
+          "writes: " + effects.size());
       for (Proxy proxy : proxies) {
         assertTrue(proxy.counters().toString().contains("invariants_broken=0"), proxy.counters().toString());
         assertTrue(proxy.counters().toString().contains("answers_overdue=0"), proxy.counters().toString());
--- a/src/test/java/beampoint/serve/OperationsTest.java
+++ b/src/test/java/beampoint/serve/OperationsTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operators' address of a proxy on sockets, and what two processes of one proxy share. */
+/** Operators' calls to a proxy over sockets, and the state that two processes of one proxy share. */
 @Timeout(30)
 class OperationsTest {
 
@@ -40,8 +40,8 @@
     return ProxyFixture.config(hosts, sockets, discovery, ProxyFixture.SETTINGS, "127.0.0.1:0");
   }
 
-  private Proxy proxy(ScriptedModule own, int sockets) throws Exception {
-    Proxy proxy = new Proxy(config(sockets, Stub.nobody()), settings -> own, directory);
+  private Proxy proxy(ScriptedModule proxyModule, int sockets) throws Exception {
+    Proxy proxy = new Proxy(config(sockets, Stub.nobody()), settings -> proxyModule, directory);
     proxy.start();
     return proxy;
   }
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void aNodeIsTakenOutAndUsedAgainAndTheModuleIsToldFirst() throws Exception {
+  void aNodeIsBannedAndUsedAgainAndTheModuleIsInformedFirst() throws Exception {
     Proxy proxy = proxy(module, 384);
     try {
       assertEquals("200", status(proxy, "GET /_ready"));
@@ -62,7 +62,7 @@
       assertEquals(new BanChanged("cache", true, Double.parseDouble(since)), module.next(BanChanged.class));
       assertEquals("200", status(proxy, "POST /_cache-nodes/detach/cac%68e"));
       assertEquals("200", status(proxy, "POST /_cache-nodes/attach/cache"));
-      assertTrue(module.next(BanChanged.class).out(), "told again, of the same time");
+      assertTrue(module.next(BanChanged.class).out(), "the module is informed again, with the same time");
       assertTrue(module.next(BanChanged.class).out());
       assertEquals(false, module.next(BanChanged.class).out());
       assertEquals(2, proxy.counters().get(Counter.NODES_OUT));
@@ -71,16 +71,16 @@
     }
   }
 
-  /** Guards against a module that forgets a ban: what must hold is checked where it is carried out. */
+  /** Guards against a module that forgets a ban: the invariant is checked where actions are carried out. */
   @Test
-  void whatWouldGoToANodeThatIsOutBreaksWhatMustHold() throws Exception {
+  void sendingToABannedNodeViolatesAnInvariant() throws Exception {
     Proxy proxy = proxy(module, 384);
     module.script = event -> event instanceof Balancer.RequestReceived e
         ? List.of(new Balancer.Send(e.id(), "cache", 0)) : List.of();
     try (Client client = new Client(proxy.port())) {
       assertEquals("200", status(proxy, "POST /_cache-nodes/detach/cache"));
       assertEquals("SERVER_ERROR failed", client.request("mg 1 v O1 Pc=read,d=100\r\n"));
-      assertEquals(0, proxy.counters().get(Counter.ATTEMPTS_SENT), "a debug build stops it");
+      assertEquals(0, proxy.counters().get(Counter.ATTEMPTS_SENT), "an assertion prevents it");
     } finally {
       proxy.stop();
     }
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void whatCanNotBeDoneIsOwedANoAtOnce() throws Exception {
+  void invalidCallsAreRejectedAtOnce() throws Exception {
     Proxy proxy = proxy(module, 384);
     try {
       String[][] calls = {{"POST /_cache-nodes/detach/none", "404"},
@@ -109,9 +109,9 @@
     }
   }
 
-  /** Guards against callers that never finish, and clients that hold all they may. */
+  /** Guards against operators that never finish a call, and clients that hold all connections they may. */
   @Test
-  void aGoodCallIsAnsweredAmongStuckOnesWhileClientsHoldAllTheyMay() throws Exception {
+  void aValidCallIsAnsweredBesideUnfinishedOnesWhileClientsHoldAllTheyMay() throws Exception {
     Proxy proxy = proxy(module, 100);
     List<Client> open = new ArrayList<>();
     try {
@@ -124,7 +124,7 @@
         open.get(60 + i).send("POST /_cache-nodes/det");
         assertEquals("200", status(proxy, "GET /_ready"));
       }
-      assertNull(open.get(60).line(), "the longest unfinished call made room");
+      assertNull(open.get(60).line(), "the call that was unfinished for longest was closed");
       assertTrue(proxy.counters().get(Counter.OPS_CALLS_UNFINISHED) > 0);
     } finally {
       for (Client client : open) {
@@ -135,7 +135,7 @@
   }
 
   @Test
-  void aProcessThatFollowsAnotherKnowsItsBansBeforeItsFirstList() throws Exception {
+  void aSuccessorKnowsTheBansBeforeItsFirstList() throws Exception {
     Proxy old = proxy(module, 384);
     ScriptedModule next = new ScriptedModule();
     Proxy successor = null;
@@ -146,13 +146,13 @@
       assertEquals(0.5, next.next(ShareChanged.class).part());
       assertEquals(0.5, module.next(ShareChanged.class).part());
       assertEquals("200", status(successor, "POST /_cache-nodes/attach/cache"));
-      BanChanged told = module.next(BanChanged.class);
-      while (told.out()) {
-        told = module.next(BanChanged.class); // until the old process has looked
+      BanChanged change = module.next(BanChanged.class);
+      while (change.out()) {
+        change = module.next(BanChanged.class); // until the old process has read the file
       }
-      assertEquals("cache", told.endpoint());
+      assertEquals("cache", change.endpoint());
       old.stop();
-      assertEquals(1, next.next(ShareChanged.class).part(), "the whole, once the other is gone");
+      assertEquals(1, next.next(ShareChanged.class).part(), "the full share, once the other process is gone");
     } finally {
       old.stop();
       if (successor != null) {
@@ -161,9 +161,9 @@
     }
   }
 
-  /** A proxy that replaces another must not take clients before it is of use to them. */
+  /** A proxy that replaces another must not accept clients before it can serve them. */
   @Test
-  void clientsAreListenedToOnlyOnceDiscoveryWasHeard() throws Exception {
+  void clientsAreAcceptedOnlyOnceDiscoveryHasAnswered() throws Exception {
     Stub discovery = new Stub(peer -> {
       peer.head();
       peer.stub().ends.take();
@@ -196,16 +196,16 @@
     }
   }
 
-  private Config with(Config config, String settings) throws Exception {
+  private Config withSettings(Config config, String settings) throws Exception {
     List<String> hosts = List.of(ProxyFixture.host("cache", Stub.nobody(), "m2"),
         ProxyFixture.host("origin", Stub.nobody(), "origin"));
     return ProxyFixture.config(hosts, 384, "127.0.0.1:" + config.discovery().getPort(), settings,
         "127.0.0.1:0");
   }
 
-  /** New classes are known at once, those dropped for a while; what is incomplete changes nothing. */
+  /** New classes are known at once, removed ones for a while; an incomplete configuration changes nothing. */
   @Test
-  void newSettingsHoldAtOnceAndAnIncompleteFileChangesNothing() throws Exception {
+  void newSettingsApplyAtOnceAndAnIncompleteFileChangesNothing() throws Exception {
     Config config = config(384, Stub.nobody());
     Proxy proxy = new Proxy(config, settings -> module, directory);
     proxy.start();
@@ -213,28 +213,28 @@
         ? List.of(new Balancer.Refuse(e.id(), 0)) : List.of();
     try (Client client = new Client(proxy.port())) {
       assertEquals("CLIENT_ERROR unknown class", client.request("mg 1 v O1 Pc=new,d=400\r\n"));
-      proxy.reload(with(config, ProxyFixture.SETTINGS.replace("\"retry-after\":true,", "")
+      proxy.reload(withSettings(config, ProxyFixture.SETTINGS.replace("\"retry-after\":true,", "")
           .replace("\"name\":\"put\"", "\"name\":\"new\"")));
-      proxy.reload(with(config, ProxyFixture.SETTINGS.replace("\"max-attempts\":3,", "")));
+      proxy.reload(withSettings(config, ProxyFixture.SETTINGS.replace("\"max-attempts\":3,", "")));
       assertEquals("CLIENT_ERROR unknown class", client.request("mg 1 v O2 Pc=new,d=400\r\n"));
       assertEquals(2, proxy.counters().get(Counter.CONFIG_REJECTED));
-      proxy.reload(with(config, ProxyFixture.SETTINGS.replace("\"name\":\"put\"", "\"name\":\"new\"")
+      proxy.reload(withSettings(config, ProxyFixture.SETTINGS.replace("\"name\":\"put\"", "\"name\":\"new\"")
           .replace("\"max-attempts\":3", "\"max-attempts\":1")));
       SettingsChanged changed = module.next(SettingsChanged.class);
       assertEquals(List.of(0, -1, 1), changed.formerClasses());
       assertEquals(1, changed.settings().limits().maxAttempts());
       assertEquals("SERVER_ERROR busy", client.request("mg 1 v O3 Pc=new,d=400\r\n"));
-      assertEquals("SERVER_ERROR busy", client.request("mg 1 v O4 Pc=put,d=400\r\n"), "still on its way");
-      assertEquals(List.of(0, 1), module.next(SettingsChanged.class).formerClasses(), "dropped in the end");
+      assertEquals("SERVER_ERROR busy", client.request("mg 1 v O4 Pc=put,d=400\r\n"), "still accepted");
+      assertEquals(List.of(0, 1), module.next(SettingsChanged.class).formerClasses(), "removed in the end");
       assertEquals("CLIENT_ERROR unknown class", client.request("mg 1 v O5 Pc=put,d=400\r\n"));
     } finally {
       proxy.stop();
     }
   }
 
-  /** An open request keeps the attempts of the rules it was taken with; the next has the new ones. */
+  /** An open request keeps the maximum of attempts under which it was accepted; the next has the new one. */
   @Test
-  void aRequestThatIsOpenWhileSettingsChangeKeepsItsAttempts() throws Exception {
+  void aRequestThatIsOpenWhileSettingsChangeKeepsItsMaxAttempts() throws Exception {
     try (Stub cache = new Stub(peer -> {
       for (String line = peer.line(); line != null; line = peer.line()) {
         peer.stub().ends.take();
@@ -254,7 +254,8 @@
       try (Client client = new Client(proxy.port())) {
         client.send("mg 1 v O1 Pc=read,d=5000\r\n");
         cache.nextLine();
-        proxy.reload(with(config, ProxyFixture.SETTINGS.replace("\"max-attempts\":3", "\"max-attempts\":1")));
+        proxy.reload(withSettings(config,
+            ProxyFixture.SETTINGS.replace("\"max-attempts\":3", "\"max-attempts\":1")));
         module.next(SettingsChanged.class);
         cache.ends.add(true);
         cache.nextLine();
@@ -272,17 +273,17 @@
     }
   }
 
-  /** Guards against crowds that cost memory: what a connection holds that says nothing is small. */
+  /** Guards against many idle connections that fill the memory: each may hold only little of it. */
   @Test
   void anIdleConnectionCostsLittleMemory() throws Exception {
     Proxy proxy = proxy(module, 2000);
     List<SocketChannel> open = new ArrayList<>();
     try {
-      connect(proxy, open, 50); // what the first ones cost alone
+      connect(proxy, open, 50); // which also pay costs that occur once
       double before = heapInUse();
       connect(proxy, open, 350);
-      double each = (heapInUse() - before) / 300;
-      assertTrue(each < 6 * 1024, "bytes a connection, both its ends in this process: " + each);
+      double bytesEach = (heapInUse() - before) / 300;
+      assertTrue(bytesEach < 6 * 1024, "bytes per connection, both its ends in this process: " + bytesEach);
     } finally {
       for (SocketChannel client : open) {
         client.close();
@@ -305,11 +306,11 @@
   }
 
   private static double heapInUse() {
-    double least = Double.POSITIVE_INFINITY;
+    double smallest = Double.POSITIVE_INFINITY;
     for (int i = 0; i < 5; i++) {
       System.gc();
-      least = Math.min(least, ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
+      smallest = Math.min(smallest, ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
     }
-    return least;
+    return smallest;
   }
 }
