--- a/src/test/java/beampoint/serve/LateConnectionTest.java
+++ b/src/test/java/beampoint/serve/LateConnectionTest.java
@@ -26,13 +26,13 @@
 class LateConnectionTest {
 
   private static final String READ = "mg 7f3a v O9b Pc=read,t=acme,d=9000\r\n";
-  private static final String LONG_CONNECT_TIMEOUT =
+  private static final String LONG_TIMEOUT =
       ProxyFixture.SETTINGS.replace("\"connect-timeout-ms\":1000", "\"connect-timeout-ms\":8000");
   private static final int NOTHING = -2;
 
   private static ProxyFixture proxy(DelayedListener cache, String discovery) throws Exception {
-    assertTrue(LONG_CONNECT_TIMEOUT.contains("8000"));
-    return new ProxyFixture(cache.address(), Stub.nobody(), 1024, LONG_CONNECT_TIMEOUT, discovery);
+    assertTrue(LONG_TIMEOUT.contains("8000"));
+    return new ProxyFixture(cache.address(), Stub.nobody(), 1024, LONG_TIMEOUT, discovery);
   }
 
   /** Guards against work for a client that disconnected while the connection was being established. */
@@ -91,7 +91,7 @@
         : event instanceof AttemptEnded e ? List.of(new Refuse(e.id(), 0)) : List.of();
     try (DelayedListener cache = new DelayedListener()) {
       Proxy proxy = new Proxy(ProxyFixture.config(List.of(ProxyFixture.host("cache", cache.address(), "m2")),
-          1024, Stub.nobody(), LONG_CONNECT_TIMEOUT, "127.0.0.1:0"), settings -> module, directory);
+          1024, Stub.nobody(), LONG_TIMEOUT, "127.0.0.1:0"), settings -> module, directory);
       proxy.start();
       try (Client client = new Client(proxy.port()); Client operator = new Client(proxy.opsPort())) {
         client.send(READ);
--- a/src/test/java/beampoint/serve/MigrationTest.java
+++ b/src/test/java/beampoint/serve/MigrationTest.java
@@ -28,7 +28,7 @@
   private static final int CACHES = 6;
   private static final int PROXIES_PER_KIND = 2; // the kinds are old and new settings
   private static final int CLIENTS_PER_PROXY = 4;
-  private static final int READS_PER_CLIENT = 150; // with a write at each tenth
+  private static final int READS_PER_CLIENT = 150; // every tenth is followed by a write
   private static final double GRACE_MS = 250;
 
   /** Probes, no load reports, crossing zones is free. */
@@ -74,15 +74,15 @@
           Thread.onSpinWait(); // the work of a request
         }
         slots.release();
-        peer.say("VA 2 " + wordWith(line, 'O') + " h1" + report + "\r\nhi\r\n");
+        peer.say("VA 2 " + wordStartingWith(line, 'O') + " h1" + report + "\r\nhi\r\n");
       }
     });
   }
 
-  private static String wordWith(String line, char first) {
-    for (String wordWith : line.split(" ")) {
-      if (wordWith.charAt(0) == first) {
-        return wordWith;
+  private static String wordStartingWith(String line, char first) {
+    for (String word : line.split(" ")) {
+      if (word.charAt(0) == first) {
+        return word;
       }
     }
     throw new IllegalArgumentException(line);
@@ -148,7 +148,7 @@
     return served;
   }
 
-  /** Guards against a load report that is taken for an answer, or that a module without columns receives. */
+  /** Guards against a load report read as an answer, or passed to a module whose settings name no columns. */
   @Test
   void aLoadReportReachesTheModuleOnlyIfTheSettingsNameItsColumns() throws Exception {
     for (String settings : List.of(NEW_SETTINGS, OLD_SETTINGS)) {
--- a/src/test/java/beampoint/serve/ProxyLifecycleTest.java
+++ b/src/test/java/beampoint/serve/ProxyLifecycleTest.java
@@ -32,48 +32,48 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The proxy from its start to its end: readiness, the list, faults of the module, SIGTERM. */
+/** The proxy from its start to its shutdown: readiness, the host list, exceptions of the module, SIGTERM. */
 @Timeout(30)
 class ProxyLifecycleTest {
 
-  /** Guards against use by the front while code is still being compiled, and answers are late. */
+  /** Guards against traffic from the clients' side while code is being compiled and answers are late. */
   @Test
-  void aProxyIsReadyOnceItIsWarm() throws Exception {
+  void aProxyIsReadyOnlyAfterItsWarmUp() throws Exception {
     ProxyFixture.ScriptedModule module = new ProxyFixture.ScriptedModule();
-    ProxyFixture.ScriptedModule rehearsed = new ProxyFixture.ScriptedModule();
-    CountDownLatch held = new CountDownLatch(1); // the rehearsal, until a client has asked
-    rehearsed.script = event -> {
-      ProxyFixture.await(held);
+    ProxyFixture.ScriptedModule warmUpModule = new ProxyFixture.ScriptedModule();
+    CountDownLatch commandSent = new CountDownLatch(1); // blocks the warm-up until then
+    warmUpModule.script = event -> {
+      ProxyFixture.await(commandSent);
       return List.of();
     };
-    AtomicInteger made = new AtomicInteger();
+    AtomicInteger modulesCreated = new AtomicInteger();
     List<String> hosts = List.of(ProxyFixture.host("cache", Stub.nobody(), "m2"));
     Proxy proxy = new Proxy(ProxyFixture.config(hosts, 1024, Stub.nobody()),
-        settings -> made.getAndIncrement() == 0 ? module : rehearsed);
+        settings -> modulesCreated.getAndIncrement() == 0 ? module : warmUpModule);
     try {
       proxy.startWithWarmUp();
       try (Client client = new Client(proxy.port())) {
         module.next(ListReceived.class);
         client.send("mn\r\n");
-        held.countDown();
+        commandSent.countDown();
         String answer = client.line();
         assertEquals("SERVER_ERROR not ready", answer);
         while (!answer.equals("MN")) {
           answer = client.request("mn\r\n");
         }
-        assertEquals(0, proxy.counters().get(Counter.PROBES_SENT), "its questions to itself don't count");
-        // Its time is time without a proxy: where most proxies restart at once nobody else serves meanwhile.
-        int events = rehearsed.events.size();
-        assertTrue(events > 10 && events <= 100, "made-up events: " + events);
+        assertEquals(0, proxy.counters().get(Counter.PROBES_SENT), "probes of the warm-up don't count");
+        // The warm-up must be short: if most proxies restart at once, no other one serves meanwhile.
+        int events = warmUpModule.events.size();
+        assertTrue(events > 10 && events <= 100, "synthetic events: " + events);
       }
     } finally {
       proxy.stop();
     }
   }
 
-  /** Guards against a list that is asked for behind the module's back, which costs discovery work. */
+  /** Guards against subscribing to a list without the module's request, which costs discovery work. */
   @Test
-  void aListThatMustBeAskedForIsAskedForByTheModuleAlone() throws Exception {
+  void aListThatIsNotPushedIsSubscribedToByTheModuleOnly() throws Exception {
     String list = "{\"seq\":2,\"whole\":true,\"hosts\":["
         + ProxyFixture.host("s-2", "127.0.0.1:1", "m2") + "]}\n";
     ProxyFixture.ScriptedModule module = new ProxyFixture.ScriptedModule();
@@ -94,7 +94,7 @@
         assertEquals("s-2", full.endpoints().get(0).id());
         assertEquals(ListKind.UNAVAILABLE, module.next(ListReceived.class).kind());
         assertEquals("GET /discovery/hosts?watch=1&from=1 HTTP/1.1", discovery.nextLine());
-        assertNull(module.events.poll(500, TimeUnit.MILLISECONDS), "nobody asked again");
+        assertNull(module.events.poll(500, TimeUnit.MILLISECONDS), "there is no second subscription");
         assertEquals(1, discovery.connections());
       } finally {
         proxy.stop();
@@ -102,13 +102,13 @@
     }
   }
 
-  /** Guards against a fault in the module that ends the proxy, or leaves its request without an answer. */
+  /** Guards against an exception in the module that ends the proxy, or leaves its request unanswered. */
   @Test
-  void anExceptionOfTheModuleFailsItsRequestAndTheProxyLives() throws Exception {
+  void anExceptionOfTheModuleFailsItsRequestAndTheProxyContinues() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.module.script = event -> {
-        throw new IllegalStateException("a fault, as the test has it");
+        throw new IllegalStateException("thrown by the test");
       };
       assertEquals("SERVER_ERROR failed", client.request(READ));
       proxy.refuseAll();
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void anOpenRequestIsAnsweredBeforeTheEndAndIdleClientsAreClosed() throws Exception {
+  void anOpenRequestIsAnsweredBeforeTheShutdownEndsAndIdleClientsAreClosed() throws Exception {
     try (Stub cache = ScriptedCache.held();
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client busy = new Client(proxy); Client idle = new Client(proxy)) {
@@ -126,37 +126,37 @@
       assertEquals("MN", idle.request("mn\r\n"));
       busy.send(READ);
       cache.nextLine();
-      Thread end = new Thread(() -> {
+      Thread shutdown = new Thread(() -> {
         try {
           proxy.proxy.drain();
         } catch (InterruptedException e) {
           Thread.currentThread().interrupt();
         }
       });
-      end.start();
+      shutdown.start();
       try (Client late = new Client(proxy)) {
         String ready = late.request("mn\r\n");
         while (ready.equals("MN")) {
-          ready = late.request("mn\r\n"); // until the end has begun
+          ready = late.request("mn\r\n"); // until the shutdown has begun
         }
-        assertEquals("SERVER_ERROR not ready", ready, "clients still come for a while");
+        assertEquals("SERVER_ERROR not ready", ready, "clients are still accepted for a while");
       }
       assertNull(idle.line());
       cache.ends.add(true);
       assertEquals("VA 0 O9b", busy.line());
       busy.line();
       assertNull(busy.line());
-      end.join(5000);
-      assertFalse(end.isAlive());
+      shutdown.join(5000);
+      assertFalse(shutdown.isAlive());
     }
   }
 
   /**
-   * After SIGTERM clients send on every connection that stays open: what is taken then is answered, and a
-   * connection that ends has brought whole answers only.
+   * After a SIGTERM clients keep sending on every connection that stays open: requests that are accepted are
+   * answered, and a connection that ends has delivered complete answers only.
    */
   @Test
-  void clientsThatGoOnSendingAfterASigtermGetAnAnswerOrAnEndWithNothingTaken() throws Exception {
+  void clientsThatKeepSendingAfterASigtermGetAnAnswerOrACloseWithNoRequestAccepted() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody())) {
       proxy.refuseAll();
       AtomicInteger answers = new AtomicInteger();
@@ -172,7 +172,7 @@
             try {
               line = client.request(READ.replace("O9b", prefix + n));
             } catch (IOException e) {
-              return "end"; // the request crossed the end of its connection
+              return "end"; // the request crossed the close of its connection
             }
             if (!"SERVER_ERROR busy".equals(line)) {
               client.close();
@@ -190,14 +190,14 @@
       }
       clients.shutdown();
       Counters counters = proxy.proxy.counters();
-      assertEquals(answers.get(), counters.get(Counter.REQUESTS_TAKEN), "what was taken was answered");
+      assertEquals(answers.get(), counters.get(Counter.REQUESTS_TAKEN), "all requests are answered");
       assertEquals(0, counters.get(Counter.ANSWERS_OVERDUE));
     }
   }
 
-  /** Guards against a request that is still open when the SIGKILL comes: its time is cut short. */
+  /** Guards against a request that is still open at the SIGKILL: its deadline is brought forward. */
   @Test
-  void whatNobodyAnswersIsFailedBeforeTheEnd() throws Exception {
+  void aRequestThatItsCacheDoesNotAnswerIsAnsweredBeforeTheSigkill() throws Exception {
     try (Stub cache = ScriptedCache.silent();
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
@@ -209,15 +209,15 @@
       long before = System.nanoTime();
       proxy.proxy.drain();
       double took = (System.nanoTime() - before) / 1e6;
-      assertTrue(took < 1700, "a SIGKILL comes a deadline of 1 s and 0.7 s later; took " + took);
-      assertEquals("SERVER_ERROR busy", client.line(), "the module answers, its attempt timed out");
+      assertTrue(took < 1700, "the SIGKILL comes 0.7 s after the deadline of 1 s; took " + took);
+      assertEquals("SERVER_ERROR busy", client.line(), "the module refuses it as its attempt timed out");
       assertEquals(Result.TIMEOUT, proxy.nextAttemptEnded().result());
     }
   }
 
-  /** Guards against requests that were read, waited behind others, and are left unanswered by the end. */
+  /** Guards against requests that were read, are queued behind others, and remain unanswered at the end. */
   @Test
-  void whatWaitsBehindOthersIsAnsweredBeforeTheEnd() throws Exception {
+  void queuedRequestsAreAnsweredBeforeTheSigkill() throws Exception {
     int count = 6_000;
     try (Stub cache = ScriptedCache.silent();
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
@@ -239,9 +239,9 @@
       long before = System.nanoTime();
       proxy.proxy.drain();
       double took = (System.nanoTime() - before) / 1e6;
-      assertTrue(took < 1700, "a SIGKILL comes a deadline of 1 s and 0.7 s later; took " + took);
+      assertTrue(took < 1700, "the SIGKILL comes 0.7 s after the deadline of 1 s; took " + took);
       assertEquals(count, proxy.proxy.counters().get(Counter.ANSWERED_REFUSED));
-      assertEquals(32, proxy.proxy.counters().get(Counter.ATTEMPTS_SENT), "nothing more is begun");
+      assertEquals(32, proxy.proxy.counters().get(Counter.ATTEMPTS_SENT), "no queued request is started");
       assertEquals(count, answers.get());
     }
   }
--- a/src/test/java/beampoint/serve/ProxyRequestTest.java
+++ b/src/test/java/beampoint/serve/ProxyRequestTest.java
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void theModuleIsToldWhatAClientMarksAsAskedAgain() throws Exception {
+  void theModuleGetsTheRetryMarkOfAClient() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.refuseAll();
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void theOriginIsAskedByHttpForReadsAndWrites() throws Exception {
+  void readsAndWritesReachTheOriginOverHttp() throws Exception {
     try (Stub origin = new Stub(peer -> {
       for (String head = peer.head(); head != null; head = peer.head()) {
         boolean write = head.startsWith("PUT");
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void theLargestValueGoesThroughWholeInBothDirections() throws Exception {
+  void theLargestBufferedValueIsPassedOnWholeInBothDirections() throws Exception {
     String value = "0123456789abcdef".repeat(4096);
     try (Stub origin = new Stub(peer -> {
       for (String head = peer.head(); head != null; head = peer.head()) {
@@ -137,7 +137,7 @@
     }
   }
 
-  /** Guards against answers that are torn or mixed where a client reads slowly and a socket is full. */
+  /** Guards against truncated or interleaved answers if a client reads slowly and its socket is full. */
   @Test
   void aSlowReaderGetsAllItsAnswersWholeAndInOrder() throws Exception {
     String value = "0123456789abcdef".repeat(4096);
@@ -153,7 +153,7 @@
         client.send("mg " + i + " v O" + i + " Pc=read,d=9000\r\n");
       }
       for (int i = 0; i < 20; i++) {
-        proxy.nextAttemptEnded(); // these answers are on their way while nobody reads
+        proxy.nextAttemptEnded(); // these answers are in transit while the client does not read
       }
       for (int i = 0; i < count; i++) {
         assertEquals("VA 65536 O" + i, client.line());
@@ -164,7 +164,7 @@
   }
 
   @Test
-  void countersAreToldOnRequest() throws Exception {
+  void countersAreReportedOnRequest() throws Exception {
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
@@ -180,13 +180,13 @@
     }
   }
 
-  /** Guards against connections, or a place in memory, kept for a host that is gone or has been replaced. */
+  /** Guards against connections or memory that are kept for a host that is gone or has been replaced. */
   @Test
   void aNewHostAtAnOldAddressInheritsNoConnection() throws Exception {
     try (Stub cache = ScriptedCache.held(); Stub discovery = new Stub(peer -> {
       peer.head();
       peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-      peer.stub().ends.take(); // the first request is out
+      peer.stub().ends.take(); // until the first request is in flight
       String list = "{\"seq\":2,\"whole\":true,\"hosts\":["
           + ProxyFixture.host("next", cache.address(), "m2") + "]}\n";
       peer.say(Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
--- a/src/test/java/beampoint/serve/ReadAheadTest.java
+++ b/src/test/java/beampoint/serve/ReadAheadTest.java
@@ -15,23 +15,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A client sends more than one read takes. */
+/** Clients that send more than one read of the socket takes. */
 @Timeout(30)
 class ReadAheadTest {
 
   private static final String FIRST = READ.replace("O9b", "Ofirst");
 
-  /** Guards against attempts for a client that has left, whose end stands behind much that it sent. */
+  /** Guards against attempts for a client that has left, if its close is behind many requests. */
   @Test
-  void anEndBehindManyReadsIsSeenBeforeAnythingIsBegun() throws Exception {
+  void aCloseBehindManyRequestsIsSeenBeforeAnyIsStarted() throws Exception {
     CountDownLatch seen = new CountDownLatch(1);
-    CountDownLatch left = new CountDownLatch(1);
+    CountDownLatch clientLeft = new CountDownLatch(1);
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client other = new Client(proxy)) {
       proxy.module.script = event -> {
         if (event instanceof RequestReceived e) {
           seen.countDown();
-          ProxyFixture.await(left);
+          ProxyFixture.await(clientLeft);
           return List.of(new Refuse(e.id(), 0));
         }
         return List.of();
@@ -41,16 +41,16 @@
       try (Client client = new Client(proxy)) {
         client.send(reads(9_000));
       }
-      left.countDown();
+      clientLeft.countDown();
       assertEquals("SERVER_ERROR busy", other.line());
       assertEquals("SERVER_ERROR busy", other.request(READ));
       assertEquals(2, proxy.proxy.counters().get(Counter.REQUESTS_TAKEN));
     }
   }
 
-  /** Guards against requests whose time counts only from when those before them have been handled. */
+  /** Guards against deadlines that count only from the handling of the requests before. */
   @Test
-  void theTimeOfARequestCountsFromItsArrivalHoweverMuchCameBeforeIt() throws Exception {
+  void theDeadlineOfARequestCountsFromItsArrivalHoweverMuchArrivedBefore() throws Exception {
     int count = 6_000;
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody());
         Client client = new Client(proxy)) {
@@ -66,7 +66,7 @@
       String text = reads(count);
       long before = System.nanoTime();
       client.send(text);
-      double saidMs = (System.nanoTime() - before) / 1e6;
+      double sendMs = (System.nanoTime() - before) / 1e6;
       double first = proxy.module.next(RequestReceived.class).notAfter();
       double last = first;
       for (int i = 1; i < count; i++) {
@@ -74,7 +74,7 @@
         last = Math.max(last, proxy.module.next(RequestReceived.class).notAfter());
       }
       double apartMs = last - first;
-      assertTrue(apartMs < saidMs + 100, "sent within " + saidMs + " ms, and count " + apartMs + " ms apart");
+      assertTrue(apartMs < sendMs + 100, "sent within " + sendMs + " ms, deadlines " + apartMs + " ms apart");
     }
   }
 }
--- a/src/test/java/beampoint/serve/TimeLeftTest.java
+++ b/src/test/java/beampoint/serve/TimeLeftTest.java
@@ -26,22 +26,23 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The time that an attempt tells its server is what is left to the client when the attempt is written. Guards
- * against servers that go on working for clients who have given up.
+ * The time that is sent with an attempt is what is left until the client's deadline when the attempt is
+ * written. Guards against servers that continue to work for clients that have given up.
  */
 @Timeout(30)
 class TimeLeftTest {
 
-  private static final int CLIENT_WAITS_MS = 4000;
-  private static final int HELD_MS = 300; // by a server, before its answer
+  private static final int DEADLINE_MS = 4000;
+  private static final int SERVER_DELAY_MS = 300; // before an answer
   private static final String READ = "mg 7f3a v O9b Pc=read,d=4000,t=acme\r\n";
   private static final String WRITE = "ms 7f3a 5 O9b Pc=put,t=acme,d=4000,k=5c0f\r\nhello\r\n";
-  private static final String PATIENT =
+  private static final String LONG_TIMEOUT =
       ProxyFixture.SETTINGS.replace("\"connect-timeout-ms\":1000", "\"connect-timeout-ms\":8000");
-  private static final Pattern TIME = Pattern.compile("[ P,]d=(\\d+)(?=,|$)");
+  private static final Pattern TIME_LEFT = Pattern.compile("[ P,]d=(\\d+)(?=,|$)");
 
-  /** Sends every request to one endpoint, and what did not end there to another, after a wait. */
-  private static Function<Event, List<Action>> first(String endpoint, String then, double waitMs) {
+  /** Sends every request to one endpoint, and after a wait to another one if it was not answered. */
+  private static Function<Event, List<Action>> sendAndRetry(String endpoint, String retryEndpoint,
+      double waitMs) {
     return event -> {
       if (event instanceof RequestReceived e) {
         return List.of(new Send(e.id(), endpoint, 0));
@@ -50,21 +51,21 @@
         return List.of(new SetTimer(waitMs, e.id()));
       }
       if (event instanceof TimerFired e) {
-        return List.of(new Send(e.token(), then, 0));
+        return List.of(new Send(e.token(), retryEndpoint, 0));
       }
       return List.of();
     };
   }
 
-  /** The time in a line that a server was sent. */
-  private static int time(String line) {
-    Matcher matcher = TIME.matcher(line);
+  /** The time left, in ms, in a line that a server was sent. */
+  private static int timeLeft(String line) {
+    Matcher matcher = TIME_LEFT.matcher(line);
     assertTrue(matcher.find(), line);
     return Integer.parseInt(matcher.group(1));
   }
 
-  /** The next line that begins like this. */
-  private static String next(Stub stub, String start) throws InterruptedException {
+  /** The next line that begins with this text. */
+  private static String nextLine(Stub stub, String start) throws InterruptedException {
     String line = stub.nextLine();
     while (!line.startsWith(start)) {
       line = stub.nextLine();
@@ -72,18 +73,19 @@
     return line;
   }
 
-  /** The time told is at most what is left after so many ms, and no more than the test took below that. */
-  private static void assertLeft(int told, int afterMs, long startedAt) {
+  /** The time sent is at most what is left after so many ms, and at least what is left by now. */
+  private static void assertTimeLeft(int sentMs, int afterMs, long startedAt) {
     long passed = (System.nanoTime() - startedAt) / 1_000_000 + 1;
-    assertTrue(told <= CLIENT_WAITS_MS - afterMs, "told " + told + " after " + afterMs + " ms");
-    assertTrue(told >= CLIENT_WAITS_MS - passed, "told " + told + " within " + passed + " ms");
+    assertTrue(sentMs <= DEADLINE_MS - afterMs, "sent " + sentMs + " after " + afterMs + " ms");
+    assertTrue(sentMs >= DEADLINE_MS - passed, "sent " + sentMs + " within " + passed + " ms");
   }
 
   /**
-   * Asks the proxy to show that it is there, and returns the time before that. What comes while it is held up
-   * counts from before that ({@link ArrivalTimeTest}), though from no sooner than the answer to this.
+   * Makes a round trip to the proxy, and returns the time before it. What arrives while the proxy is stalled
+   * counts from before the stall ({@link ArrivalTimeTest}), but from no earlier than the end of the round
+   * trip.
    */
-  private static long atRest(Client client) throws IOException {
+  private static long timeBeforeRoundTrip(Client client) throws IOException {
     long before = System.nanoTime();
     assertEquals("MN", client.request("mn\r\n"));
     return before;
@@ -101,77 +103,78 @@
   }
 
   @Test
-  void aFetchAfterAMissThatCameLateTellsTheOriginWhatIsLeft() throws Exception {
+  void aFetchAfterALateMissSendsTheOriginTheTimeLeft() throws Exception {
     try (Stub cache = new Stub(peer -> {
       peer.line();
-      Thread.sleep(HELD_MS);
+      Thread.sleep(SERVER_DELAY_MS);
       peer.say("EN O9b\r\n");
     }); Stub origin = origin(); ProxyFixture proxy = new ProxyFixture(cache.address(), origin.address());
         Client client = new Client(proxy)) {
-      proxy.module.script = first("cache", "origin", 0);
-      long startedAt = atRest(client);
+      proxy.module.script = sendAndRetry("cache", "origin", 0);
+      long startedAt = timeBeforeRoundTrip(client);
       assertEquals("VA 7 O9b", client.request(READ));
-      assertLeft(time(cache.nextLine()), 0, startedAt);
-      String told = next(origin, "Req-Extra: ");
-      assertLeft(time(told), HELD_MS, startedAt);
-      assertEquals("Req-Extra: c=read,d=" + time(told) + ",t=acme", told);
+      assertTimeLeft(timeLeft(cache.nextLine()), 0, startedAt);
+      String fetch = nextLine(origin, "Req-Extra: ");
+      assertTimeLeft(timeLeft(fetch), SERVER_DELAY_MS, startedAt);
+      assertEquals("Req-Extra: c=read,d=" + timeLeft(fetch) + ",t=acme", fetch);
     }
   }
 
   @Test
-  void anAttemptAfterARefusedConnectionTellsWhatIsLeft() throws Exception {
+  void anAttemptAfterARefusedConnectionSendsTheTimeLeft() throws Exception {
     try (Stub origin = origin(); ProxyFixture proxy = new ProxyFixture(Stub.nobody(), origin.address());
         Client client = new Client(proxy)) {
-      proxy.module.script = first("cache", "origin", HELD_MS);
-      long startedAt = atRest(client);
+      proxy.module.script = sendAndRetry("cache", "origin", SERVER_DELAY_MS);
+      long startedAt = timeBeforeRoundTrip(client);
       assertEquals("VA 7 O9b", client.request(READ));
       assertEquals(Result.CONNECT_FAILED, proxy.nextAttemptEnded().result());
-      assertLeft(time(next(origin, "Req-Extra: ")), HELD_MS, startedAt);
+      assertTimeLeft(timeLeft(nextLine(origin, "Req-Extra: ")), SERVER_DELAY_MS, startedAt);
     }
   }
 
   @Test
-  void aWriteThatTheOriginTurnedAwayTellsWhatIsLeftWhenItComesAgain() throws Exception {
+  void aRetryOfADeclinedWriteSendsTheTimeLeft() throws Exception {
     try (Stub origin = new Stub(peer -> {
       peer.head();
       peer.bytes(5);
-      Thread.sleep(HELD_MS);
+      Thread.sleep(SERVER_DELAY_MS);
       peer.say("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
       peer.head();
       peer.bytes(5);
       peer.say("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nreceipt");
     }); ProxyFixture proxy = new ProxyFixture(Stub.nobody(), origin.address());
         Client client = new Client(proxy)) {
-      proxy.module.script = first("origin", "origin", 20); // the connection rests for some ms
-      long startedAt = atRest(client);
+      proxy.module.script = sendAndRetry("origin", "origin", 20); // the connection is idle for some ms
+      long startedAt = timeBeforeRoundTrip(client);
       assertEquals("HD O9b creceipt", client.request(WRITE));
-      assertLeft(time(next(origin, "Req-Extra: ")), 0, startedAt);
-      String again = next(origin, "Req-Extra: ");
-      assertLeft(time(again), HELD_MS, startedAt);
-      assertEquals("Req-Extra: c=put,t=acme,d=" + time(again) + ",k=5c0f", again);
+      assertTimeLeft(timeLeft(nextLine(origin, "Req-Extra: ")), 0, startedAt);
+      String retry = nextLine(origin, "Req-Extra: ");
+      assertTimeLeft(timeLeft(retry), SERVER_DELAY_MS, startedAt);
+      assertEquals("Req-Extra: c=put,t=acme,d=" + timeLeft(retry) + ",k=5c0f", retry);
     }
   }
 
   @Test
-  void aRequestThatWaitedForItsConnectionTellsWhatIsLeft() throws Exception {
+  void aRequestThatWaitedForItsConnectionSendsTheTimeLeft() throws Exception {
     try (DelayedListener cache = new DelayedListener();
-        ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody(), 1024, PATIENT, null);
+        ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody(), 1024, LONG_TIMEOUT, null);
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
-      long startedAt = atRest(client);
+      long startedAt = timeBeforeRoundTrip(client);
       client.send(READ);
       proxy.module.next(RequestReceived.class);
-      Thread.sleep(HELD_MS);
+      Thread.sleep(SERVER_DELAY_MS);
       try (Socket late = cache.open()) {
         late.setSoTimeout(5000);
-        assertLeft(time(Stub.readLine(new BufferedInputStream(late.getInputStream()))), HELD_MS, startedAt);
+        assertTimeLeft(timeLeft(Stub.readLine(new BufferedInputStream(late.getInputStream()))),
+            SERVER_DELAY_MS, startedAt);
       }
     }
   }
 
-  /** An attempt with a limit of its own tells no more than that. */
+  /** An attempt with a timeout of its own sends no more time than that. */
   @Test
-  void anAttemptThatIsGivenUpEarlierTellsThat() throws Exception {
+  void anAttemptWithAnEarlierTimeoutSendsThat() throws Exception {
     try (Stub cache = new Stub(peer -> {
       peer.line();
       peer.say("EN O9b\r\n");
@@ -181,41 +184,41 @@
           ? List.of(new Send(e.id(), "cache", 700))
           : event instanceof AttemptEnded e ? List.of(new Refuse(e.id(), 0)) : List.of();
       assertEquals("SERVER_ERROR busy", client.request(READ));
-      int told = time(cache.nextLine());
-      assertTrue(told <= 700 && told > 0, "told " + told);
+      int sentMs = timeLeft(cache.nextLine());
+      assertTrue(sentMs <= 700 && sentMs > 0, "sent " + sentMs);
     }
   }
 
-  /** A client that sends many at once has those wait that are not begun; their time goes on. */
+  /** If a client sends many requests at once, some are queued before they are started; their time runs on. */
   @Test
-  void aRequestThatWaitedBehindOthersOfItsConnectionTellsWhatIsLeft() throws Exception {
-    int many = 33; // one more than are begun at once
+  void aRequestThatWasQueuedBehindOthersSendsTheTimeLeft() throws Exception {
+    int count = 33; // one more than are started at once
     try (Stub cache = new Stub(peer -> {
       for (String line = peer.line(); line != null; line = peer.line()) {
-        Thread.sleep(HELD_MS);
+        Thread.sleep(SERVER_DELAY_MS);
         peer.say("VA 1 " + line.split(" ")[3] + "\r\n1\r\n");
       }
     }); ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
       proxy.sendTo("cache");
       StringBuilder commands = new StringBuilder();
-      for (int i = 0; i < many; i++) {
+      for (int i = 0; i < count; i++) {
         commands.append("mg 7f3a v O").append(i).append("x Pc=read,t=acme,d=4000\r\n");
       }
-      long startedAt = atRest(client);
+      long startedAt = timeBeforeRoundTrip(client);
       client.send(commands.toString());
-      for (int i = 0; i < many; i++) {
+      for (int i = 0; i < count; i++) {
         assertEquals("VA 1 O" + i + "x", client.line());
         assertEquals("1", client.line());
       }
       String last = cache.lines.stream().filter(l -> l.contains(" O32x ")).findFirst().orElseThrow();
-      assertLeft(time(last), HELD_MS, startedAt);
+      assertTimeLeft(timeLeft(last), SERVER_DELAY_MS, startedAt);
     }
   }
 
-  /** Guards against a time of 0 or less, or of one ms that is not left: such an attempt is not made. */
+  /** Guards against sending a time of 0 or less, or of 1 ms that is not left: such an attempt is not made. */
   @Test
-  void anAttemptWithLessThanAMillisecondIsNotMade() throws Exception {
+  void anAttemptWithLessThanAMillisecondLeftIsNotMade() throws Exception {
     try (Stub cache = new Stub(Stub.Peer::beSilent);
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy)) {
--- a/src/test/java/beampoint/serve/UpgradeTest.java
+++ b/src/test/java/beampoint/serve/UpgradeTest.java
@@ -27,24 +27,24 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Processes of one proxy, each a Java machine of its own, replaced under load among scripted peers. */
+/** Processes of one proxy, each in a JVM of its own, that are replaced under load among scripted peers. */
 @Timeout(90)
 class UpgradeTest {
 
-  private static final String LONG = "Olong"; // ids of requests whose value stays half way for a while
-  private static final int LENGTH = 1_000_000;
-  private static final int SPARE = 400; // nodes that nobody plays
-  private static final double MEMORY_MB = 192; // that both processes together may have
-  private static final int DOOR_FREE = 2; // requests an upgrade that may end at the door
+  private static final String LONG_ID = "Olong"; // begins the ids of requests whose value pauses half-way
+  private static final int LONG_VALUE_BYTES = 1_000_000;
+  private static final int SPARE_NODES = 400; // at addresses where nothing listens
+  private static final double MAX_MEMORY_MB = 192; // of both processes together
+  private static final int MAX_LOST = 2; // requests per upgrade, whose connection ends as the listener closes
 
   @TempDir
   private Path directory;
   private final List<Process> processes = new ArrayList<>();
   private final List<ReservedPort> ports = new ArrayList<>();
-  private final Map<String, Integer> runs = new ConcurrentHashMap<>(); // by request
+  private final Map<String, Integer> runs = new ConcurrentHashMap<>(); // by request id
   private final AtomicInteger lost = new AtomicInteger();
   private final AtomicInteger answered = new AtomicInteger();
-  private final AtomicInteger next = new AtomicInteger();
+  private final AtomicInteger lastId = new AtomicInteger();
   private volatile boolean stopped;
   private List<Stub> caches;
   private Stub discovery;
@@ -52,7 +52,7 @@
   private int port;
 
   @BeforeEach
-  void begin() throws Exception {
+  void start() throws Exception {
     caches = List.of(cache(), cache());
     configure("");
   }
@@ -93,10 +93,10 @@
     return new Stub(peer -> {
       for (String line = peer.line(); line != null; line = peer.line()) {
         String id = line.startsWith("mg") ? line.split(" ")[3] : "";
-        if (id.startsWith(LONG)) {
-          peer.say("VA " + LENGTH + " " + id + "\r\n" + "x".repeat(LENGTH / 2));
+        if (id.startsWith(LONG_ID)) {
+          peer.say("VA " + LONG_VALUE_BYTES + " " + id + "\r\n" + "x".repeat(LONG_VALUE_BYTES / 2));
           peer.stub().ends.take();
-          peer.say("x".repeat(LENGTH / 2) + "\r\n");
+          peer.say("x".repeat(LONG_VALUE_BYTES / 2) + "\r\n");
           continue;
         }
         if (!id.isEmpty()) {
@@ -113,8 +113,8 @@
     return reserved.number();
   }
 
-  /** The program as operators run it, with their flags for the Java machine, but from the build's classes. */
-  private Process begin(int ops) throws IOException {
+  /** Starts the program as operators do, with their flags for the JVM, but from the build's classes. */
+  private Process startProcess(int ops) throws IOException {
     List<String> flags = new ArrayList<>();
     String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
         .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
@@ -135,26 +135,26 @@
     try (Client caller = new Client(ops)) {
       return caller.request(what + " HTTP/1.1\r\nHost: ops\r\n\r\n").split(" ")[1];
     } catch (IOException | RuntimeException e) {
-      return "none"; // it does not listen yet
+      return "none"; // the process does not listen yet
     }
   }
 
-  private Process beginAndAwait(int ops) throws Exception {
-    Process process = begin(ops);
+  private Process startAndAwaitReady(int ops) throws Exception {
+    Process process = startProcess(ops);
     while (!call(ops, "GET /_ready").equals("200")) {
-      assertTrue(process.isAlive(), "it ended before it was ready");
+      assertTrue(process.isAlive(), "the process ended before it was ready");
       Thread.onSpinWait();
     }
     return process;
   }
 
-  /** Asks on ever new connections, as fast as answers come, until the test has ended. */
+  /** Starts clients that send each request on a new connection, as fast as answers come, until the end. */
   private List<Thread> load(int clients) {
     List<Thread> threads = new ArrayList<>();
     for (int i = 0; i < clients; i++) {
       Thread thread = new Thread(() -> {
         while (!stopped) {
-          String id = "O" + next.incrementAndGet();
+          String id = "O" + lastId.incrementAndGet();
           try (Client client = new Client(port)) {
             String answer = client.request("mg " + Integer.toHexString(id.hashCode()) + " v " + id
                 + " Pc=read,t=acme,d=900\r\n");
@@ -185,14 +185,14 @@
   }
 
   @Test
-  void anUpgradeLosesNoMoreThanIsFreeAndRunsNothingTwiceAndBansOutlastIt() throws Exception {
+  void anUpgradeLosesFewRequestsAndRunsNoneTwiceAndKeepsBans() throws Exception {
     int first = freePort();
     int second = freePort();
-    Process old = beginAndAwait(first);
+    Process old = startAndAwaitReady(first);
     List<Thread> threads = load(3);
     awaitAnswers(50);
     assertEquals("200", call(first, "POST /_cache-nodes/detach/a"));
-    Process successor = beginAndAwait(second);
+    Process successor = startAndAwaitReady(second);
     caches.get(0).lines.clear();
     old.destroy(); // SIGTERM
     assertTrue(old.waitFor(10, TimeUnit.SECONDS));
@@ -200,19 +200,19 @@
     awaitAnswers(50);
     stop(threads);
     assertTrue(successor.isAlive());
-    assertTrue(lost.get() <= DOOR_FREE, "ended at the door: " + lost);
+    assertTrue(lost.get() <= MAX_LOST, "lost requests: " + lost);
     assertEquals(List.of(), runs.entrySet().stream().filter(e -> e.getValue() > 1).toList(), "run twice");
     assertEquals(List.of(), caches.get(0).lines.stream().filter(l -> l.startsWith("mg")).toList(),
-        "sent to the node that is out");
+        "requests sent to the banned node");
     assertEquals("200", call(second, "POST /_cache-nodes/attach/a"));
   }
 
   /** A new process that is killed, before or after it is ready, leaves the old one serving. */
   @Test
   void aNewProcessThatIsKilledLeavesTheOldOneServing() throws Exception {
-    Process old = beginAndAwait(freePort());
+    Process old = startAndAwaitReady(freePort());
     for (int i = 0; i < 2; i++) {
-      Process successor = i == 0 ? begin(freePort()) : beginAndAwait(freePort());
+      Process successor = i == 0 ? startProcess(freePort()) : startAndAwaitReady(freePort());
       successor.destroyForcibly().waitFor();
       lost.set(0);
       stopped = false;
@@ -224,11 +224,11 @@
     }
   }
 
-  /** The old process may be killed outright: what it held is lost, and the new one serves all that comes. */
+  /** An old process that is killed loses its open requests; the new one serves all that follow. */
   @Test
   void anOldProcessThatIsKilledLeavesTheNewOneServing() throws Exception {
-    Process old = beginAndAwait(freePort());
-    beginAndAwait(freePort());
+    Process old = startAndAwaitReady(freePort());
+    startAndAwaitReady(freePort());
     old.destroyForcibly().waitFor();
     List<Thread> threads = load(2);
     awaitAnswers(50);
@@ -236,39 +236,40 @@
     assertEquals(0, lost.get());
   }
 
-  private static Client askLong(int port, String id) throws IOException {
+  private static Client requestLongValue(int port, String id) throws IOException {
     Client client = new Client(port);
-    assertEquals("VA " + LENGTH + " " + id, client.request("mg 7f3a v " + id + " Pc=read,t=acme,d=900\r\n"));
-    assertEquals(LENGTH / 2, client.bytes(LENGTH / 2).length());
+    assertEquals("VA " + LONG_VALUE_BYTES + " " + id,
+        client.request("mg 7f3a v " + id + " Pc=read,t=acme,d=900\r\n"));
+    assertEquals(LONG_VALUE_BYTES / 2, client.bytes(LONG_VALUE_BYTES / 2).length());
     return client;
   }
 
-  /** Guards against a value that ends with its process: a SIGTERM lets it come to its end. */
+  /** Guards against a value that is truncated when its process ends: after a SIGTERM it is completed. */
   @Test
-  void aLongValueOnItsWayOutlivesASigtermAndIsToldToBeCutOffByAKill() throws Exception {
+  void aLongValueInTransitIsCompletedAfterASigtermAndRecognisablyTruncatedByAKill() throws Exception {
     int first = freePort();
-    Process old = beginAndAwait(first);
-    try (Client ends = askLong(port, LONG + "1")) {
-      Process successor = beginAndAwait(freePort());
+    Process old = startAndAwaitReady(first);
+    try (Client completed = requestLongValue(port, LONG_ID + "1")) {
+      Process successor = startAndAwaitReady(freePort());
       old.destroy();
       while (call(first, "GET /_ready").equals("200")) {
         Thread.onSpinWait();
       }
       caches.forEach(cache -> cache.ends.add(true));
-      assertEquals(LENGTH / 2 + 2, ends.bytes(LENGTH / 2 + 2).length());
+      assertEquals(LONG_VALUE_BYTES / 2 + 2, completed.bytes(LONG_VALUE_BYTES / 2 + 2).length());
       assertTrue(old.waitFor(10, TimeUnit.SECONDS));
       assertEquals(0, old.exitValue());
       caches.forEach(cache -> cache.ends.clear());
-      try (Client cut = askLong(port, LONG + "2")) {
-        Process third = beginAndAwait(freePort());
+      try (Client truncated = requestLongValue(port, LONG_ID + "2")) {
+        Process third = startAndAwaitReady(freePort());
         successor.destroyForcibly().waitFor();
         int rest = 0;
         try {
-          rest = cut.bytes(LENGTH / 2 + 2).length();
+          rest = truncated.bytes(LONG_VALUE_BYTES / 2 + 2).length();
         } catch (IOException e) {
-          // a reset tells as much
+          // a reset shows the truncation too
         }
-        assertTrue(rest < LENGTH / 2 + 2, "the client can tell");
+        assertTrue(rest < LONG_VALUE_BYTES / 2 + 2, "the client can recognise the truncation");
         assertTrue(third.isAlive());
       }
     }
@@ -279,25 +280,26 @@
   }
 
   /**
-   * Guards against a ban that is lost, or a file that is left half written, with the process that stores it:
-   * each is killed while calls come, and what was answered is known to the next.
+   * Guards against a ban that is lost, or a file that is left half written, when the process that stores it
+   * is killed: each process is killed while calls arrive, and the bans that it answered are known to the next.
    */
   @Test
-  void bansThatWereAnsweredOutliveAProcessThatIsKilledWhileItStores() throws Exception {
+  void answeredBansSurviveAProcessThatIsKilledWhileItStores() throws Exception {
     discovery.close();
     StringBuilder spare = new StringBuilder();
-    for (int i = 0; i < SPARE; i++) {
+    for (int i = 0; i < SPARE_NODES; i++) {
       spare.append(',').append(ProxyFixture.host("spare-" + i, Stub.nobody(), "m2"));
     }
     configure(spare.toString());
-    int out = 0;
+    int bans = 0;
     for (int round = 1; round <= 3; round++) {
       int ops = freePort();
-      Process process = beginAndAwait(ops);
-      int from = out;
+      Process process = startAndAwaitReady(ops);
+      int from = bans;
       AtomicInteger done = new AtomicInteger(from);
       Thread caller = new Thread(() -> {
-        while (done.get() < SPARE && call(ops, "POST /_cache-nodes/detach/spare-" + done).equals("200")) {
+        while (done.get() < SPARE_NODES
+            && call(ops, "POST /_cache-nodes/detach/spare-" + done).equals("200")) {
           done.incrementAndGet();
         }
       });
@@ -307,13 +309,13 @@
       }
       process.destroyForcibly().waitFor();
       caller.join();
-      out = done.get();
+      bans = done.get();
       Set<String> stored = storedBans();
-      for (int i = 0; i < out; i++) {
-        assertTrue(stored.contains("spare-" + i), "answered and lost: " + i + " of " + out);
+      for (int i = 0; i < bans; i++) {
+        assertTrue(stored.contains("spare-" + i), "answered but lost: " + i + " of " + bans);
       }
-      assertTrue(stored.size() <= out + 1, "stored and never called: " + stored);
-      out = stored.size();
+      assertTrue(stored.size() <= bans + 1, "stored but never called for: " + stored);
+      bans = stored.size();
     }
   }
 
@@ -325,17 +327,17 @@
     }
   }
 
-  /** Both processes of an upgrade, at their most, and what they share: within what one may have. */
+  /** The peak memory of both processes of an upgrade, with what they share, is within the limit of one. */
   @Test
   void bothProcessesOfAnUpgradeFitTheMemoryOfOne() throws Exception {
-    Process old = beginAndAwait(freePort());
+    Process old = startAndAwaitReady(freePort());
     List<Thread> threads = load(3);
     awaitAnswers(300);
-    Process successor = beginAndAwait(freePort());
+    Process successor = startAndAwaitReady(freePort());
     awaitAnswers(300);
     double both = peakMb(old) + peakMb(successor);
     stop(threads);
-    assertTrue(both > 20 && both < MEMORY_MB, "MB of both: " + both);
+    assertTrue(both > 20 && both < MAX_MEMORY_MB, "MB of both: " + both);
   }
 
   private static double peakMb(Process process) throws IOException {
