--- a/src/test/java/beampoint/serve/ClientConnectionTest.java
+++ b/src/test/java/beampoint/serve/ClientConnectionTest.java
@@ -33,7 +33,7 @@
 
   @Test
   void theModuleIsInformedOfAClientThatDisconnectsAndThenOfTheAttemptsEnd() throws Exception {
-    try (Stub cache = ScriptedCache.held();
+    try (Stub cache = ScriptedCache.answeringOnSignal();
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody())) {
       proxy.sendTo("cache");
       Client client = new Client(proxy);
@@ -128,7 +128,7 @@
   /** Guards against two open requests with the same id, because answers name their request by its id. */
   @Test
   void anIdThatIsInUseIsRejected() throws Exception {
-    try (Stub cache = ScriptedCache.held();
+    try (Stub cache = ScriptedCache.answeringOnSignal();
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client client = new Client(proxy); Client other = new Client(proxy)) {
       proxy.sendTo("cache");
--- a/src/test/java/beampoint/serve/ConnectionLimitTest.java
+++ b/src/test/java/beampoint/serve/ConnectionLimitTest.java
@@ -147,7 +147,7 @@
   /** Guards against a request that is lost, or sent twice, as its idle connection is being evicted. */
   @Test
   void aCommandThatWasReadIsAnsweredThoughItsConnectionWasChosenForEviction() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
+    CountDownLatch unblocked = new CountDownLatch(1);
     List<Client> all = new ArrayList<>();
     try (ProxyFixture proxy = new ProxyFixture(Stub.nobody(), Stub.nobody(), 32 + 2 * 40)) {
       for (int i = 0; i < 28; i++) {
@@ -156,7 +156,7 @@
       }
       proxy.module.script = event -> {
         if (event instanceof RequestReceived e) {
-          ProxyFixture.await(held);
+          ProxyFixture.await(unblocked);
           return List.of(new Refuse(e.id(), 0));
         }
         return List.of();
@@ -165,7 +165,7 @@
       proxy.module.next(RequestReceived.class);
       all.add(new Client(proxy)); // one too many: the first is to be evicted
       all.get(0).send(READ.replace("O9b", "Oidle"));
-      held.countDown();
+      unblocked.countDown();
       assertEquals("SERVER_ERROR busy", all.get(0).line());
       assertNull(all.get(1).line(), "the next idle client was evicted");
     } finally {
--- a/src/test/java/beampoint/serve/LateConnectionTest.java
+++ b/src/test/java/beampoint/serve/LateConnectionTest.java
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Guards against a request that awaits its connection to a draining node beyond the grace period. */
+  /** Guards against sending a request to a draining node after the grace period as its connection came late. */
   @Test
   void aRequestThatAwaitsAConnectionToADrainingNodeFailsOverAtOnce() throws Exception {
     String draining = ProxyFixture.host("cache", "127.0.0.1:9", "m2").replace("Ready", "Terminating");
--- a/src/test/java/beampoint/serve/OperationsTest.java
+++ b/src/test/java/beampoint/serve/OperationsTest.java
@@ -279,7 +279,7 @@
     Proxy proxy = proxy(module, 2000);
     List<SocketChannel> open = new ArrayList<>();
     try {
-      connect(proxy, open, 50); // which also pay costs that occur once
+      connect(proxy, open, 50); // the first connections also pay one-time costs
       double before = heapInUse();
       connect(proxy, open, 350);
       double bytesEach = (heapInUse() - before) / 300;
--- a/src/test/java/beampoint/serve/ProxyLifecycleTest.java
+++ b/src/test/java/beampoint/serve/ProxyLifecycleTest.java
@@ -119,7 +119,7 @@
 
   @Test
   void anOpenRequestIsAnsweredBeforeTheShutdownEndsAndIdleClientsAreClosed() throws Exception {
-    try (Stub cache = ScriptedCache.held();
+    try (Stub cache = ScriptedCache.answeringOnSignal();
         ProxyFixture proxy = new ProxyFixture(cache.address(), Stub.nobody());
         Client busy = new Client(proxy); Client idle = new Client(proxy)) {
       proxy.sendTo("cache");
--- a/src/test/java/beampoint/serve/ProxyRequestTest.java
+++ b/src/test/java/beampoint/serve/ProxyRequestTest.java
@@ -183,7 +183,7 @@
   /** Guards against connections or memory that are kept for a host that is gone or has been replaced. */
   @Test
   void aNewHostAtAnOldAddressInheritsNoConnection() throws Exception {
-    try (Stub cache = ScriptedCache.held(); Stub discovery = new Stub(peer -> {
+    try (Stub cache = ScriptedCache.answeringOnSignal(); Stub discovery = new Stub(peer -> {
       peer.head();
       peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       peer.stub().ends.take(); // until the first request is in flight
--- a/src/test/java/beampoint/serve/ScriptedCache.java
+++ b/src/test/java/beampoint/serve/ScriptedCache.java
@@ -25,7 +25,7 @@
   }
 
   /** A cache node that answers a read only once the test adds to the stub's {@code ends}. */
-  static Stub held() throws Exception {
+  static Stub answeringOnSignal() throws Exception {
     return new Stub(peer -> {
       peer.line();
       peer.stub().ends.take();
--- a/src/test/java/beampoint/serve/UpgradeTest.java
+++ b/src/test/java/beampoint/serve/UpgradeTest.java
@@ -281,7 +281,7 @@
 
   /**
    * Guards against a ban that is lost, or a file that is left half written, when the process that stores it
-   * is killed: each process is killed while calls arrive, and the bans that it answered are known to the next.
+   * is killed: each process is killed while calls arrive, and the next knows the bans that it had answered.
    */
   @Test
   void answeredBansSurviveAProcessThatIsKilledWhileItStores() throws Exception {
