--- a/src/test/java/beampoint/serve/LateConnectionTest.java
+++ b/src/test/java/beampoint/serve/LateConnectionTest.java
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Guards against sending a request to a draining node after the grace period as its connection came late. */
+  /** Guards against sending to a draining node after the grace period, as the connection came late. */
   @Test
   void aRequestThatAwaitsAConnectionToADrainingNodeFailsOverAtOnce() throws Exception {
     String draining = ProxyFixture.host("cache", "127.0.0.1:9", "m2").replace("Ready", "Terminating");
