--- a/src/test/java/beampoint/soak/CachePeer.java
+++ b/src/test/java/beampoint/soak/CachePeer.java
@@ -7,16 +7,18 @@
 import java.net.SocketTimeoutException;
 import java.util.SplittableRandom;
 
-/** A cache node that answers as its behavior say, each attempt by a draw of its own. */
+/** A scripted cache node; a random draw decides, by the parts in its behavior, how it answers an attempt. */
 final class CachePeer extends SoakPeer {
 
   /**
-   * Parts of all attempts, of which the rest is answered after the latency; an idle time of 0 is for ever.
+   * The parts of all attempts, from 0 to 1, that get no answer, a rejection, a late answer, a reset or a
+   * miss. All others are answered with a hit after a random time of mean {@code latencyMs}. A connection that
+   * is idle for {@code idleMs} is closed; 0 means no limit.
    */
-  record Behavior(double hangs, double turnsAway, double late, double resets, double misses, double latencyMs,
+  record Behavior(double hangs, double rejects, double late, double resets, double misses, double latencyMs,
       int idleMs) {}
 
-  private static final double LATEST_MS = 4000;
+  private static final double MAX_DELAY_MS = 4000;
 
   private final Behavior behavior;
 
@@ -33,49 +35,49 @@
         peer.socket.setSoTimeout(0);
         if (line.equals("mn")) {
           peer.say("MN\r\n");
-        } else if (!read(peer, line.split(" "))) {
+        } else if (!answerRead(peer, line.split(" "))) {
           return;
         }
         peer.socket.setSoTimeout(behavior.idleMs());
       }
     } catch (SocketTimeoutException e) {
-      peer.socket.close(); // it has stood idle for its time
+      peer.socket.close(); // idle for its time limit
     }
   }
 
-  /** Answers {@code mg KEY v OID PLIST}; false where the connection has ended. */
-  private boolean read(Stub.Peer peer, String[] words) throws IOException {
+  /** Answers {@code mg KEY v OID PLIST}; false if the connection has ended. */
+  private boolean answerRead(Stub.Peer peer, String[] fields) throws IOException {
     double now = context.clock().now();
-    Request request = words.length < 5 ? null : context.requests().of(words[3].substring(1));
+    Request request = fields.length < 5 ? null : context.requests().get(fields[3].substring(1));
     if (request == null) {
       peer.say("CLIENT_ERROR not understood\r\n");
       return true;
     }
-    double told =
-        RequestRegistry.number(words[4].substring(1), "d") + (context.injects(Check.TIME_TOLD) ? 1000 : 0);
-    request.came(new Attempt(now, name, told));
-    double luck = draw();
-    if ((luck -= behavior.hangs()) < 0) {
+    double deadlineMs = RequestRegistry.parameter(fields[4].substring(1), "d")
+        + (context.injects(Check.TIME_TOLD) ? 1000 : 0);
+    request.recordAttempt(new Attempt(now, name, deadlineMs));
+    double draw = draw();
+    if ((draw -= behavior.hangs()) < 0) {
       peer.beSilent();
       return false;
-    } else if ((luck -= behavior.turnsAway()) < 0) {
+    } else if ((draw -= behavior.rejects()) < 0) {
       peer.say("SERVER_ERROR busy\r\n");
-    } else if ((luck -= behavior.late()) < 0) {
-      RunClock.sleep(Math.min(LATEST_MS, request.waitMs * 2 * draw()));
-      value(peer, request);
-    } else if ((luck -= behavior.resets()) < 0) {
+    } else if ((draw -= behavior.late()) < 0) {
+      RunClock.sleep(Math.min(MAX_DELAY_MS, request.deadlineMs * 2 * draw()));
+      sendValue(peer, request);
+    } else if ((draw -= behavior.resets()) < 0) {
       peer.reset();
       return false;
-    } else if ((luck - behavior.misses()) < 0) {
+    } else if ((draw - behavior.misses()) < 0) {
       peer.say("EN O" + request.id + " h0\r\n");
     } else {
       RunClock.sleep(behavior.latencyMs() * 2 * draw());
-      value(peer, request);
+      sendValue(peer, request);
     }
     return true;
   }
 
-  private void value(Stub.Peer peer, Request request) throws IOException {
+  private void sendValue(Stub.Peer peer, Request request) throws IOException {
     String value = context.injects(Check.ONE_ANSWER) ? "another" : request.id;
     peer.say("VA " + value.length() + " O" + request.id + " h1\r\n" + value + "\r\n");
   }
--- a/src/test/java/beampoint/soak/Checks.java
+++ b/src/test/java/beampoint/soak/Checks.java
@@ -9,93 +9,95 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Compares what was seen of requests with the operators' rules. */
+/** Checks the recorded requests against the operators' rules. */
 final class Checks {
 
-  /** A process that was sent SIGTERM, and at the earliest time for that SIGKILL; both in ms of the run. */
-  record Kill(double toldAt, double at) {}
+  /** A process that got SIGTERM and, at the earliest time allowed, SIGKILL; both times in ms of the run. */
+  record Kill(double sigtermAt, double sigkillAt) {}
 
   private Checks() {}
 
   /**
-   * Checks all requests; the nodes that were told to drain come with the time by which every process knew.
+   * Checks all requests. {@code drainKnownAt} has, for each node that drains, the time by which every process
+   * has received the drain, in ms of the run.
    */
-  static List<Violation> of(Collection<Request> requests, Map<String, Double> drainKnownAt,
+  static List<Violation> findViolations(Collection<Request> requests, Map<String, Double> drainKnownAt,
       List<Kill> kills) {
-    List<Violation> found = new ArrayList<>();
+    List<Violation> violations = new ArrayList<>();
     for (Request request : requests) {
-      answer(request, kills, found);
-      effects(request, found);
+      checkAnswer(request, kills, violations);
+      checkEffects(request, violations);
       for (Attempt attempt : request.attempts()) {
-        attempt(request, attempt, drainKnownAt, found);
+        checkAttempt(request, attempt, drainKnownAt, violations);
       }
     }
-    return found;
+    return violations;
   }
 
-  private static void answer(Request request, List<Kill> kills, List<Violation> found) {
-    if (request.answers() > 1 || request.isSpoilt()) {
-      found.add(new Violation(Check.ONE_ANSWER, request.answeredAt(), request.id,
-          request.answers() + " answers" + (request.isSpoilt() ? ", one not made for it" : "")));
+  private static void checkAnswer(Request request, List<Kill> kills, List<Violation> violations) {
+    if (request.answers() > 1 || request.hasWrongAnswer()) {
+      violations.add(new Violation(Check.ONE_ANSWER, request.answeredAt(), request.id,
+          request.answers() + " answers" + (request.hasWrongAnswer() ? ", one not made for it" : "")));
     }
-    if (request.answers() == 0 && !request.hasLeft() && request.isForwarded()) {
-      found.add(lost(request, kills));
+    if (request.answers() == 0 && !request.hasClientClosed() && request.isForwarded()) {
+      violations.add(lost(request, kills));
     }
-    double due = Math.max(request.sentAt() + request.waitMs + Bounds.LOST_AFTER_MS, request.readFrom());
-    if (request.answers() > 0 && request.answeredAt() > due) {
-      found.add(new Violation(Check.ANSWER_IN_TIME, request.sentAt(), request.answeredAt(),
-          request.answeredAt() - due, request.id,
-          "answered " + ms(request.answeredAt() - due + Bounds.LOST_AFTER_MS) + " after its time of "
-              + ms(request.waitMs)));
+    double latestAnswerAt =
+        Math.max(request.sentAt() + request.deadlineMs + Bounds.ANSWER_GRACE_MS, request.readingSince());
+    if (request.answers() > 0 && request.answeredAt() > latestAnswerAt) {
+      violations.add(new Violation(Check.ANSWER_IN_TIME, request.sentAt(), request.answeredAt(),
+          request.answeredAt() - latestAnswerAt, request.id,
+          "answered " + ms(request.answeredAt() - latestAnswerAt + Bounds.ANSWER_GRACE_MS)
+              + " after its time of " + ms(request.deadlineMs)));
     }
   }
 
   private static Violation lost(Request request, List<Kill> kills) {
     for (Kill kill : kills) {
-      if (request.sentAt() <= kill.at() && request.endedAt() >= kill.at()) {
+      if (request.sentAt() <= kill.sigkillAt() && request.connectionEndedAt() >= kill.sigkillAt()) {
         return lostBySigkill(request, kill);
       }
     }
-    return new Violation(Check.NOT_LOST, request.endedAt(), request.id,
+    return new Violation(Check.NOT_LOST, request.connectionEndedAt(), request.id,
         "forwarded, and its connection ended with no answer; sent at " + ms(request.sentAt()));
   }
 
   /**
-   * A request that a SIGKILL at its earliest finds open. A process that was held up for longer than the pages
-   * ask it to bear, between the two signals, could not end it.
+   * A request that is unanswered at a SIGKILL. It is excused if the process was stalled between the two
+   * signals for longer than the pause that it has to tolerate, as it could then not finish the request.
    */
   static Violation lostBySigkill(Request request, Kill kill) {
-    return new Violation(Check.NOT_LOST, kill.toldAt(), kill.at(), Bounds.HELD_UP_MS, request.id,
+    return new Violation(Check.NOT_LOST, kill.sigtermAt(), kill.sigkillAt(), Bounds.MAX_PAUSE_MS, request.id,
         "sent at " + ms(request.sentAt()) + " and found unanswered by SIGKILL, SIGTERM at "
-            + ms(kill.toldAt()));
+            + ms(kill.sigtermAt()));
   }
 
-  private static void effects(Request request, List<Violation> found) {
+  private static void checkEffects(Request request, List<Violation> violations) {
     if (request.kind != Kind.READ && request.effects() > 1) {
-      found.add(new Violation(Check.EFFECT_ONCE, request.attempts().get(0).at(), request.id,
+      violations.add(new Violation(Check.EFFECT_ONCE, request.attempts().get(0).at(), request.id,
           request.effects() + " effects of a " + request.kind + " write"));
     }
   }
 
-  private static void attempt(Request request, Attempt attempt, Map<String, Double> drainKnownAt,
-      List<Violation> found) {
-    double beyond = attempt.at() - request.leftAt() - Bounds.LEFT_SLACK_MS;
-    if (beyond > 0) {
-      found.add(new Violation(Check.NOT_AFTER_LEAVING, request.leftAt(), attempt.at(), beyond, request.id,
-          "sent to " + attempt.peer() + " " + ms(attempt.at() - request.leftAt())
+  private static void checkAttempt(Request request, Attempt attempt, Map<String, Double> drainKnownAt,
+      List<Violation> violations) {
+    double excessMs = attempt.at() - request.clientClosedAt() - Bounds.CANCEL_TOLERANCE_MS;
+    if (excessMs > 0) {
+      violations.add(new Violation(Check.NOT_AFTER_LEAVING, request.clientClosedAt(), attempt.at(), excessMs,
+          request.id, "sent to " + attempt.peer() + " " + ms(attempt.at() - request.clientClosedAt())
               + " after its client's close"));
     }
-    double left = request.sentAt() + request.waitMs - attempt.at();
-    beyond = attempt.toldMs() - left - Bounds.TOLD_SLACK_MS;
-    if (beyond > 0) {
-      found.add(new Violation(Check.TIME_TOLD, request.sentAt(), attempt.at(), beyond, request.id,
-          attempt.peer() + " was told " + ms(attempt.toldMs()) + ", left were " + ms(left)));
+    double remaining = request.sentAt() + request.deadlineMs - attempt.at();
+    excessMs = attempt.deadlineMs() - remaining - Bounds.DEADLINE_TOLERANCE_MS;
+    if (excessMs > 0) {
+      violations.add(new Violation(Check.TIME_TOLD, request.sentAt(), attempt.at(), excessMs, request.id,
+          attempt.peer() + " was told " + ms(attempt.deadlineMs()) + ", left were " + ms(remaining)));
     }
-    double known = drainKnownAt.getOrDefault(attempt.peer(), Double.POSITIVE_INFINITY);
-    beyond = attempt.at() - known - Bounds.DRAIN_GRACE_MS - Bounds.LIMIT_SLACK_MS;
-    if (beyond > 0) {
-      found.add(new Violation(Check.DRAIN, known, attempt.at(), beyond, request.id,
-          "sent to " + attempt.peer() + " " + ms(attempt.at() - known) + " after its drain was told"));
+    double drainKnown = drainKnownAt.getOrDefault(attempt.peer(), Double.POSITIVE_INFINITY);
+    excessMs = attempt.at() - drainKnown - Bounds.DRAIN_GRACE_MS - Bounds.TIMEOUT_TOLERANCE_MS;
+    if (excessMs > 0) {
+      violations.add(new Violation(Check.DRAIN, drainKnown, attempt.at(), excessMs, request.id,
+          "sent to " + attempt.peer() + " " + ms(attempt.at() - drainKnown) + " after its drain was told"));
     }
   }
 
--- a/src/test/java/beampoint/soak/DiscoveryPeer.java
+++ b/src/test/java/beampoint/soak/DiscoveryPeer.java
@@ -11,16 +11,16 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Discovery: the whole list to each watch, changes as they come, and a sign of life; it can fall silent. */
+/** A scripted discovery service: sends each watch the full list, changes and heartbeats, unless silent. */
 final class DiscoveryPeer implements AutoCloseable {
 
-  private static final double SIGN_OF_LIFE_MS = 1000;
-  private static final double SLOW_TO_TELL_MS = 6000; // after which a change counts as told in any case
+  private static final double HEARTBEAT_INTERVAL_MS = 1000;
+  private static final double MAX_PROPAGATION_MS = 6000; // a change counts as known to all after this time
 
   private final RunContext context;
   private final Stub stub;
   private final Map<String, String> entries = new LinkedHashMap<>(); // by host
-  private final List<String> remembered = new ArrayList<>(); // the entries as they were at first
+  private final List<String> initialEntries = new ArrayList<>(); // entries before any change
   private final Set<Stub.Peer> watches = ConcurrentHashMap.newKeySet();
   private final Map<String, Double> drainKnownAt = new TreeMap<>();
   private volatile boolean silent;
@@ -30,7 +30,7 @@
   DiscoveryPeer(RunContext context) throws IOException {
     this.context = context;
     this.stub = new Stub(this::serve);
-    Thread thread = new Thread(this::showLife, "soak-discovery");
+    Thread thread = new Thread(this::sendHeartbeats, "soak-discovery");
     thread.setDaemon(true);
     thread.start();
   }
@@ -39,24 +39,24 @@
     return stub.address();
   }
 
-  synchronized void add(String host, String dial, String kind) {
-    entries.put(host, entry(host, dial, kind, "Ready"));
-    remembered.add(entries.get(host));
+  synchronized void add(String host, String address, String hostClass) {
+    entries.put(host, entry(host, address, hostClass, "Ready"));
+    initialEntries.add(entries.get(host));
   }
 
-  private static String entry(String host, String dial, String kind, String health) {
-    return "{\"host\":\"" + host + "\",\"dial\":\"" + dial + "\",\"site\":\"a\",\"class\":\"" + kind
+  private static String entry(String host, String address, String hostClass, String health) {
+    return "{\"host\":\"" + host + "\",\"dial\":\"" + address + "\",\"site\":\"a\",\"class\":\"" + hostClass
         + "\",\"block\":0,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
   }
 
-  /** The list as a configuration remembers it, which knows of no change. */
-  synchronized String known() {
-    return "{\"seq\":1,\"whole\":true,\"hosts\":[" + String.join(",", remembered) + "]}";
+  /** The list without any change, as a configuration file has it for the start of a proxy. */
+  synchronized String initialList() {
+    return "{\"seq\":1,\"whole\":true,\"hosts\":[" + String.join(",", initialEntries) + "]}";
   }
 
-  /** Takes no call and says nothing on open watches, or serves again. */
-  synchronized void silent(boolean on) {
-    silent = on;
+  /** While silent, answers no call and sends nothing on open watches. */
+  synchronized void setSilent(boolean silent) {
+    this.silent = silent;
     notifyAll();
   }
 
@@ -82,9 +82,9 @@
     peer.say(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
   }
 
-  private void showLife() {
+  private void sendHeartbeats() {
     while (!closed) {
-      RunClock.sleep(SIGN_OF_LIFE_MS);
+      RunClock.sleep(HEARTBEAT_INTERVAL_MS);
       if (!silent) {
         for (Stub.Peer peer : watches) {
           try {
@@ -98,25 +98,26 @@
   }
 
   /**
-   * Tells that a host drains; so many processes should have a watch, else the change counts as told later.
+   * Announces on all watches that a host drains. If fewer than {@code processes} watches get it, the change
+   * counts as known to all only after {@link #MAX_PROPAGATION_MS}.
    */
-  synchronized void drain(String host, String dial, int processes) {
-    String entry = entry(host, dial, "m2", context.injects(Check.DRAIN) ? "Ready" : "Terminating");
+  synchronized void drain(String host, String address, int processes) {
+    String entry = entry(host, address, "m2", context.injects(Check.DRAIN) ? "Ready" : "Terminating");
     entries.put(host, entry);
-    int told = 0;
+    int notified = 0;
     for (Stub.Peer peer : watches) {
       try {
         write(peer, false, List.of(entry));
-        told++;
+        notified++;
       } catch (IOException e) {
         watches.remove(peer);
       }
     }
-    boolean allTold = told >= processes && !silent;
-    drainKnownAt.put(host, context.clock().now() + (allTold ? 0 : SLOW_TO_TELL_MS));
+    boolean allNotified = notified >= processes && !silent;
+    drainKnownAt.put(host, context.clock().now() + (allNotified ? 0 : MAX_PROPAGATION_MS));
   }
 
-  /** By when every process knew, or counts as told, of each drain; in ms of the run. */
+  /** By host, the time by which its drain counts as known to every process, in ms of the run. */
   synchronized Map<String, Double> drainKnownAt() {
     return new TreeMap<>(drainKnownAt);
   }
--- a/src/test/java/beampoint/soak/Instance.java
+++ b/src/test/java/beampoint/soak/Instance.java
@@ -3,12 +3,12 @@
 import beampoint.emulator.ReservedPort;
 import java.io.IOException;
 
-/** An address of clients, one of operators where upgrades are played, and the process that serves there. */
+/** A client address, an operations address if the run has upgrades, and the process that serves there. */
 final class Instance implements AutoCloseable {
 
   final String name;
   private final ReservedPort clientPort = new ReservedPort();
-  private ReservedPort opsPort; // null for none
+  private ReservedPort opsPort; // null if none
   private ServeProcess process;
 
   Instance(String name, boolean hasOps) throws IOException {
@@ -20,7 +20,7 @@
     return clientPort.number();
   }
 
-  /** 0 for none. */
+  /** The port of the operations address; 0 if there is none. */
   int opsPort() {
     return opsPort == null ? 0 : opsPort.number();
   }
@@ -29,15 +29,15 @@
     return process;
   }
 
-  void servedBy(ServeProcess next) {
-    process = next;
+  void setProcess(ServeProcess newProcess) {
+    process = newProcess;
   }
 
-  /** A new process of this instance has taken over, and is told by operators on a port of its own. */
-  void servedBy(ServeProcess next, ReservedPort nextOpsPort) throws IOException {
+  /** A new process of this instance has taken over; it has an operations port of its own. */
+  void replaceProcess(ServeProcess newProcess, ReservedPort newOpsPort) throws IOException {
     opsPort.close();
-    opsPort = nextOpsPort;
-    process = next;
+    opsPort = newOpsPort;
+    process = newProcess;
   }
 
   @Override
--- a/src/test/java/beampoint/soak/Instances.java
+++ b/src/test/java/beampoint/soak/Instances.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** The instances of a run and their processes: their starts, signals and ends, and what each must keep. */
+/** The instances of a run: starts, signals and stops their processes, and checks the rules for processes. */
 final class Instances implements AutoCloseable {
 
-  static final int ATTEMPTS = 3;
-  private static final int EXIT_BY_SIGTERM = 143;
+  static final int MAX_ATTEMPTS = 3;
+  private static final int SIGTERM_EXIT_CODE = 143;
   private static final List<String> ZERO_COUNTERS =
       List.of("answers_overdue", "invariants_broken", "logic_exceptions");
 
@@ -23,10 +23,10 @@
   private final Path directory;
   private final RunContext context;
   private final RunClock clock;
-  private final StallTrace holds = new StallTrace();
+  private final StallTrace pauses = new StallTrace();
   private final List<Kill> kills = new ArrayList<>();
-  private final List<Instance> served = new ArrayList<>();
-  private final List<ServeProcess> started = new ArrayList<>();
+  private final List<Instance> instances = new ArrayList<>();
+  private final List<ServeProcess> processes = new ArrayList<>();
 
   Instances(SoakPlan plan, DiscoveryPeer discovery, Path directory, RunContext context) throws IOException {
     this.deadlineMs = plan.deadlineMs();
@@ -35,17 +35,17 @@
     this.context = context;
     this.clock = context.clock();
     for (int i = 0; i < plan.processes(); i++) {
-      served.add(new Instance("n" + i, plan.upgrades()));
+      instances.add(new Instance("n" + i, plan.upgrades()));
     }
   }
 
-  List<Instance> served() {
-    return served;
+  List<Instance> all() {
+    return instances;
   }
 
-  /** When processes were stopped by the harness. */
-  StallTrace holds() {
-    return holds;
+  /** When the harness paused processes with SIGSTOP. */
+  StallTrace pauses() {
+    return pauses;
   }
 
   List<Kill> kills() {
@@ -54,12 +54,12 @@
 
   // ---- Starts ---------------------------------------------------------------------------------------------
 
-  /** Starts one more process at an instance's address of clients. */
+  /** Starts another process at an instance's client address. */
   ServeProcess start(Instance instance, int opsPort) throws IOException {
-    Path config = configure(instance, opsPort, ATTEMPTS);
-    Path log = directory.resolve(instance.name + "-" + started.size() + ".log");
+    Path config = configure(instance, opsPort, MAX_ATTEMPTS);
+    Path log = directory.resolve(instance.name + "-" + processes.size() + ".log");
     ServeProcess process = ServeProcess.start(SoakConfig.command(), config, log, directory, clock);
-    started.add(process);
+    processes.add(process);
     return process;
   }
 
@@ -67,32 +67,32 @@
     Path config = directory.resolve(instance.name + ".json");
     Path next = directory.resolve(instance.name + ".next");
     Files.writeString(next,
-        SoakConfig.text(instance.name, instance.clientPort(), opsPort, discovery.address(),
-            discovery.known(), deadlineMs, attempts));
+        SoakConfig.json(instance.name, instance.clientPort(), opsPort, discovery.address(),
+            discovery.initialList(), deadlineMs, attempts));
     return Files.move(next, config, StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** Starts a process at each address; false where one does not get ready. */
+  /** Starts a process for each instance; false if one of them does not become ready. */
   boolean startAll() throws IOException {
-    for (Instance instance : served) {
-      instance.servedBy(start(instance, instance.opsPort()));
+    for (Instance instance : instances) {
+      instance.setProcess(start(instance, instance.opsPort()));
     }
     boolean ready = true;
-    for (Instance instance : served) {
+    for (Instance instance : instances) {
       ServeProcess process = instance.process();
-      ready &=
-          checkReady(process, process.awaitReady(instance.clientPort(), Bounds.READY_MS), Bounds.READY_MS);
+      ready &= checkReady(process, process.awaitReady(instance.clientPort(), Bounds.MAX_START_MS),
+          Bounds.MAX_START_MS);
     }
     return ready;
   }
 
-  /** Notes a start that took over the longest time; false where it is not ready at all. */
-  boolean checkReady(ServeProcess process, double tookMs, double longestMs) {
-    boolean isReady = !Double.isNaN(tookMs);
-    if (!isReady || tookMs > longestMs || context.injects(Check.READY)) {
-      double over = isReady && tookMs > longestMs ? tookMs - longestMs : Double.POSITIVE_INFINITY;
-      context.found().add(new Violation(Check.READY, process.startedAt(), clock.now(), over, process.name(),
-          isReady ? "ready after " + Math.round(tookMs) + " ms" : "not ready"));
+  /** Records a violation if a start took longer than {@code maxMs}; false if the process is not ready. */
+  boolean checkReady(ServeProcess process, double startupMs, double maxMs) {
+    boolean isReady = !Double.isNaN(startupMs);
+    if (!isReady || startupMs > maxMs || context.injects(Check.READY)) {
+      double excessMs = isReady && startupMs > maxMs ? startupMs - maxMs : Double.POSITIVE_INFINITY;
+      context.violations().add(new Violation(Check.READY, process.startedAt(), clock.now(), excessMs,
+          process.name(), isReady ? "ready after " + Math.round(startupMs) + " ms" : "not ready"));
     }
     return isReady;
   }
@@ -103,97 +103,103 @@
     try {
       process.signal(name);
     } catch (IOException e) {
-      throw new IllegalStateException("a signal can't be sent: " + e.getMessage(), e);
+      throw new IllegalStateException("failed to send a signal: " + e.getMessage(), e);
     }
   }
 
   void signalAll(String name) {
-    served.forEach(instance -> signal(instance.process(), name));
+    instances.forEach(instance -> signal(instance.process(), name));
   }
 
-  /** Has each process read its configuration again, with another limit of attempts. */
+  /** Makes each process reload its configuration (SIGHUP), with another limit of attempts. */
   void reloadAll(int attempts) throws IOException {
-    for (Instance instance : served) {
+    for (Instance instance : instances) {
       configure(instance, instance.opsPort(), attempts);
       signal(instance.process(), "HUP");
     }
   }
 
-  /** Stops all processes for a time. */
-  void holdAll(double ms) {
+  /** Pauses all processes for a time, with SIGSTOP and SIGCONT. */
+  void pauseAll(double ms) {
     double from = clock.now();
     signalAll("STOP");
     RunClock.sleep(ms);
     signalAll("CONT");
-    holds.addHold("all", from, clock.now());
+    pauses.addPause("all", from, clock.now());
   }
 
   // ---- Ends -----------------------------------------------------------------------------------------------
 
-  void awaitEnds(double toldAt) throws IOException {
-    for (Instance instance : served) {
-      awaitEnd(instance.process(), toldAt, false);
+  void awaitAllExits(double sigtermAt) throws IOException {
+    for (Instance instance : instances) {
+      awaitExit(instance.process(), sigtermAt, false);
     }
   }
 
-  /** Waits for the end after a SIGTERM; what still runs at the earliest SIGKILL gets it. */
-  void awaitEnd(ServeProcess process, double toldAt, boolean mayDieUnheard) throws IOException {
+  /**
+   * Waits for the exit after a SIGTERM and checks it. A process that still runs at the earliest time for
+   * SIGKILL gets one. {@code mayExitBySignal} allows the exit code of a JVM that SIGTERM ends before the
+   * proxy's code handles the signal.
+   */
+  void awaitExit(ServeProcess process, double sigtermAt, boolean mayExitBySignal) throws IOException {
     if (context.injects(Check.EXIT)) {
       signal(process, "KILL");
     }
-    double longest = Math.min(deadlineMs, Bounds.MAX_DEADLINE_MS) + Bounds.KILL_MS;
-    boolean killed = !process.awaitEnd(toldAt + longest);
+    double timeoutMs = Math.min(deadlineMs, Bounds.MAX_DEADLINE_MS) + Bounds.SIGKILL_DELAY_MS;
+    boolean killed = !process.awaitExit(sigtermAt + timeoutMs);
     if (killed) {
-      kill(process, toldAt);
-    } else if (process.exitCode() != 0 && !(mayDieUnheard && process.exitCode() == EXIT_BY_SIGTERM)) {
-      context.found().add(new Violation(Check.EXIT, clock.now(), process.name(),
+      kill(process, sigtermAt);
+    } else if (process.exitCode() != 0 && !(mayExitBySignal && process.exitCode() == SIGTERM_EXIT_CODE)) {
+      context.violations().add(new Violation(Check.EXIT, clock.now(), process.name(),
           "exit code " + process.exitCode()));
     }
-    checkLimits(process);
+    checkResources(process);
     checkCounters(process, killed);
   }
 
-  private void kill(ServeProcess process, double toldAt) throws IOException {
-    Kill kill = new Kill(toldAt, clock.now());
+  private void kill(ServeProcess process, double sigtermAt) throws IOException {
+    Kill kill = new Kill(sigtermAt, clock.now());
     kills.add(kill);
-    if (served.size() == 1) {
-      findOpen(kill); // else who sent what to which is not known; what was forwarded is checked at the end
+    if (instances.size() == 1) {
+      // With several processes it is not known which of them got a request. Forwarded requests are checked
+      // at the end of the run in any case.
+      reportOpenRequests(kill);
     }
     signal(process, "KILL");
-    process.awaitEnd(clock.now() + Bounds.READY_MS);
+    process.awaitExit(clock.now() + Bounds.MAX_START_MS);
   }
 
-  /** Whatever the process was sent before a SIGKILL must have its answer. */
-  private void findOpen(Kill kill) {
+  /** Records a violation for each request that was sent before a SIGKILL and has no answer. */
+  private void reportOpenRequests(Kill kill) {
     for (Request request : context.requests().all()) {
-      boolean open = request.sentAt() < kill.at() && request.answers() == 0 && !request.hasLeft()
-          && Double.isNaN(request.endedAt());
+      boolean open = request.sentAt() < kill.sigkillAt() && request.answers() == 0
+          && !request.hasClientClosed() && Double.isNaN(request.connectionEndedAt());
       if (open) {
-        context.found().add(Checks.lostBySigkill(request, kill));
+        context.violations().add(Checks.lostBySigkill(request, kill));
       }
     }
   }
 
-  /** Notes each process that has ended though nobody told it to. */
+  /** Records a violation for each process that has exited without a SIGTERM or SIGKILL from the harness. */
   void checkAlive() {
-    for (Instance instance : served) {
+    for (Instance instance : instances) {
       ServeProcess process = instance.process();
-      if (process.endedByItself()) {
-        context.found().add(new Violation(Check.EXIT, clock.now(), instance.name,
+      if (process.exitedUnexpectedly()) {
+        context.violations().add(new Violation(Check.EXIT, clock.now(), instance.name,
             "ended by itself, exit code " + process.exitCode()));
       }
     }
   }
 
-  private void checkLimits(ServeProcess process) {
-    int descriptors = process.mostDescriptors();
-    if (descriptors > (context.injects(Check.DESCRIPTORS) ? 1 : SoakConfig.DESCRIPTORS)) {
-      context.found()
+  private void checkResources(ServeProcess process) {
+    int descriptors = process.maxDescriptors();
+    if (descriptors > (context.injects(Check.DESCRIPTORS) ? 1 : SoakConfig.MAX_DESCRIPTORS)) {
+      context.violations()
           .add(new Violation(Check.DESCRIPTORS, clock.now(), process.name(), descriptors + " open"));
     }
-    double memory = process.mostMemoryMb();
-    if (memory > (context.injects(Check.MEMORY) ? 1 : SoakConfig.MEMORY_MB)) {
-      context.found()
+    double memory = process.maxMemoryMb();
+    if (memory > (context.injects(Check.MEMORY) ? 1 : SoakConfig.MAX_MEMORY_MB)) {
+      context.violations()
           .add(new Violation(Check.MEMORY, clock.now(), process.name(), Math.round(memory) + " MB"));
     }
   }
@@ -202,34 +208,35 @@
     Map<String, Long> counters = process.counters();
     if (counters.isEmpty()) {
       if (!killed && process.exitCode() == 0) {
-        context.found().add(new Violation(Check.COUNTERS, clock.now(), process.name(),
+        context.violations().add(new Violation(Check.COUNTERS, clock.now(), process.name(),
             "no counters in its last log line"));
       }
       return;
     }
-    for (String zero : ZERO_COUNTERS) {
-      long seen = counters.get(zero) + (context.injects(Check.COUNTERS) ? 1 : 0);
-      if (seen != 0) {
-        context.found().add(new Violation(Check.COUNTERS, clock.now(), process.name(), zero + "=" + seen));
+    for (String counter : ZERO_COUNTERS) {
+      long value = counters.get(counter) + (context.injects(Check.COUNTERS) ? 1 : 0);
+      if (value != 0) {
+        context.violations()
+            .add(new Violation(Check.COUNTERS, clock.now(), process.name(), counter + "=" + value));
       }
     }
     long taken = counters.get("requests_taken") - counters.get("requests_gone");
     long answered = counters.get("answered_served") + counters.get("answered_refused")
         + counters.get("answered_failed");
     if (taken != answered) {
-      context.found().add(new Violation(Check.NOT_LOST, clock.now(), process.name(),
+      context.violations().add(new Violation(Check.NOT_LOST, clock.now(), process.name(),
           taken + " requests taken whose clients stayed, " + answered + " answered"));
     }
   }
 
-  /** Ends all that runs still. */
+  /** Kills all processes that still run and frees the ports. */
   @Override
   public void close() throws IOException {
-    started.forEach(ServeProcess::destroy);
-    for (ServeProcess process : started) {
-      process.awaitEnd(clock.now() + Bounds.READY_MS);
+    processes.forEach(ServeProcess::destroy);
+    for (ServeProcess process : processes) {
+      process.awaitExit(clock.now() + Bounds.MAX_START_MS);
     }
-    for (Instance instance : served) {
+    for (Instance instance : instances) {
       instance.close();
     }
   }
--- a/src/test/java/beampoint/soak/Request.java
+++ b/src/test/java/beampoint/soak/Request.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What became of one request, as its client and the peers saw it. All times are in ms of the run. */
+/** One request and its events, as recorded by its client and the peers. All times are in ms of the run. */
 final class Request {
 
-  /** A class of requests, as the settings name it. */
+  /** A request class of the settings. */
   enum Kind {
     READ("read", false), KEYED("put", true), UNSAFE("post", true);
 
@@ -19,31 +19,31 @@
     }
   }
 
-  /** An attempt that has come whole at a peer: when, where, and how long it was told to take, in ms. */
-  record Attempt(double at, String peer, double toldMs) {}
+  /** An attempt that a peer has received completely: when, which peer, and the deadline it carried in ms. */
+  record Attempt(double at, String peer, double deadlineMs) {}
 
   final String id;
   final Kind kind;
-  final double waitMs;
-  private double sentAt = Double.POSITIVE_INFINITY; // its last byte
-  private double readFrom; // from when on its client was ready to read the answer
+  final double deadlineMs; // from the sending of the request
+  private double sentAt = Double.POSITIVE_INFINITY; // when its last byte was sent
+  private double readingSince; // since when its client has been ready to read the answer
   private double answeredAt = Double.NaN;
-  private double leftAt = Double.POSITIVE_INFINITY;
-  private double endedAt = Double.NaN; // the connection, with no answer
+  private double clientClosedAt = Double.POSITIVE_INFINITY;
+  private double connectionEndedAt = Double.NaN; // when its connection ended without an answer
   private int answers;
-  private boolean spoilt;
+  private boolean wrongAnswer;
   private final List<Attempt> attempts = new ArrayList<>();
   private final List<Double> effects = new ArrayList<>();
 
-  Request(String id, Kind kind, double waitMs) {
+  Request(String id, Kind kind, double deadlineMs) {
     this.id = id;
     this.kind = kind;
-    this.waitMs = waitMs;
+    this.deadlineMs = deadlineMs;
   }
 
-  /** The line, and for a write the value, that a client sends. */
-  String words() {
-    String list = " O" + id + " Pc=" + kind.className + ",t=acme,d=" + Math.round(waitMs);
+  /** The command line that a client sends and, for a write, the value. */
+  String command() {
+    String list = " O" + id + " Pc=" + kind.className + ",t=acme,d=" + Math.round(deadlineMs);
     String key = id.substring(id.length() - 2);
     return switch (kind) {
       case READ -> "mg k" + key + " v" + list + "\r\n";
@@ -52,43 +52,43 @@
     };
   }
 
-  synchronized void sent(double now) {
+  synchronized void recordSent(double now) {
     sentAt = now;
-    readFrom = now;
+    readingSince = now;
   }
 
-  /** Its client reads from now on; what came before could have been read then at the earliest. */
-  synchronized void readFrom(double now) {
-    readFrom = now;
+  /** The client reads since {@code now}; an answer that came before counts from then. */
+  synchronized void setReadingSince(double now) {
+    readingSince = now;
   }
 
-  /** An answer has come whole; a spoilt one is not for this request, or not what a peer gave for it. */
-  synchronized void answered(double now, boolean isSpoilt) {
+  /** A complete answer has come; a wrong one is for another request or has another value than a peer sent. */
+  synchronized void recordAnswer(double now, boolean isWrong) {
     answers++;
     answeredAt = now;
-    spoilt |= isSpoilt;
+    wrongAnswer |= isWrong;
   }
 
-  synchronized void left(double now) {
-    leftAt = now;
+  synchronized void recordClientClose(double now) {
+    clientClosedAt = now;
   }
 
-  /** Its connection has ended with no answer to it. */
-  synchronized void ended(double now) {
-    endedAt = now;
+  /** The connection has ended without an answer to this request. */
+  synchronized void recordConnectionEnd(double now) {
+    connectionEndedAt = now;
   }
 
-  /** Its client sends it once more, on a new connection. */
-  synchronized void again() {
-    endedAt = Double.NaN;
+  /** The client sends the request again on a new connection. */
+  synchronized void recordResend() {
+    connectionEndedAt = Double.NaN;
   }
 
-  synchronized void came(Attempt attempt) {
+  synchronized void recordAttempt(Attempt attempt) {
     attempts.add(attempt);
   }
 
-  /** A write has been carried out; false, and nothing done, where the peer drops it as a repeat. */
-  synchronized boolean takeEffect(double now, double windowMs) {
+  /** Executes a write; false, with no effect, if it is dropped as a repeat within the dedup window. */
+  synchronized boolean executeWrite(double now, double windowMs) {
     boolean isRepeat = kind == Kind.KEYED && !effects.isEmpty() && now - effects.get(0) <= windowMs;
     if (!isRepeat) {
       effects.add(now);
@@ -112,31 +112,31 @@
     return answers;
   }
 
-  synchronized boolean isSpoilt() {
-    return spoilt;
+  synchronized boolean hasWrongAnswer() {
+    return wrongAnswer;
   }
 
   synchronized double sentAt() {
     return sentAt;
   }
 
-  synchronized double readFrom() {
-    return readFrom;
+  synchronized double readingSince() {
+    return readingSince;
   }
 
   synchronized double answeredAt() {
     return answeredAt;
   }
 
-  synchronized double leftAt() {
-    return leftAt;
+  synchronized double clientClosedAt() {
+    return clientClosedAt;
   }
 
-  synchronized double endedAt() {
-    return endedAt;
+  synchronized double connectionEndedAt() {
+    return connectionEndedAt;
   }
 
-  synchronized boolean hasLeft() {
-    return leftAt < Double.POSITIVE_INFINITY;
+  synchronized boolean hasClientClosed() {
+    return clientClosedAt < Double.POSITIVE_INFINITY;
   }
 }
--- a/src/test/java/beampoint/soak/RequestRegistry.java
+++ b/src/test/java/beampoint/soak/RequestRegistry.java
@@ -12,14 +12,14 @@
   private final Map<String, Request> requests = new ConcurrentHashMap<>();
   private final AtomicLong lastId = new AtomicLong(0x1000);
 
-  Request next(Kind kind, double waitMs) {
-    Request request = new Request(Long.toHexString(lastId.incrementAndGet()), kind, waitMs);
+  Request create(Kind kind, double deadlineMs) {
+    Request request = new Request(Long.toHexString(lastId.incrementAndGet()), kind, deadlineMs);
     requests.put(request.id, request);
     return request;
   }
 
-  /** The request of that id, or null where no client ever sent it. */
-  Request of(String id) {
+  /** The request with this id, or null if no client has sent it. */
+  Request get(String id) {
     return requests.get(id);
   }
 
@@ -27,9 +27,9 @@
     return requests.values();
   }
 
-  /** Of a list of names and values, the number under this name; NaN where it is missing. */
-  static double number(String list, String name) {
-    for (String pair : list.split(",")) {
+  /** A numeric parameter of a comma-separated list of {@code name=value}; NaN if it is missing. */
+  static double parameter(String parameters, String name) {
+    for (String pair : parameters.split(",")) {
       if (pair.startsWith(name + "=")) {
         return Double.parseDouble(pair.substring(name.length() + 1));
       }
--- a/src/test/java/beampoint/soak/RunContext.java
+++ b/src/test/java/beampoint/soak/RunContext.java
@@ -5,10 +5,12 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * What all parties of one run share: its requests, its clock, where broken rules are noted, and the check
- * that an injected fault of the harness's own has to break, null for none.
+ * What the peers, clients and processes of one run share.
+ *
+ * @param violations the violations recorded so far
+ * @param injected the check that a fault injected by the harness has to violate; null for no fault
  */
-record RunContext(RequestRegistry requests, RunClock clock, Queue<Violation> found, Check injected) {
+record RunContext(RequestRegistry requests, RunClock clock, Queue<Violation> violations, Check injected) {
 
   static RunContext injecting(Check injected) {
     return new RunContext(new RequestRegistry(), new RunClock(), new ConcurrentLinkedQueue<>(), injected);
--- a/src/test/java/beampoint/soak/ServeProcess.java
+++ b/src/test/java/beampoint/soak/ServeProcess.java
@@ -15,35 +15,35 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** One real {@code serve} process, started as operators start it, and what can be seen of it from outside. */
+/** A real {@code serve} process, started with the operators' command, and its observed resources and log. */
 final class ServeProcess {
 
-  private static final double ASK_AGAIN_MS = 10;
-  private static final int ANSWER_MS = 1000;
-  private static final double LOOK_MS = 50;
-  private static final double WAITED_MS = 5; // for a processor between two looks; less is usual
-  // Names of threads as the system keeps them, with 15 letters.
+  private static final double POLL_INTERVAL_MS = 10;
+  private static final int READ_TIMEOUT_MS = 1000;
+  private static final double SAMPLE_INTERVAL_MS = 50;
+  private static final double MIN_STALL_MS = 5; // shorter waits for a processor are normal
+  // Thread names as the kernel has them, cut off at 15 characters.
   private static final Set<String> OWN_THREADS = Set.of("java", "configuration", "decisions Selec");
 
   private final Process process;
   private final Path log;
   private final RunClock clock;
   private final double startedAt;
-  private volatile int mostDescriptors;
-  private volatile double mostMemoryMb;
-  private volatile boolean told; // to end
+  private volatile int maxDescriptors;
+  private volatile double maxMemoryMb;
+  private volatile boolean exitRequested;
 
   private ServeProcess(Process process, Path log, RunClock clock) {
     this.process = process;
     this.log = log;
     this.clock = clock;
     this.startedAt = clock.now();
-    Thread thread = new Thread(this::look, "soak-look");
+    Thread thread = new Thread(this::sampleResources, "soak-sampler");
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Starts the command with this configuration; what it prints goes to the log. */
+  /** Starts the command with this configuration; its output goes to the log. */
   static ServeProcess start(List<String> command, Path config, Path log, Path temporary, RunClock clock)
       throws IOException {
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
@@ -54,35 +54,35 @@
     return new ServeProcess(builder.start(), log, clock);
   }
 
-  private void look() {
-    double lookedAt = clock.now();
-    Map<String, Double> waited = waitedMs();
+  private void sampleResources() {
+    double sampledAt = clock.now();
+    Map<String, Double> waited = runQueueWaitMs();
     while (process.isAlive()) {
       String[] open = new File("/proc/" + process.pid() + "/fd").list();
-      mostDescriptors = Math.max(mostDescriptors, open == null ? 0 : open.length);
-      mostMemoryMb = Math.max(mostMemoryMb, memoryMb());
-      RunClock.sleep(LOOK_MS);
+      maxDescriptors = Math.max(maxDescriptors, open == null ? 0 : open.length);
+      maxMemoryMb = Math.max(maxMemoryMb, memoryMb());
+      RunClock.sleep(SAMPLE_INTERVAL_MS);
       double now = clock.now();
-      Map<String, Double> waitedSince = waitedMs();
-      noteWaits(waited, waitedSince, lookedAt, now);
-      waited = waitedSince;
-      lookedAt = now;
+      Map<String, Double> waitedNow = runQueueWaitMs();
+      recordStall(waited, waitedNow, sampledAt, now);
+      waited = waitedNow;
+      sampledAt = now;
     }
   }
 
-  /** Notes the longest time for which one of its own threads could run and had no processor. */
-  private void noteWaits(Map<String, Double> before, Map<String, Double> after, double from, double to) {
+  /** Records the longest time for which one of the process's own threads waited for a processor. */
+  private void recordStall(Map<String, Double> before, Map<String, Double> after, double from, double to) {
     double longest = 0;
     for (Map.Entry<String, Double> thread : after.entrySet()) {
       longest = Math.max(longest, thread.getValue() - before.getOrDefault(thread.getKey(), 0.0));
     }
-    if (longest > WAITED_MS) {
-      clock.machine().add(log.getFileName().toString(), from, to, longest);
+    if (longest > MIN_STALL_MS) {
+      clock.machineStalls().add(log.getFileName().toString(), from, to, longest);
     }
   }
 
-  /** How long each of its own threads has waited for a processor since its start, in ms by its number. */
-  private Map<String, Double> waitedMs() {
+  /** How long each of its own threads has waited for a processor since its start, in ms by thread id. */
+  private Map<String, Double> runQueueWaitMs() {
     Map<String, Double> waited = new HashMap<>();
     File[] threads = new File("/proc/" + process.pid() + "/task").listFiles();
     for (File thread : threads == null ? new File[0] : threads) {
@@ -92,7 +92,7 @@
           waited.put(thread.getName(), Double.parseDouble(fields[1]) / 1e6); // from ns
         }
       } catch (IOException e) {
-        // that thread has ended meanwhile
+        // the thread has ended
       }
     }
     return waited;
@@ -106,16 +106,16 @@
         }
       }
     } catch (IOException e) {
-      return 0; // it has ended meanwhile
+      return 0; // the process has ended
     }
     return 0;
   }
 
-  /** Asks until it says that it is ready; the ms that this took since its start, or NaN. */
-  double awaitReady(int port, double longestMs) {
-    while (process.isAlive() && clock.now() < startedAt + longestMs) {
+  /** Polls until the process answers that it is ready; the ms since its start, or NaN after the timeout. */
+  double awaitReady(int port, double timeoutMs) {
+    while (process.isAlive() && clock.now() < startedAt + timeoutMs) {
       try (Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
-        socket.setSoTimeout(ANSWER_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.getOutputStream().write("mn\r\n".getBytes(StandardCharsets.ISO_8859_1));
         if ("MN".equals(Stub.readLine(socket.getInputStream()))) {
           return clock.now() - startedAt;
@@ -123,16 +123,16 @@
       } catch (IOException e) {
         // it does not listen yet
       }
-      RunClock.sleep(ASK_AGAIN_MS);
+      RunClock.sleep(POLL_INTERVAL_MS);
     }
     return Double.NaN;
   }
 
-  /** Calls the operators' address until it says that this process takes clients; the ms as above, or NaN. */
-  double awaitTakesClients(int opsPort, double longestMs) {
-    while (process.isAlive() && clock.now() < startedAt + longestMs) {
+  /** Polls the operations address until the process accepts clients; the ms since its start, or NaN. */
+  double awaitAcceptsClients(int opsPort, double timeoutMs) {
+    while (process.isAlive() && clock.now() < startedAt + timeoutMs) {
       try (Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), opsPort)) {
-        socket.setSoTimeout(ANSWER_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.getOutputStream()
             .write("GET /_ready HTTP/1.1\r\nHost: ops\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
         String line = Stub.readLine(socket.getInputStream());
@@ -142,22 +142,22 @@
       } catch (IOException e) {
         // it does not listen yet
       }
-      RunClock.sleep(ASK_AGAIN_MS);
+      RunClock.sleep(POLL_INTERVAL_MS);
     }
     return Double.NaN;
   }
 
   void signal(String name) throws IOException {
-    told |= name.equals("TERM") || name.equals("KILL");
+    exitRequested |= name.equals("TERM") || name.equals("KILL");
     try {
-      TestProcess.signal(process, name); // it may have ended
+      TestProcess.signal(process, name); // the process may have exited
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** True once it has ended, waiting for that until a time of the run. */
-  boolean awaitEnd(double until) {
+  /** Waits for the exit until a time of the run; true if the process has exited. */
+  boolean awaitExit(double until) {
     try {
       return process.waitFor((long) Math.max(0, until - clock.now()), TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
@@ -166,15 +166,15 @@
     }
   }
 
-  /** Ends it at once, whatever it does. */
+  /** Kills the process. */
   void destroy() {
-    told = true;
+    exitRequested = true;
     process.destroyForcibly();
   }
 
-  /** True where it has ended though nobody told it to. */
-  boolean endedByItself() {
-    return !process.isAlive() && !told;
+  /** True if the process has exited without a SIGTERM or SIGKILL from the harness. */
+  boolean exitedUnexpectedly() {
+    return !process.isAlive() && !exitRequested;
   }
 
   double startedAt() {
@@ -185,33 +185,33 @@
     return process.exitValue();
   }
 
-  int mostDescriptors() {
-    return mostDescriptors;
+  int maxDescriptors() {
+    return maxDescriptors;
   }
 
-  double mostMemoryMb() {
-    return mostMemoryMb;
+  double maxMemoryMb() {
+    return maxMemoryMb;
   }
 
   String name() {
     return log.getFileName().toString();
   }
 
-  /** True where it has logged anything, so its own code has run. */
-  boolean hasSpoken() throws IOException {
+  /** True if the process has logged anything, which shows that its own code has run. */
+  boolean hasLogged() throws IOException {
     return Files.size(log) > 0;
   }
 
-  /** The counters of its last log line; empty where it has none. */
+  /** The counters of the last log line; empty if there is no such line. */
   Map<String, Long> counters() throws IOException {
     Map<String, Long> counters = new HashMap<>();
     for (String line : Files.readAllLines(log, StandardCharsets.ISO_8859_1)) {
       int at = line.indexOf(" ends: ");
       if (at >= 0) {
         counters.clear();
-        for (String word : line.substring(at + " ends: ".length()).split(" ")) {
-          int sign = word.indexOf('=');
-          counters.put(word.substring(0, sign), Long.parseLong(word.substring(sign + 1)));
+        for (String pair : line.substring(at + " ends: ".length()).split(" ")) {
+          int separator = pair.indexOf('=');
+          counters.put(pair.substring(0, separator), Long.parseLong(pair.substring(separator + 1)));
         }
       }
     }
--- a/src/test/java/beampoint/soak/SignalSeries.java
+++ b/src/test/java/beampoint/soak/SignalSeries.java
@@ -5,12 +5,12 @@
 import java.io.IOException;
 import java.util.SplittableRandom;
 
-/** Plays the signals of one run against its processes, until all of them have ended. */
+/** Sends the signals of one run to its processes and waits until all of them have exited. */
 final class SignalSeries {
 
-  private static final int SIGNALS = 20;
-  private static final int SHORT_HOLDS = 4;
-  private static final double LONG_HOLD_MS = 500;
+  private static final int SERIES_LENGTH = 20;
+  private static final int SHORT_PAUSES = 4;
+  private static final double LONG_PAUSE_MS = 500;
   private static final double AFTER_UPGRADE_MS = 700;
 
   private final Series series;
@@ -25,78 +25,78 @@
     this.random = random;
   }
 
-  /** SIGTERM while it starts, where the series has that: it ends, and is never ready. */
-  void beforeTheStart() throws IOException {
+  /** Sends SIGTERM to a process during its start, if the series has that; it exits and is never ready. */
+  void terminateDuringStart() throws IOException {
     if (series != Series.TERM_DURING_START) {
       return;
     }
-    Instance instance = instances.served().get(0);
+    Instance instance = instances.all().get(0);
     ServeProcess process = instances.start(instance, instance.opsPort());
     RunClock.sleep(50 + random.nextInt(700));
-    boolean hasSpoken = process.hasSpoken();
+    boolean hasLogged = process.hasLogged();
     instances.signal(process, "TERM");
-    instances.awaitEnd(process, clock.now(), !hasSpoken);
+    instances.awaitExit(process, clock.now(), !hasLogged);
   }
 
   void play() throws IOException {
     switch (series) {
       case HANGUP_BEFORE_TERM, TERM_DURING_RELOAD -> {
-        instances.reloadAll(Instances.ATTEMPTS - 1);
+        instances.reloadAll(Instances.MAX_ATTEMPTS - 1);
         RunClock.sleep(series == Series.HANGUP_BEFORE_TERM ? 300 : random.nextInt(20));
-        term(1);
+        terminateAll(1);
       }
       case HANGUP_BESIDE_TERM, HANGUP_AFTER_TERM -> {
         instances.signalAll("TERM");
-        double toldAt = clock.now();
+        double sigtermAt = clock.now();
         RunClock.sleep(series == Series.HANGUP_AFTER_TERM ? 200 : 0);
-        instances.reloadAll(Instances.ATTEMPTS - 1);
-        instances.awaitEnds(toldAt);
+        instances.reloadAll(Instances.MAX_ATTEMPTS - 1);
+        instances.awaitAllExits(sigtermAt);
       }
       case HANGUPS_IN_SERIES -> {
-        for (int i = 0; i < SIGNALS; i++) {
-          instances.reloadAll(1 + i % Instances.ATTEMPTS);
+        for (int i = 0; i < SERIES_LENGTH; i++) {
+          instances.reloadAll(1 + i % Instances.MAX_ATTEMPTS);
           RunClock.sleep(20 + random.nextInt(40));
         }
-        term(1);
+        terminateAll(1);
       }
-      case TERM_HELD_UP_SHORTLY -> termWhileHeldUp(SHORT_HOLDS, Bounds.HELD_UP_MS);
-      case TERM_HELD_UP_LONG -> termWhileHeldUp(1, LONG_HOLD_MS);
-      case TERM_TWICE -> term(2);
-      case TERM_IN_SERIES -> term(SIGNALS);
-      case UPGRADE, TERM_DURING_UPGRADE -> upgrade(instances.served().get(0));
-      default -> term(1);
+      case TERM_HELD_UP_SHORTLY -> terminateWhilePaused(SHORT_PAUSES, Bounds.MAX_PAUSE_MS);
+      case TERM_HELD_UP_LONG -> terminateWhilePaused(1, LONG_PAUSE_MS);
+      case TERM_TWICE -> terminateAll(2);
+      case TERM_IN_SERIES -> terminateAll(SERIES_LENGTH);
+      case UPGRADE, TERM_DURING_UPGRADE -> upgrade(instances.all().get(0));
+      default -> terminateAll(1);
     }
     instances.checkAlive();
   }
 
-  /** Tells all to end, so many times. */
-  void term(int times) throws IOException {
-    double toldAt = clock.now();
+  /** Sends SIGTERM to all processes {@code times} times and waits for their exits. */
+  void terminateAll(int times) throws IOException {
+    double sigtermAt = clock.now();
     for (int i = 0; i < times; i++) {
       instances.signalAll("TERM");
       RunClock.sleep(times > 1 ? random.nextInt(40) : 0);
     }
-    instances.awaitEnds(toldAt);
+    instances.awaitAllExits(sigtermAt);
   }
 
-  /** The processes are stopped for a moment, some times, before and after they are told to end. */
-  private void termWhileHeldUp(int holds, double holdMs) throws IOException {
-    int termBefore = random.nextInt(holds + 1);
-    double toldAt = 0;
-    for (int i = 0; i <= holds; i++) {
-      if (i == termBefore) {
+  /** Pauses all processes several times, before and after a SIGTERM. */
+  private void terminateWhilePaused(int pauses, double pauseMs) throws IOException {
+    int sigtermBefore = random.nextInt(pauses + 1);
+    double sigtermAt = 0;
+    for (int i = 0; i <= pauses; i++) {
+      if (i == sigtermBefore) {
         instances.signalAll("TERM");
-        toldAt = clock.now();
+        sigtermAt = clock.now();
       }
-      if (i < holds) {
+      if (i < pauses) {
         RunClock.sleep(random.nextInt(200));
-        instances.holdAll(holdMs);
+        instances.pauseAll(pauseMs);
       }
     }
-    instances.awaitEnds(toldAt + holdMs - Bounds.HELD_UP_MS);
+    instances.awaitAllExits(sigtermAt + pauseMs - Bounds.MAX_PAUSE_MS);
   }
 
-  /** A second process at the same address takes over; the first ends, told once or, meanwhile, again. */
+  /** Starts a second process at the same address that takes over; the first one gets one or two SIGTERMs. */
   private void upgrade(Instance instance) throws IOException {
     ServeProcess old = instance.process();
     ReservedPort opsPort = new ReservedPort();
@@ -105,16 +105,16 @@
       RunClock.sleep(random.nextInt(1000));
       instances.signal(old, "TERM");
     }
-    double tookMs = next.awaitTakesClients(opsPort.number(), Bounds.READY_MS);
-    instances.checkReady(next, tookMs, Bounds.UPGRADE_READY_MS);
-    double toldAt = clock.now();
+    double startupMs = next.awaitAcceptsClients(opsPort.number(), Bounds.MAX_START_MS);
+    instances.checkReady(next, startupMs, Bounds.MAX_UPGRADE_START_MS);
+    double sigtermAt = clock.now();
     instances.signal(old, "TERM");
     instances.signal(next, "HUP");
-    instances.awaitEnd(old, toldAt, false);
-    instance.servedBy(next, opsPort);
+    instances.awaitExit(old, sigtermAt, false);
+    instance.replaceProcess(next, opsPort);
     RunClock.sleep(AFTER_UPGRADE_MS);
-    toldAt = clock.now();
+    sigtermAt = clock.now();
     instances.signal(next, "TERM");
-    instances.awaitEnd(next, toldAt, false);
+    instances.awaitExit(next, sigtermAt, false);
   }
 }
--- a/src/test/java/beampoint/soak/SoakClient.java
+++ b/src/test/java/beampoint/soak/SoakClient.java
@@ -2,7 +2,7 @@
 
 import beampoint.Stub;
 import beampoint.soak.Request.Kind;
-import beampoint.soak.SoakPlan.ClientWay;
+import beampoint.soak.SoakPlan.ClientBehavior;
 import beampoint.soak.Violation.Check;
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -16,44 +16,44 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A client that asks again and again on one connection, and on a new one where that has ended. */
+/** A client that repeatedly sends requests on one connection and reconnects if that ends. */
 final class SoakClient extends Thread {
 
-  private static final double REFUSED_PAUSE_MS = 20;
-  private static final int LONGEST_PIPELINE = 20;
-  private static final int MIN_FLOOD = 1000; // requests
-  private static final int MAX_FLOOD = 10_000;
-  private static final double LEAVES_FLOOD_MS = 200; // at the latest
-  private static final double AFTER_FLOOD_MS = 1000;
-  private static final double WRITES = 0.2; // of all requests
-  private static final int GIVES_UP_MS = 1500; // beyond an answer's time: then it will never come
+  private static final double RECONNECT_DELAY_MS = 20;
+  private static final int MAX_PIPELINE = 20;
+  private static final int MIN_FLOOD_REQUESTS = 1000;
+  private static final int MAX_FLOOD_REQUESTS = 10_000;
+  private static final double MAX_FLOOD_STAY_MS = 200; // before the client disconnects
+  private static final double FLOOD_INTERVAL_MS = 1000;
+  private static final double WRITE_RATIO = 0.2; // part of all requests
+  private static final int ANSWER_TIMEOUT_MARGIN_MS = 1500; // after the deadline; no answer comes later
 
   private final int port;
-  private final ClientWay way;
+  private final ClientBehavior behavior;
   private final double deadlineMs;
   private final RunContext context;
   private final RunClock clock;
   private final SplittableRandom random;
-  private final AtomicInteger crossed; // requests on a connection that ended with no answer, never forwarded
+  private final AtomicInteger unreadAtClose; // requests not forwarded before their connection closed
   private volatile boolean stopped;
   private Socket socket;
   private InputStream in;
 
-  SoakClient(int port, ClientWay way, double deadlineMs, RunContext context, SplittableRandom random,
-      AtomicInteger crossed) {
+  SoakClient(int port, ClientBehavior behavior, double deadlineMs, RunContext context,
+      SplittableRandom random, AtomicInteger unreadAtClose) {
     super("soak-client");
     this.port = port;
-    this.way = way;
+    this.behavior = behavior;
     this.deadlineMs = deadlineMs;
     this.context = context;
     this.clock = context.clock();
     this.random = random;
-    this.crossed = crossed;
+    this.unreadAtClose = unreadAtClose;
     setDaemon(true);
   }
 
-  /** Asks nothing more once what is open has ended. */
-  void end() {
+  /** Makes the client stop after the requests that are in flight. */
+  void finish() {
     stopped = true;
   }
 
@@ -64,11 +64,11 @@
         if (socket == null) {
           connect();
         }
-        round();
+        runRound();
         RunClock.sleep(random.nextInt(30));
       } catch (IOException e) {
         close();
-        RunClock.sleep(REFUSED_PAUSE_MS); // nobody listens
+        RunClock.sleep(RECONNECT_DELAY_MS); // the connection was refused or has ended
       }
     }
     close();
@@ -86,186 +86,188 @@
         socket.close();
       }
     } catch (IOException e) {
-      // it has ended already
+      // the connection has ended already
     }
     socket = null;
   }
 
-  private void round() throws IOException {
-    switch (way) {
-      case PLAIN -> ask(1, 0, 1);
-      case PIPELINED -> ask(1 + random.nextInt(LONGEST_PIPELINE), 0, 1);
-      case IN_PIECES -> ask(1, 0, 3);
-      case READS_SLOWLY -> ask(1 + random.nextInt(3), 50 + random.nextInt(250), 1);
-      case LEAVES -> {
+  private void runRound() throws IOException {
+    switch (behavior) {
+      case PLAIN -> runRequests(1, 0, 1);
+      case PIPELINED -> runRequests(1 + random.nextInt(MAX_PIPELINE), 0, 1);
+      case SPLIT_WRITES -> runRequests(1, 0, 3);
+      case SLOW_READER -> runRequests(1 + random.nextInt(3), 50 + random.nextInt(250), 1);
+      case DISCONNECTS -> {
         if (random.nextInt(2) == 0) {
-          ask(1, 0, 1);
+          runRequests(1, 0, 1);
         } else {
-          leave(1, random.nextDouble() * deadlineMs / 2);
+          sendAndDisconnect(1, random.nextDouble() * deadlineMs / 2);
         }
       }
-      case FLOODS_AND_LEAVES -> {
-        leave(flood(), random.nextDouble() * LEAVES_FLOOD_MS);
-        RunClock.sleep(AFTER_FLOOD_MS);
+      case FLOODS_AND_DISCONNECTS -> {
+        sendAndDisconnect(floodSize(), random.nextDouble() * MAX_FLOOD_STAY_MS);
+        RunClock.sleep(FLOOD_INTERVAL_MS);
       }
       case FLOODS -> {
-        ask(flood(), 0, 1);
-        RunClock.sleep(AFTER_FLOOD_MS);
+        runRequests(floodSize(), 0, 1);
+        RunClock.sleep(FLOOD_INTERVAL_MS);
       }
-      default -> halfACommand();
+      default -> sendIncompleteCommand();
     }
   }
 
-  private int flood() {
-    return MIN_FLOOD + random.nextInt(MAX_FLOOD - MIN_FLOOD);
+  private int floodSize() {
+    return MIN_FLOOD_REQUESTS + random.nextInt(MAX_FLOOD_REQUESTS - MIN_FLOOD_REQUESTS);
   }
 
-  private Request next() {
+  private Request newRequest() {
     double draw = random.nextDouble();
-    Kind kind = draw >= WRITES ? Kind.READ : draw < WRITES / 2 ? Kind.KEYED : Kind.UNSAFE;
-    return context.requests().next(kind, deadlineMs);
+    Kind kind = draw >= WRITE_RATIO ? Kind.READ : draw < WRITE_RATIO / 2 ? Kind.KEYED : Kind.UNSAFE;
+    return context.requests().create(kind, deadlineMs);
   }
 
   private void write(String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  private void ask(int count, double restMs, int pieces) throws IOException {
-    List<Request> asked = new ArrayList<>();
+  private void runRequests(int count, double readDelayMs, int chunks) throws IOException {
+    List<Request> requests = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      asked.add(next());
+      requests.add(newRequest());
     }
-    List<Request> left = exchange(asked, restMs, pieces);
-    if (!left.isEmpty()) {
-      sendAgain(left);
+    List<Request> unanswered = exchange(requests, readDelayMs, chunks);
+    if (!unanswered.isEmpty()) {
+      resendUnforwarded(unanswered);
     }
   }
 
-  /** Sends them all, reads their answers in order; returns those whose connection ended before. */
-  private List<Request> exchange(List<Request> asked, double restMs, int pieces) {
+  /** Sends all requests and reads their answers in order; returns those that the connection ended before. */
+  private List<Request> exchange(List<Request> requests, double readDelayMs, int chunks) {
     int answered = 0;
     try {
-      send(asked, pieces);
-      RunClock.sleep(restMs);
+      send(requests, chunks);
+      RunClock.sleep(readDelayMs);
       double now = clock.now();
       if (context.injects(Check.ANSWER_IN_TIME)) {
-        RunClock.sleep(deadlineMs + GIVES_UP_MS);
+        RunClock.sleep(deadlineMs + ANSWER_TIMEOUT_MARGIN_MS);
       }
-      asked.forEach(request -> request.readFrom(now));
-      for (; answered < asked.size(); answered++) {
-        if (answered > LONGEST_PIPELINE) {
-          // The time for which an answer waits for those before it does not count.
-          asked.get(answered).readFrom(clock.now() + Bounds.LOST_AFTER_MS);
+      requests.forEach(request -> request.setReadingSince(now));
+      for (; answered < requests.size(); answered++) {
+        if (answered > MAX_PIPELINE) {
+          // The time that an answer is delayed by the answers before it does not count.
+          requests.get(answered).setReadingSince(clock.now() + Bounds.ANSWER_GRACE_MS);
         }
-        if (!readAnswer(asked.get(answered))) {
+        if (!readAnswer(requests.get(answered))) {
           break;
         }
       }
     } catch (IOException e) {
-      // it was reset
+      // the connection was reset
     }
-    List<Request> unanswered = List.copyOf(asked.subList(answered, asked.size()));
+    List<Request> unanswered = List.copyOf(requests.subList(answered, requests.size()));
     if (!unanswered.isEmpty()) {
       close();
-      unanswered.forEach(request -> request.ended(clock.now()));
+      unanswered.forEach(request -> request.recordConnectionEnd(clock.now()));
     }
     return unanswered;
   }
 
-  private void send(List<Request> asked, int pieces) throws IOException {
+  private void send(List<Request> requests, int chunks) throws IOException {
     StringBuilder text = new StringBuilder();
-    asked.forEach(request -> text.append(request.words()));
+    requests.forEach(request -> text.append(request.command()));
     int length = text.length();
-    for (int i = 0; i < pieces; i++) {
-      write(text.substring(i * length / pieces, (i + 1) * length / pieces));
-      if (i < pieces - 1) {
+    for (int i = 0; i < chunks; i++) {
+      write(text.substring(i * length / chunks, (i + 1) * length / chunks));
+      if (i < chunks - 1) {
         RunClock.sleep(5 + random.nextInt(30));
       }
     }
     double now = clock.now();
-    asked.forEach(request -> request.sent(now));
+    requests.forEach(request -> request.recordSent(now));
   }
 
-  /** Reads the next answer; false where the connection has ended. */
+  /** Reads the next answer; false if the connection has ended or no answer has come in time. */
   private boolean readAnswer(Request request) throws IOException {
-    socket.setSoTimeout((int) deadlineMs + GIVES_UP_MS);
+    socket.setSoTimeout((int) deadlineMs + ANSWER_TIMEOUT_MARGIN_MS);
     String line;
     try {
       line = Stub.readLine(in);
     } catch (SocketTimeoutException e) {
-      context.found().add(new Violation(Check.ANSWER_IN_TIME, request.sentAt(), clock.now(),
-          clock.now() - request.sentAt() - request.waitMs - Bounds.LOST_AFTER_MS, request.id,
+      context.violations().add(new Violation(Check.ANSWER_IN_TIME, request.sentAt(), clock.now(),
+          clock.now() - request.sentAt() - request.deadlineMs - Bounds.ANSWER_GRACE_MS, request.id,
           "no answer at all; sent at " + Math.round(request.sentAt()) + " ms"));
       return false;
     }
     if (line == null) {
       return false;
     }
-    String[] words = line.split(" ");
-    boolean isSpoilt = false;
-    if (words[0].equals("VA") && words.length > 2) {
-      int length = Integer.parseInt(words[1]);
+    String[] fields = line.split(" ");
+    boolean isWrong = false;
+    if (fields[0].equals("VA") && fields.length > 2) {
+      int length = Integer.parseInt(fields[1]);
       byte[] value = in.readNBytes(length + 2);
       if (value.length < length + 2) {
         return false;
       }
       String text = new String(value, 0, length, StandardCharsets.ISO_8859_1);
-      isSpoilt = !words[2].equals("O" + request.id) || !text.equals(request.id);
-    } else if (words[0].equals("HD")) {
-      isSpoilt = words.length < 3 || !words[1].equals("O" + request.id) || !words[2].equals("c" + request.id);
+      isWrong = !fields[2].equals("O" + request.id) || !text.equals(request.id);
+    } else if (fields[0].equals("HD")) {
+      isWrong =
+          fields.length < 3 || !fields[1].equals("O" + request.id) || !fields[2].equals("c" + request.id);
     }
     if (context.injects(Check.NOT_LOST)) {
       return false;
     }
-    request.answered(clock.now(), isSpoilt);
+    request.recordAnswer(clock.now(), isWrong);
     return true;
   }
 
-  /** What crossed the end of its connection unread is sent once more, on a new one. */
-  private void sendAgain(List<Request> unanswered) throws IOException {
-    List<Request> unread = new ArrayList<>();
+  /** Sends the requests that were not forwarded before the close once more, on a new connection. */
+  private void resendUnforwarded(List<Request> unanswered) throws IOException {
+    List<Request> unforwarded = new ArrayList<>();
     for (Request request : unanswered) {
       if (!request.isForwarded()) {
-        crossed.incrementAndGet();
-        unread.add(request);
+        unreadAtClose.incrementAndGet();
+        unforwarded.add(request);
       }
     }
-    if (!unread.isEmpty() && !stopped) {
+    if (!unforwarded.isEmpty() && !stopped) {
       connect();
-      unread.forEach(Request::again);
-      exchange(unread, 0, 1);
+      unforwarded.forEach(Request::recordResend);
+      exchange(unforwarded, 0, 1);
     }
   }
 
-  private void leave(int count, double afterMs) throws IOException {
-    List<Request> asked = new ArrayList<>();
+  private void sendAndDisconnect(int count, double delayMs) throws IOException {
+    List<Request> requests = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      asked.add(next());
-      asked.get(i).left(Double.MAX_VALUE); // nothing is owed to it from here on
+      requests.add(newRequest());
+      requests.get(i).recordClientClose(Double.MAX_VALUE); // no answer is required any more
     }
-    send(asked, 1);
-    RunClock.sleep(afterMs);
+    send(requests, 1);
+    RunClock.sleep(delayMs);
     close();
     double now = clock.now() - (context.injects(Check.NOT_AFTER_LEAVING) ? 10 * deadlineMs : 0);
-    asked.forEach(request -> request.left(now));
+    requests.forEach(request -> request.recordClientClose(now));
   }
 
-  private void halfACommand() throws IOException {
+  private void sendIncompleteCommand() throws IOException {
     write("mg k1 v O");
     double from = clock.now();
-    socket.setSoTimeout((int) Bounds.BAD_CLIENT_MS * 2);
+    socket.setSoTimeout((int) Bounds.INCOMPLETE_COMMAND_TIMEOUT_MS * 2);
     try {
       in.read();
     } catch (SocketTimeoutException e) {
-      // told below
+      // reported below
     } catch (IOException e) {
-      // a reset is an end
+      // a reset counts as a close
     }
-    double took = clock.now() - from + (context.injects(Check.BAD_CLIENT) ? Bounds.BAD_CLIENT_MS : 0);
-    double beyond = took - Bounds.BAD_CLIENT_MS - Bounds.LIMIT_SLACK_MS;
-    if (beyond > 0) {
-      context.found().add(new Violation(Check.BAD_CLIENT, from, clock.now(), beyond, "half a command",
-          "neither an error nor a close for " + Math.round(took) + " ms"));
+    double elapsedMs = clock.now() - from
+        + (context.injects(Check.BAD_CLIENT) ? Bounds.INCOMPLETE_COMMAND_TIMEOUT_MS : 0);
+    double excessMs = elapsedMs - Bounds.INCOMPLETE_COMMAND_TIMEOUT_MS - Bounds.TIMEOUT_TOLERANCE_MS;
+    if (excessMs > 0) {
+      context.violations().add(new Violation(Check.BAD_CLIENT, from, clock.now(), excessMs, "half a command",
+          "neither an error nor a close for " + Math.round(elapsedMs) + " ms"));
     }
     close();
   }
--- a/src/test/java/beampoint/soak/SoakConfig.java
+++ b/src/test/java/beampoint/soak/SoakConfig.java
@@ -6,14 +6,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the processes of a run are started with: the operators' command and configuration files. */
+/** The operators' start command and the configuration files for the processes of a run. */
 final class SoakConfig {
 
-  static final int DESCRIPTORS = 256;
-  static final int MEMORY_MB = 192;
+  static final int MAX_DESCRIPTORS = 256;
+  static final int MAX_MEMORY_MB = 192;
   private static final Path DEPLOY = Path.of("deploy/balancer.toml");
 
-  private static final String TEXT = """
+  private static final String TEMPLATE = """
       {"name":"NAME","listen":"127.0.0.1:PORT",OPS"discovery":"DISCOVERY","seed":"8c1f30d27a5be964",
        "limits":{"sockets":SOCKETS,"memory_mb":MEMORY},"known":KNOWN,
        "settings":{"discovery":"automatic","siblings":1,"zone":0,"localities":["a"],"skus":["m2","origin"],
@@ -31,26 +31,26 @@
 
   private SoakConfig() {}
 
-  /** The words of {@code run} in the operators' deploy file; its paths are those of the project's folder. */
+  /** The command {@code run} of the operators' deploy file; paths are relative to the project's directory. */
   static List<String> command() throws IOException {
     for (String line : Files.readAllLines(DEPLOY)) {
       if (line.startsWith("run = ")) {
-        String words = line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
-        List<String> command = new ArrayList<>(List.of(words.split(" ")));
+        String commandLine = line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
+        List<String> command = new ArrayList<>(List.of(commandLine.split(" ")));
         command.remove("exec");
         return command;
       }
     }
-    throw new IOException(DEPLOY + " has no 'run'");
+    throw new IOException(DEPLOY + ": no line begins with 'run = '");
   }
 
-  /** A configuration; without an address for operators where that port is 0. */
-  static String text(String name, int port, int opsPort, String discovery, String known, double deadlineMs,
+  /** A configuration in JSON; without an operations address if {@code opsPort} is 0. */
+  static String json(String name, int port, int opsPort, String discovery, String known, double deadlineMs,
       int attempts) {
-    return TEXT.replace("NAME", name).replace("PORT", "" + port)
+    return TEMPLATE.replace("NAME", name).replace("PORT", "" + port)
         .replace("OPS", opsPort == 0 ? "" : "\"ops\":\"127.0.0.1:" + opsPort + "\",")
-        .replace("DISCOVERY", discovery).replace("SOCKETS", "" + DESCRIPTORS)
-        .replace("MEMORY", "" + MEMORY_MB)
+        .replace("DISCOVERY", discovery).replace("SOCKETS", "" + MAX_DESCRIPTORS)
+        .replace("MEMORY", "" + MAX_MEMORY_MB)
         .replace("KNOWN", known).replace("ATTEMPTS", "" + attempts)
         .replace("GRACE", "" + Math.round(Bounds.DRAIN_GRACE_MS))
         .replace("WINDOW", "" + Math.round(Bounds.DEDUP_WINDOW_MS))
--- a/src/test/java/beampoint/soak/SoakMain.java
+++ b/src/test/java/beampoint/soak/SoakMain.java
@@ -21,17 +21,18 @@
 import picocli.CommandLine.Option;
 
 /**
- * Plays runs of a soak, each drawn from its seed, and prints a line for each: {@code make soak SEEDS=1-50}.
- * Exits 0 where no rule was broken, 1 where one was, 2 where it can't be played, 3 where most runs are void.
+ * Runs the soak test for a range of seeds and prints a line for each run: {@code make soak SEEDS=1-50}.
+ * Exit codes: 0 if no rule was violated, 1 if one was, 2 for invalid arguments or a missing jar, 3 if more
+ * than half of the runs are void.
  */
 @Command(name = "soak", mixinStandardHelpOptions = true,
     description = "Plays real proxies on loopback through faults and signals, from seeds.")
 public final class SoakMain implements Callable<Integer> {
 
-  private static final int VOID = 3; // exit code
+  private static final int EXIT_MOSTLY_VOID = 3;
   private static final String SUMMARY = "%s: %d runs, %d kept all rules, %d broke one, %d are void as the "
       + "machine was too busy; %d requests%n";
-  private static final String ALLOWED = ", %d times explained by the harness's own hold of over 0.15 s";
+  private static final String EXCUSED = ", %d times explained by the harness's own hold of over 0.15 s";
   private static final String VIOLATION = "  %s; the machine let it wait for %.0f ms meanwhile%n";
   private static final String RERUN = "  again: make soak SEEDS=%d   logs: %s%n";
 
@@ -54,13 +55,13 @@
       description = "Where the logs of runs go that broke a rule.")
   private Path logs;
 
-  private final List<Outcome> played = Collections.synchronizedList(new ArrayList<>());
+  private final List<Outcome> outcomes = Collections.synchronizedList(new ArrayList<>());
 
   public static void main(String[] arguments) {
     System.exit(new CommandLine(new SoakMain()).execute(arguments));
   }
 
-  private long[] range() {
+  private long[] seedRange() {
     try {
       long[] ends = Arrays.stream(seeds.split("-", -1)).mapToLong(Long::parseLong).toArray();
       long last = ends[ends.length - 1];
@@ -68,15 +69,15 @@
         return LongStream.rangeClosed(ends[0], last).toArray();
       }
     } catch (NumberFormatException e) {
-      // told below
+      // the caller reports it
     }
     return new long[0];
   }
 
   @Override
   public Integer call() throws Exception {
-    long[] range = range();
-    if (range.length == 0) {
+    long[] seedRange = seedRange();
+    if (seedRange.length == 0) {
       System.err.println("--seeds takes one seed or FIRST-LAST, --parallel a number above 0");
       return 2;
     }
@@ -84,27 +85,27 @@
       System.err.println("target/beampoint.jar can't be read: build it first, with make build");
       return 2;
     }
-    Thread interrupted = new Thread(() -> summary("interrupted"), "soak-summary");
-    Runtime.getRuntime().addShutdownHook(interrupted);
-    ExecutorService runs = Executors.newFixedThreadPool(parallel);
-    List<Future<Outcome>> waiting = new ArrayList<>();
-    for (long seed : range) {
+    Thread interruptHook = new Thread(() -> printSummary("interrupted"), "soak-summary");
+    Runtime.getRuntime().addShutdownHook(interruptHook);
+    ExecutorService executor = Executors.newFixedThreadPool(parallel);
+    List<Future<Outcome>> futures = new ArrayList<>();
+    for (long seed : seedRange) {
       SoakPlan plan = SoakPlan.of(seed);
       if (series == null || plan.series() == series) {
-        waiting.add(runs.submit(() -> play(plan)));
+        futures.add(executor.submit(() -> play(plan)));
       }
     }
-    for (Future<Outcome> run : waiting) {
+    for (Future<Outcome> run : futures) {
       run.get();
     }
-    runs.shutdown();
-    Runtime.getRuntime().removeShutdownHook(interrupted);
-    summary("soak");
-    return count(Verdict.BROKEN) > 0 ? 1 : count(Verdict.KEPT) < played.size() / 2.0 ? VOID : 0;
+    executor.shutdown();
+    Runtime.getRuntime().removeShutdownHook(interruptHook);
+    printSummary("soak");
+    return count(Verdict.BROKEN) > 0 ? 1 : count(Verdict.KEPT) < outcomes.size() / 2.0 ? EXIT_MOSTLY_VOID : 0;
   }
 
   private long count(Verdict verdict) {
-    return played.stream().filter(outcome -> outcome.verdict() == verdict).count();
+    return outcomes.stream().filter(outcome -> outcome.verdict() == verdict).count();
   }
 
   private Outcome play(SoakPlan plan) throws IOException {
@@ -114,7 +115,7 @@
     try (SoakRun run = new SoakRun(plan, injected, directory)) {
       outcome = run.play();
     }
-    played.add(outcome);
+    outcomes.add(outcome);
     print(outcome, directory);
     if (outcome.violations().isEmpty()) {
       clear(directory);
@@ -134,23 +135,24 @@
   private static synchronized void print(Outcome outcome, Path directory) {
     System.out.printf(Locale.ROOT,
         "%s %s: %d requests, %d crossed a close, %.1f s, harness late by %.0f ms%s%n",
-        outcome.verdict(), outcome.plan(), outcome.requests(), outcome.crossed(), outcome.tookMs() / 1000,
-        outcome.lateness(), outcome.allowed() == 0 ? "" : String.format(ALLOWED, outcome.allowed()));
+        outcome.verdict(), outcome.plan(), outcome.requests(), outcome.unreadAtClose(),
+        outcome.durationMs() / 1000, outcome.maxOverrunMs(),
+        outcome.excused() == 0 ? "" : String.format(EXCUSED, outcome.excused()));
     for (Violation violation : outcome.violations()) {
-      double stood = outcome.machine().between(violation.from(), violation.at());
-      System.out.printf(Locale.ROOT, VIOLATION, violation, stood);
+      double stalledMs = outcome.machineStalls().longestStallMs(violation.from(), violation.at());
+      System.out.printf(Locale.ROOT, VIOLATION, violation, stalledMs);
     }
     if (!outcome.violations().isEmpty()) {
       System.out.printf(Locale.ROOT, RERUN, outcome.plan().seed(), directory);
     }
   }
 
-  /** The line by which a test runner's counts are read. */
-  private void summary(String what) {
-    synchronized (played) {
-      int requests = played.stream().mapToInt(Outcome::requests).sum();
-      System.out.printf(Locale.ROOT, SUMMARY, what, played.size(), count(Verdict.KEPT), count(Verdict.BROKEN),
-          count(Verdict.VOID), requests);
+  /** Prints the counts of runs by verdict, which test runners parse. */
+  private void printSummary(String label) {
+    synchronized (outcomes) {
+      int requests = outcomes.stream().mapToInt(Outcome::requests).sum();
+      System.out.printf(Locale.ROOT, SUMMARY, label, outcomes.size(), count(Verdict.KEPT),
+          count(Verdict.BROKEN), count(Verdict.VOID), requests);
     }
   }
 }
--- a/src/test/java/beampoint/soak/SoakPeer.java
+++ b/src/test/java/beampoint/soak/SoakPeer.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.util.SplittableRandom;
 
-/** A server behind the proxies that answers each attempt by a draw of its own. */
+/** A scripted server behind the proxies that decides by a random draw how it answers each attempt. */
 abstract class SoakPeer implements AutoCloseable {
 
   final String name;
@@ -22,7 +22,7 @@
   /** Serves one connection to its end. */
   abstract void serve(Stub.Peer peer) throws IOException;
 
-  /** A number from 0 to below 1. */
+  /** A random number from 0 (inclusive) to 1 (exclusive). */
   synchronized double draw() {
     return random.nextDouble();
   }
--- a/src/test/java/beampoint/soak/SoakPlan.java
+++ b/src/test/java/beampoint/soak/SoakPlan.java
@@ -5,28 +5,30 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** All that is drawn for one run, from its seed alone. */
+/** The plan of one run; its seed alone determines it. */
 record SoakPlan(long seed, int processes, double deadlineMs, List<Behavior> caches,
     OriginPeer.Behavior origin, DiscoveryBehavior discovery, boolean drains, boolean outageAtRestart,
-    List<ClientWay> clients, boolean crowd, Series series, double signalAt) {
+    List<ClientBehavior> clients, boolean opensIdleConnections, Series series, double signalAt) {
 
-  /** What discovery does in a run. */
+  /** Whether discovery answers during a run. */
   enum DiscoveryBehavior { SERVES, IS_SILENT, IS_SILENT_FOR_A_WHILE }
 
   /** How a client uses its connections. */
-  enum ClientWay {
-    PLAIN, PIPELINED, IN_PIECES, HALF_A_COMMAND, LEAVES, READS_SLOWLY,
-    /** Sends thousands of commands at once and leaves. */
-    FLOODS_AND_LEAVES,
+  enum ClientBehavior {
+    PLAIN, PIPELINED, SPLIT_WRITES, INCOMPLETE_COMMAND, DISCONNECTS, SLOW_READER,
+    /** Sends thousands of commands at once and disconnects. */
+    FLOODS_AND_DISCONNECTS,
     /** Sends thousands of commands at once and reads all answers. */
     FLOODS
   }
 
-  private static final ClientWay[] USUAL_WAYS = {ClientWay.PLAIN, ClientWay.PIPELINED, ClientWay.IN_PIECES,
-      ClientWay.HALF_A_COMMAND, ClientWay.LEAVES, ClientWay.READS_SLOWLY};
-  private static final ClientWay[] FLOOD_WAYS = {ClientWay.FLOODS_AND_LEAVES, ClientWay.FLOODS};
+  private static final ClientBehavior[] COMMON_BEHAVIORS = {ClientBehavior.PLAIN, ClientBehavior.PIPELINED,
+      ClientBehavior.SPLIT_WRITES, ClientBehavior.INCOMPLETE_COMMAND, ClientBehavior.DISCONNECTS,
+      ClientBehavior.SLOW_READER};
+  private static final ClientBehavior[] FLOOD_BEHAVIORS =
+      {ClientBehavior.FLOODS_AND_DISCONNECTS, ClientBehavior.FLOODS};
 
-  /** The signals of a run, and beside what they come. */
+  /** The signals of a run, and what else happens at the same time. */
   enum Series {
     TERM, TERM_TWICE, TERM_IN_SERIES, HANGUP_BEFORE_TERM, HANGUP_BESIDE_TERM, HANGUP_AFTER_TERM,
     HANGUPS_IN_SERIES,
@@ -36,7 +38,7 @@
 
   private static final int MAX_CACHES = 5;
   private static final int MAX_CLIENTS = 36;
-  private static final long SECOND_STREAM = 0x9e3779b97f4a7c15L; // tells a second stream from the first
+  private static final long SECOND_STREAM_MASK = 0x9e3779b97f4a7c15L; // for a second random stream
 
   static SoakPlan of(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -53,29 +55,29 @@
     }
     DiscoveryBehavior discovery = random.nextInt(2) == 0 ? DiscoveryBehavior.SERVES
         : DiscoveryBehavior.values()[1 + random.nextInt(2)];
-    List<ClientWay> clients = new ArrayList<>();
+    List<ClientBehavior> clients = new ArrayList<>();
     for (int i = 4 + random.nextInt(MAX_CLIENTS); i > 0; i--) {
-      clients.add(
-          random.nextInt(3) == 0 ? USUAL_WAYS[random.nextInt(USUAL_WAYS.length)] : ClientWay.PLAIN);
+      clients.add(random.nextInt(3) == 0 ? COMMON_BEHAVIORS[random.nextInt(COMMON_BEHAVIORS.length)]
+          : ClientBehavior.PLAIN);
     }
     int processes = upgrades ? 1 : 1 + random.nextInt(3);
     OriginPeer.Behavior origin = new OriginPeer.Behavior(0.02 * random.nextInt(3), 0.05 * random.nextInt(3),
         0.05 * random.nextInt(2), 3 + random.nextInt(30));
     boolean drains = discovery == DiscoveryBehavior.SERVES && random.nextInt(2) == 0;
-    boolean crowd = random.nextInt(3) == 0;
+    boolean opensIdleConnections = random.nextInt(3) == 0;
     double signalAt = 1200 + random.nextInt(800);
-    boolean heldUp = series == Series.TERM_HELD_UP_SHORTLY || series == Series.TERM_HELD_UP_LONG;
-    // Drawn apart, so that what a seed has drawn before stays.
-    SplittableRandom second = new SplittableRandom(seed ^ SECOND_STREAM);
-    boolean outage = drains && !heldUp && second.nextInt(2) == 0;
-    for (int i = heldUp ? 0 : second.nextInt(3); i > 0; i--) {
-      clients.add(FLOOD_WAYS[second.nextInt(FLOOD_WAYS.length)]);
+    boolean pausesProcesses = series == Series.TERM_HELD_UP_SHORTLY || series == Series.TERM_HELD_UP_LONG;
+    // A second stream of random numbers keeps the draws above unchanged for each seed.
+    SplittableRandom second = new SplittableRandom(seed ^ SECOND_STREAM_MASK);
+    boolean outage = drains && !pausesProcesses && second.nextInt(2) == 0;
+    for (int i = pausesProcesses ? 0 : second.nextInt(3); i > 0; i--) {
+      clients.add(FLOOD_BEHAVIORS[second.nextInt(FLOOD_BEHAVIORS.length)]);
     }
-    return new SoakPlan(seed, processes, deadline, caches, origin, discovery, drains, outage, clients, crowd,
-        series, signalAt);
+    return new SoakPlan(seed, processes, deadline, caches, origin, discovery, drains, outage, clients,
+        opensIdleConnections, series, signalAt);
   }
 
-  /** True where a second process serves beside the first at one address. */
+  /** True if a second process takes over from the first at the same address. */
   boolean upgrades() {
     return series == Series.UPGRADE || series == Series.TERM_DURING_UPGRADE;
   }
@@ -83,8 +85,9 @@
   @Override
   public String toString() {
     return "seed " + seed + " " + series + ", " + processes + " x " + caches.size() + " caches, "
-        + Math.round(deadlineMs) + " ms, " + clients.size() + " clients" + (crowd ? " in a crowd" : "")
-        + (drains ? ", a drain" : "") + ", discovery " + discovery
+        + Math.round(deadlineMs) + " ms, " + clients.size() + " clients"
+        + (opensIdleConnections ? " in a crowd" : "") + (drains ? ", a drain" : "")
+        + ", discovery " + discovery
         + (outageAtRestart ? " until it falls silent over the restart" : "");
   }
 }
--- a/src/test/java/beampoint/soak/SoakRun.java
+++ b/src/test/java/beampoint/soak/SoakRun.java
@@ -11,14 +11,14 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Plays one plan: peers, processes and clients through a series of signals, a restart and an orderly end. */
+/** Runs one plan: starts peers, processes and clients, sends the signals, restarts and ends the processes. */
 final class SoakRun implements AutoCloseable {
 
-  private static final double SILENCE_MS = 1500; // of discovery, for a while
-  private static final double OUTAGE_MS = 1500; // of discovery, after a restart
-  private static final double BEFORE_THE_CROWD_MS = 300;
+  private static final double SILENCE_MS = 1500; // temporary silence of discovery
+  private static final double OUTAGE_MS = 1500; // silence of discovery after a restart
+  private static final double BEFORE_IDLE_CONNECTIONS_MS = 300;
   private static final double AFTER_RESTART_MS = 700;
-  private static final int CROWD = 200; // connections that only stay
+  private static final int IDLE_CONNECTIONS = 200; // without any request
 
   private final SoakPlan plan;
   private final RunContext context;
@@ -28,11 +28,11 @@
   private final OriginPeer origin;
   private final List<CachePeer> caches = new ArrayList<>();
   private final Instances instances;
-  private final AtomicInteger crossed = new AtomicInteger();
+  private final AtomicInteger unreadAtClose = new AtomicInteger();
   private final List<SoakClient> clients = new ArrayList<>();
-  private final List<Socket> crowd = new ArrayList<>();
+  private final List<Socket> idleConnections = new ArrayList<>();
 
-  /** Opens the peers; with an injected fault of the harness's own, to show that a check can fail, or null. */
+  /** Starts the peers. An injected fault shows that the check {@code injected} can fail; null for none. */
   SoakRun(SoakPlan plan, Check injected, Path directory) throws IOException {
     this.plan = plan;
     this.context = RunContext.injecting(injected);
@@ -46,46 +46,49 @@
       caches.add(cache);
       discovery.add(cache.name, cache.address(), "m2");
     }
-    discovery.silent(plan.discovery() == DiscoveryBehavior.IS_SILENT);
+    discovery.setSilent(plan.discovery() == DiscoveryBehavior.IS_SILENT);
     this.instances = new Instances(plan, discovery, directory, context);
   }
 
   Outcome play() throws IOException {
     SignalSeries signals = new SignalSeries(plan.series(), instances, clock, random.split());
-    signals.beforeTheStart();
+    signals.terminateDuringStart();
     if (instances.startAll()) {
       startClients();
-      traffic();
-      discovery.silent(plan.discovery() == DiscoveryBehavior.IS_SILENT || plan.outageAtRestart());
+      runTraffic();
+      discovery.setSilent(plan.discovery() == DiscoveryBehavior.IS_SILENT || plan.outageAtRestart());
       signals.play();
       if (instances.startAll()) {
         RunClock.sleep(AFTER_RESTART_MS);
         if (plan.outageAtRestart()) {
           RunClock.sleep(OUTAGE_MS);
-          discovery.silent(false);
+          discovery.setSilent(false);
           RunClock.sleep(AFTER_RESTART_MS);
         }
-        signals.term(1);
+        signals.terminateAll(1);
       }
       endClients();
     }
-    List<Violation> found = new ArrayList<>(context.found());
-    found.addAll(Checks.of(context.requests().all(), discovery.drainKnownAt(), instances.kills()));
-    return Outcome.of(plan, found, instances.holds(), clock, context.requests().all().size(), crossed.get());
+    List<Violation> violations = new ArrayList<>(context.violations());
+    violations.addAll(Checks.findViolations(context.requests().all(), discovery.drainKnownAt(),
+        instances.kills()));
+    return Outcome.of(plan, violations, instances.pauses(), clock, context.requests().all().size(),
+        unreadAtClose.get());
   }
 
   private void startClients() {
-    List<Instance> served = instances.served();
-    for (SoakPlan.ClientWay way : plan.clients()) {
-      int port = served.get(clients.size() % served.size()).clientPort();
-      SoakClient client = new SoakClient(port, way, plan.deadlineMs(), context, random.split(), crossed);
+    List<Instance> all = instances.all();
+    for (SoakPlan.ClientBehavior behavior : plan.clients()) {
+      int port = all.get(clients.size() % all.size()).clientPort();
+      SoakClient client =
+          new SoakClient(port, behavior, plan.deadlineMs(), context, random.split(), unreadAtClose);
       clients.add(client);
       client.start();
     }
   }
 
   private void endClients() {
-    clients.forEach(SoakClient::end);
+    clients.forEach(SoakClient::finish);
     for (SoakClient client : clients) {
       try {
         client.join();
@@ -95,14 +98,14 @@
     }
   }
 
-  private void traffic() {
+  private void runTraffic() {
     double from = clock.now();
-    RunClock.sleep(BEFORE_THE_CROWD_MS);
+    RunClock.sleep(BEFORE_IDLE_CONNECTIONS_MS);
     openIdleConnections();
     if (plan.discovery() == DiscoveryBehavior.IS_SILENT_FOR_A_WHILE) {
-      discovery.silent(true);
+      discovery.setSilent(true);
       RunClock.sleep(SILENCE_MS);
-      discovery.silent(false);
+      discovery.setSilent(false);
     }
     if (plan.drains()) {
       CachePeer cache = caches.get(0);
@@ -113,25 +116,25 @@
     instances.checkAlive();
   }
 
-  /** Connections that are idle fill the descriptors that clients may hold. */
+  /** Fills the descriptors that client connections may use with idle connections. */
   private void openIdleConnections() {
-    List<Instance> served = instances.served();
-    for (int i = 0; plan.crowd() && i < CROWD; i++) {
+    List<Instance> all = instances.all();
+    for (int i = 0; plan.opensIdleConnections() && i < IDLE_CONNECTIONS; i++) {
       try {
-        int port = served.get(i % served.size()).clientPort();
-        crowd.add(new Socket(InetAddress.getByName("127.0.0.1"), port));
+        int port = all.get(i % all.size()).clientPort();
+        idleConnections.add(new Socket(InetAddress.getByName("127.0.0.1"), port));
       } catch (IOException e) {
-        return; // no room
+        return; // no room for more connections
       }
     }
   }
 
-  /** Ends all that runs still. */
+  /** Stops the clients, processes and peers that still run. */
   @Override
   public void close() throws IOException {
-    clients.forEach(SoakClient::end);
+    clients.forEach(SoakClient::finish);
     instances.close();
-    for (Socket socket : crowd) {
+    for (Socket socket : idleConnections) {
       socket.close();
     }
     for (CachePeer cache : caches) {
--- a/src/test/java/beampoint/soak/SoakTest.java
+++ b/src/test/java/beampoint/soak/SoakTest.java
@@ -16,164 +16,166 @@
 import org.junit.jupiter.api.Timeout;
 import picocli.CommandLine;
 
-/** What the soak's checks find in requests, and what its command takes. */
+/** Checks of the soak test itself: which violations it reports, and its command line. */
 @Timeout(30)
 class SoakTest {
 
-  private static final double WAIT_MS = 300;
+  private static final double DEADLINE_MS = 300;
 
-  /** A request that was sent at 1 s, after something else has happened to it; the cache drains since 0 s. */
-  private static List<Check> found(Kind kind, Consumer<Request> story) {
-    Request request = new Request("1a", kind, WAIT_MS);
-    request.sent(1000);
-    story.accept(request);
-    return Checks.of(List.of(request), Map.of("drained", 0.0), List.of()).stream().map(Violation::check)
-        .toList();
+  /** The rules that a request sent at 1 s violates after the events; the node "drained" drains since 0 s. */
+  private static List<Check> violatedRules(Kind kind, Consumer<Request> events) {
+    Request request = new Request("1a", kind, DEADLINE_MS);
+    request.recordSent(1000);
+    events.accept(request);
+    return Checks.findViolations(List.of(request), Map.of("drained", 0.0), List.of()).stream()
+        .map(Violation::check).toList();
   }
 
   @Test
-  void aRequestThatIsAnsweredInTimeBreaksNothing() {
-    assertEquals(List.of(), found(Kind.READ, request -> {
-      request.came(new Attempt(1010, "cache", 290));
-      request.answered(1000 + WAIT_MS + 500, false);
+  void aRequestAnsweredInTimeViolatesNoRule() {
+    assertEquals(List.of(), violatedRules(Kind.READ, request -> {
+      request.recordAttempt(new Attempt(1010, "cache", 290));
+      request.recordAnswer(1000 + DEADLINE_MS + 500, false);
     }));
   }
 
   @Test
-  void eachRuleIsFoundBroken() {
+  void aViolationOfEachRuleIsReported() {
     assertEquals(List.of(Check.ANSWER_IN_TIME),
-        found(Kind.READ, request -> request.answered(1000 + WAIT_MS + 501, false)));
-    assertEquals(List.of(Check.ONE_ANSWER), found(Kind.READ, request -> request.answered(1001, true)));
-    assertEquals(List.of(Check.ONE_ANSWER), found(Kind.READ, request -> {
-      request.answered(1001, false);
-      request.answered(1002, false);
+        violatedRules(Kind.READ, request -> request.recordAnswer(1000 + DEADLINE_MS + 501, false)));
+    assertEquals(List.of(Check.ONE_ANSWER),
+        violatedRules(Kind.READ, request -> request.recordAnswer(1001, true)));
+    assertEquals(List.of(Check.ONE_ANSWER), violatedRules(Kind.READ, request -> {
+      request.recordAnswer(1001, false);
+      request.recordAnswer(1002, false);
     }));
-    assertEquals(List.of(Check.NOT_LOST), found(Kind.READ, request -> {
-      request.came(new Attempt(1010, "cache", 290));
-      request.ended(1020);
+    assertEquals(List.of(Check.NOT_LOST), violatedRules(Kind.READ, request -> {
+      request.recordAttempt(new Attempt(1010, "cache", 290));
+      request.recordConnectionEnd(1020);
     }));
-    assertEquals(List.of(Check.NOT_AFTER_LEAVING), found(Kind.READ, request -> {
-      request.left(1050);
-      request.came(new Attempt(1151, "cache", 100));
+    assertEquals(List.of(Check.NOT_AFTER_LEAVING), violatedRules(Kind.READ, request -> {
+      request.recordClientClose(1050);
+      request.recordAttempt(new Attempt(1151, "cache", 100));
     }));
-    assertEquals(List.of(Check.TIME_TOLD), found(Kind.READ, request -> {
-      request.came(new Attempt(1200, "cache", 251));
-      request.answered(1250, false);
+    assertEquals(List.of(Check.TIME_TOLD), violatedRules(Kind.READ, request -> {
+      request.recordAttempt(new Attempt(1200, "cache", 251));
+      request.recordAnswer(1250, false);
     }));
-    assertEquals(List.of(Check.DRAIN), found(Kind.READ, request -> {
-      request.came(new Attempt(1051, "drained", 240));
-      request.answered(1060, false);
+    assertEquals(List.of(Check.DRAIN), violatedRules(Kind.READ, request -> {
+      request.recordAttempt(new Attempt(1051, "drained", 240));
+      request.recordAnswer(1060, false);
     }));
   }
 
   @Test
-  void anEffectIsFoundTwiceUnlessItsRepeatIsDropped() {
+  void aDuplicateEffectIsReportedUnlessItsRepeatIsDropped() {
     for (Kind kind : new Kind[] {Kind.KEYED, Kind.UNSAFE}) {
-      for (double later : new double[] {Bounds.DEDUP_WINDOW_MS, Bounds.DEDUP_WINDOW_MS + 1}) {
-        List<Check> found = found(kind, request -> {
-          request.came(new Attempt(1010, "origin", 200));
-          request.takeEffect(1010, Bounds.DEDUP_WINDOW_MS);
-          request.takeEffect(1010 + later, Bounds.DEDUP_WINDOW_MS);
-          request.answered(1020, false);
+      for (double laterMs : new double[] {Bounds.DEDUP_WINDOW_MS, Bounds.DEDUP_WINDOW_MS + 1}) {
+        List<Check> violated = violatedRules(kind, request -> {
+          request.recordAttempt(new Attempt(1010, "origin", 200));
+          request.executeWrite(1010, Bounds.DEDUP_WINDOW_MS);
+          request.executeWrite(1010 + laterMs, Bounds.DEDUP_WINDOW_MS);
+          request.recordAnswer(1020, false);
         });
-        boolean isDropped = kind == Kind.KEYED && later <= Bounds.DEDUP_WINDOW_MS;
-        assertEquals(isDropped ? List.of() : List.of(Check.EFFECT_ONCE), found, kind + " after " + later);
+        boolean isDropped = kind == Kind.KEYED && laterMs <= Bounds.DEDUP_WINDOW_MS;
+        assertEquals(isDropped ? List.of() : List.of(Check.EFFECT_ONCE), violated,
+            kind + " after " + laterMs);
       }
     }
   }
 
-  private static Violation told(double from, double at, double overMs) {
-    return new Violation(Check.TIME_TOLD, from, at, overMs, "1a", "");
+  private static Violation timeViolation(double from, double at, double excessMs) {
+    return new Violation(Check.TIME_TOLD, from, at, excessMs, "1a", "");
   }
 
-  /** What is traced to the machine: a party stood still for as long, and just then. */
+  /** A violation is explained only if one party was stalled for at least the excess, within its interval. */
   @Test
-  void aStallExplainsNoMoreThanItsOwnTime() {
-    StallTrace machine = new StallTrace();
-    machine.add("harness", 1000, 1100, 40);
-    machine.add("n0-0.log", 1000, 1100, 30);
-    assertTrue(machine.explains(told(900, 1200, 40)));
-    assertFalse(machine.explains(told(900, 1200, 41)), "two parties that waited side by side");
-    assertFalse(machine.explains(told(900, 1050, 21)), "half of it came later");
-    assertFalse(machine.explains(told(1100, 1200, 1)), "it was over before");
-    assertFalse(machine.explains(told(900, 1000, 1)), "it came after");
-    machine.add("harness", 1150, 1160, 10);
-    assertTrue(machine.explains(told(900, 1200, 50)));
-    assertFalse(machine.explains(new Violation(Check.NOT_LOST, 1200, "1a", "")), "no bound of time");
-    assertFalse(machine.explains(told(0, 2000, Double.POSITIVE_INFINITY)));
+  void aStallExplainsNoMoreThanItsOwnDuration() {
+    StallTrace machineStalls = new StallTrace();
+    machineStalls.add("harness", 1000, 1100, 40);
+    machineStalls.add("n0-0.log", 1000, 1100, 30);
+    assertTrue(machineStalls.explains(timeViolation(900, 1200, 40)));
+    assertFalse(machineStalls.explains(timeViolation(900, 1200, 41)), "two parties are not added up");
+    assertFalse(machineStalls.explains(timeViolation(900, 1050, 21)), "half of the stall was later");
+    assertFalse(machineStalls.explains(timeViolation(1100, 1200, 1)), "the stall ended before the violation");
+    assertFalse(machineStalls.explains(timeViolation(900, 1000, 1)), "the stall began after the violation");
+    machineStalls.add("harness", 1150, 1160, 10);
+    assertTrue(machineStalls.explains(timeViolation(900, 1200, 50)));
+    assertFalse(machineStalls.explains(new Violation(Check.NOT_LOST, 1200, "1a", "")), "not a time limit");
+    assertFalse(machineStalls.explains(timeViolation(0, 2000, Double.POSITIVE_INFINITY)));
   }
 
-  /** A process has to bear to be held up for 0.15 s: only what is beyond that excuses it. */
+  /** A process has to tolerate a pause of 0.15 s; only a longer pause explains a violation. */
   @Test
-  void aHoldOf150MsExplainsNothing() {
-    StallTrace holds = new StallTrace();
-    holds.addHold("all", 1000, 1150);
-    assertFalse(holds.explains(told(0, 2000, 1)));
-    holds.addHold("all", 3000, 3500);
-    assertTrue(holds.explains(told(2900, 3600, 350)));
-    assertFalse(holds.explains(told(2900, 3600, 351)));
-    assertFalse(holds.explains(told(3400, 3600, 1)), "it was there for 0.1 s of it only");
+  void aPauseOf150MsExplainsNothing() {
+    StallTrace pauses = new StallTrace();
+    pauses.addPause("all", 1000, 1150);
+    assertFalse(pauses.explains(timeViolation(0, 2000, 1)));
+    pauses.addPause("all", 3000, 3500);
+    assertTrue(pauses.explains(timeViolation(2900, 3600, 350)));
+    assertFalse(pauses.explains(timeViolation(2900, 3600, 351)));
+    assertFalse(pauses.explains(timeViolation(3400, 3600, 1)), "only 0.1 s of the pause counts");
   }
 
-  /** A SIGKILL finds a request open: a loss, unless a party stood still for 0.15 s since the SIGTERM. */
+  /** A request that is open at a SIGKILL is lost, unless a party was stalled for 0.15 s since the SIGTERM. */
   @Test
-  void aRequestThatASigkillFindsOpenIsLost() {
-    Request request = new Request("1a", Kind.READ, WAIT_MS);
-    request.sent(1900);
-    request.came(new Attempt(1910, "cache", 290));
-    request.ended(2001);
+  void aRequestThatIsOpenAtASigkillIsLost() {
+    Request request = new Request("1a", Kind.READ, DEADLINE_MS);
+    request.recordSent(1900);
+    request.recordAttempt(new Attempt(1910, "cache", 290));
+    request.recordConnectionEnd(2001);
     List<Checks.Kill> kills = List.of(new Checks.Kill(1000, 2000));
-    List<Violation> found = Checks.of(List.of(request), Map.of(), kills);
-    assertEquals(List.of(Check.NOT_LOST), found.stream().map(Violation::check).toList());
-    StallTrace machine = new StallTrace();
-    machine.add("n0-0.log", 500, 1000, 500);
-    machine.add("n0-0.log", 1000, 1500, 149);
-    assertFalse(machine.explains(found.get(0)));
-    machine.add("n0-0.log", 1500, 1600, 1);
-    assertTrue(machine.explains(found.get(0)));
+    List<Violation> violations = Checks.findViolations(List.of(request), Map.of(), kills);
+    assertEquals(List.of(Check.NOT_LOST), violations.stream().map(Violation::check).toList());
+    StallTrace machineStalls = new StallTrace();
+    machineStalls.add("n0-0.log", 500, 1000, 500);
+    machineStalls.add("n0-0.log", 1000, 1500, 149);
+    assertFalse(machineStalls.explains(violations.get(0)));
+    machineStalls.add("n0-0.log", 1500, 1600, 1);
+    assertTrue(machineStalls.explains(violations.get(0)));
   }
 
-  private static Outcome outcome(Violation violation, StallTrace holds, RunClock clock) {
-    return Outcome.of(SoakPlan.of(1), List.of(violation), holds, clock, 1, 0);
+  private static Outcome outcome(Violation violation, StallTrace pauses, RunClock clock) {
+    return Outcome.of(SoakPlan.of(1), List.of(violation), pauses, clock, 1, 0);
   }
 
-  /** A run is void for a stall of the machine alone; a hold by the harness allows for times and no loss. */
+  /** Only machine stalls make a run void; a pause by the harness excuses exceeded time limits but no loss. */
   @Test
-  void aRunIsVoidOnlyWhereEachBrokenRuleIsTraced() {
+  void aRunIsVoidOnlyIfMachineStallsExplainEachViolation() {
     RunClock clock = new RunClock();
     clock.stop();
-    Violation late = told(10_900, 11_200, 40);
-    Violation lost = new Violation(Check.NOT_LOST, 10_000, 11_000, Bounds.HELD_UP_MS, "1a", "");
-    StallTrace holds = new StallTrace();
-    assertEquals(Verdict.BROKEN, outcome(late, holds, clock).verdict());
-    holds.addHold("all", 10_000, 11_000);
-    holds.addHold("all", 11_000, 11_200);
-    assertEquals(Verdict.KEPT, outcome(late, holds, clock).verdict());
-    assertEquals(1, outcome(late, holds, clock).allowed());
-    assertEquals(Verdict.BROKEN, outcome(lost, holds, clock).verdict());
-    clock.machine().add("harness", 10_500, 10_900, Bounds.HELD_UP_MS);
-    assertEquals(Verdict.VOID, outcome(lost, holds, clock).verdict());
+    Violation late = timeViolation(10_900, 11_200, 40);
+    Violation lost = new Violation(Check.NOT_LOST, 10_000, 11_000, Bounds.MAX_PAUSE_MS, "1a", "");
+    StallTrace pauses = new StallTrace();
+    assertEquals(Verdict.BROKEN, outcome(late, pauses, clock).verdict());
+    pauses.addPause("all", 10_000, 11_000);
+    pauses.addPause("all", 11_000, 11_200);
+    assertEquals(Verdict.KEPT, outcome(late, pauses, clock).verdict());
+    assertEquals(1, outcome(late, pauses, clock).excused());
+    assertEquals(Verdict.BROKEN, outcome(lost, pauses, clock).verdict());
+    clock.machineStalls().add("harness", 10_500, 10_900, Bounds.MAX_PAUSE_MS);
+    assertEquals(Verdict.VOID, outcome(lost, pauses, clock).verdict());
   }
 
-  /** What crosses a close unread is the client's to send again. */
+  /** The client has to send a request again that was not read before the connection closed. */
   @Test
-  void aRequestThatWasNeverForwardedMayCrossAClose() {
-    assertEquals(List.of(), found(Kind.READ, request -> request.ended(1020)));
+  void aRequestThatWasNeverForwardedMayStayUnansweredAtAClose() {
+    assertEquals(List.of(), violatedRules(Kind.READ, request -> request.recordConnectionEnd(1020)));
   }
 
   @Test
-  void aRunIsDrawnWholeFromItsSeed() {
+  void aSeedDeterminesTheWholePlan() {
     for (long seed = 0; seed < 50; seed++) {
       assertEquals(SoakPlan.of(seed), SoakPlan.of(seed));
     }
     for (SoakPlan.Series series : SoakPlan.Series.values()) {
       assertTrue(LongStream.range(0, 50).anyMatch(s -> SoakPlan.of(s).series() == series),
-          series + " is drawn by none of 50 seeds");
+          series + " is in the plan of none of 50 seeds");
     }
   }
 
   @Test
-  void badArgumentsAreToldWithCode2() {
+  void badArgumentsExitWithCode2() {
     for (String[] bad : new String[][] {{"--seeds", "x"}, {"--seeds", "5-1"}, {"--seeds", "-1"},
         {"--seeds", "1-2-3"},
         {"--parallel", "0"}, {"--inject", "NOTHING"}, {"--unknown"}}) {
--- a/src/test/java/beampoint/soak/StallTrace.java
+++ b/src/test/java/beampoint/soak/StallTrace.java
@@ -6,45 +6,45 @@
 import java.util.TreeMap;
 
 /**
- * When, and for how long, the parties of a run stood still, as was measured of each. A bound of time that is
- * passed is traced to the machine only where a party stood still for as long in the time it is about.
+ * The measured stalls of each party of a run, which is the harness or a process. Stalls explain an exceeded
+ * time limit only if a single party was stalled for at least the excess within the interval of the violation.
  */
 final class StallTrace {
 
-  /** A time in which a party stood still for a part, of which a first part excuses nothing. All in ms. */
-  private record Stall(double from, double to, double stoodMs, double borneMs) {
+  /** An interval during which a party was stalled in part; the tolerated time explains nothing. All in ms. */
+  private record Stall(double from, double to, double stalledMs, double toleratedMs) {
 
-    double between(double begin, double end) {
+    double stalledMsWithin(double begin, double end) {
       double overlap = Math.min(end, to) - Math.max(begin, from);
-      return overlap <= 0 ? 0 : Math.max(0, stoodMs * overlap / (to - from) - borneMs);
+      return overlap <= 0 ? 0 : Math.max(0, stalledMs * overlap / (to - from) - toleratedMs);
     }
   }
 
   private final Map<String, List<Stall>> stalls = new TreeMap<>(); // by party
 
-  /** A party stood still for a part of the time between two moments. */
-  synchronized void add(String party, double from, double to, double stoodMs) {
-    add(party, new Stall(from, to, stoodMs, 0));
+  /** Adds a party's stall of {@code stalledMs} somewhere between two times. */
+  synchronized void add(String party, double from, double to, double stalledMs) {
+    add(party, new Stall(from, to, stalledMs, 0));
   }
 
-  /** A process was stopped between two moments; what the pages ask it to bear is no excuse. */
-  synchronized void addHold(String party, double from, double to) {
-    add(party, new Stall(from, to, to - from, Bounds.HELD_UP_MS));
+  /** Adds a pause of a process by the harness; the pause that it has to tolerate explains nothing. */
+  synchronized void addPause(String party, double from, double to) {
+    add(party, new Stall(from, to, to - from, Bounds.MAX_PAUSE_MS));
   }
 
   private void add(String party, Stall stall) {
     stalls.computeIfAbsent(party, name -> new ArrayList<>()).add(stall);
   }
 
-  /** The longest time for which any one party stood still between two moments, in ms. */
-  synchronized double between(double begin, double end) {
+  /** The longest time for which any single party was stalled between two times, in ms. */
+  synchronized double longestStallMs(double begin, double end) {
     return stalls.values().stream()
-        .mapToDouble(list -> list.stream().mapToDouble(stall -> stall.between(begin, end)).sum())
+        .mapToDouble(list -> list.stream().mapToDouble(stall -> stall.stalledMsWithin(begin, end)).sum())
         .max().orElse(0);
   }
 
-  /** True where any one party stood still for as long as the bound was passed by, in the time it is about. */
+  /** True if a single party was stalled for at least the excess of a violation within its interval. */
   boolean explains(Violation violation) {
-    return violation.overMs() <= between(violation.from(), violation.at());
+    return violation.excessMs() <= longestStallMs(violation.from(), violation.at());
   }
 }
--- a/src/test/java/beampoint/soak/Violation.java
+++ b/src/test/java/beampoint/soak/Violation.java
@@ -3,17 +3,22 @@
 import java.util.Locale;
 
 /**
- * A rule that did not hold: which, the times of the run in ms between which it was broken, by how many ms a
- * bound of time was passed (infinite where it is none), the request or process, and what was seen.
+ * A violated rule.
+ *
+ * @param from the start of the interval of the violation, in ms of the run
+ * @param at the end of that interval
+ * @param excessMs by how much a time limit was exceeded; infinite if the rule is not a time limit
+ * @param subject the id of the request or the name of the process
+ * @param observed a description of what was observed
  */
-record Violation(Check check, double from, double at, double overMs, String subject, String seen) {
+record Violation(Check check, double from, double at, double excessMs, String subject, String observed) {
 
-  /** A rule that is not one of time. */
-  Violation(Check check, double at, String subject, String seen) {
-    this(check, at, at, Double.POSITIVE_INFINITY, subject, seen);
+  /** A violation of a rule that is not a time limit. */
+  Violation(Check check, double at, String subject, String observed) {
+    this(check, at, at, Double.POSITIVE_INFINITY, subject, observed);
   }
 
-  /** What a run checks; the bounds are those of the operators' pages. */
+  /** What a run checks; the limits are in {@link Bounds}. */
   enum Check {
     ANSWER_IN_TIME, ONE_ANSWER, NOT_LOST, EFFECT_ONCE, DRAIN, NOT_AFTER_LEAVING, TIME_TOLD, BAD_CLIENT, EXIT,
     READY, DESCRIPTORS, MEMORY, COUNTERS
@@ -21,6 +26,6 @@
 
   @Override
   public String toString() {
-    return String.format(Locale.ROOT, "%s at %.0f ms, %s: %s", check, at, subject, seen);
+    return String.format(Locale.ROOT, "%s at %.0f ms, %s: %s", check, at, subject, observed);
   }
 }
--- a/src/test/java/beampoint/soak/package-info.java
+++ b/src/test/java/beampoint/soak/package-info.java
@@ -1,6 +1,5 @@
 /**
- * A soak of real {@code serve} processes on loopback, beside scripted peers and clients that misbehave,
- * through signals and restarts. Each run is drawn whole from its seed; {@link beampoint.soak.SoakMain}
- * plays them.
+ * A soak test of real {@code serve} processes on loopback with scripted peers, misbehaving clients, signals
+ * and restarts. A seed determines the whole plan of a run; {@link beampoint.soak.SoakMain} runs them.
  */
 package beampoint.soak;
