--- a/src/benchmark/java/beampoint/benchmark/DecisionBenchmark.java
+++ b/src/benchmark/java/beampoint/benchmark/DecisionBenchmark.java
@@ -23,7 +23,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What the decision module takes for an event, under the JVM flags of {@code deploy/balancer.toml}. */
+/** The time of the decision module per event, with JVM flags of {@code deploy/balancer.toml}. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -35,7 +35,7 @@
   private static final int KEYS = 1 << 16;
   private static final int WARM_UP_REQUESTS = 20_000;
   private static final double ANSWER_MS = 5;
-  private static final double STEP_MS = 1_000 / Workload.REQUESTS_PER_SECOND;
+  private static final double REQUEST_INTERVAL_MS = 1_000 / Workload.REQUESTS_PER_SECOND;
 
   @Param({"14", "60", "200", "610"})
   public int endpoints;
@@ -47,28 +47,28 @@
   public double price;
 
   private Balancer balancer;
-  private List<Endpoint> whole;
+  private List<Endpoint> endpointList;
   private final long[] keys = Workload.keys(KEYS);
   private double now;
   private long lastId;
   private boolean drains;
 
-  /** A module in the middle of its load. */
+  /** Creates the module and warms it up with requests. */
   @Setup
-  public void begin() {
+  public void setUp() {
     balancer = new BalancerPolicy(Workload.settings(proxies, price));
-    whole = Workload.endpoints(endpoints);
+    endpointList = Workload.endpoints(endpoints);
     now = 1_000_000;
-    balancer.handle(now, new ListReceived(ListKind.FULL, whole));
+    balancer.handle(now, new ListReceived(ListKind.FULL, endpointList));
     for (int i = 0; i < WARM_UP_REQUESTS; i++) {
       request();
     }
   }
 
-  /** A request that its cache serves: two events. */
+  /** A request that its cache answers: two events. */
   @Benchmark
   public Object request() {
-    now += STEP_MS;
+    now += REQUEST_INTERVAL_MS;
     long id = ++lastId;
     long key = keys[(int) (id % KEYS)];
     int tenant = (int) (id % 10);
@@ -78,19 +78,19 @@
         : balancer.handle(now, new AttemptEnded(id, 0, endpoint, ANSWER_MS, Result.OK, true));
   }
 
-  /** A list that tells of one cache node that begins or ceases to drain. */
+  /** A list change in which one cache node starts or stops draining. */
   @Benchmark
   public Object changeOfOne() {
-    now += STEP_MS;
+    now += REQUEST_INTERVAL_MS;
     drains = !drains;
     EndpointState state = drains ? EndpointState.DRAINING : EndpointState.RUNNING;
     return balancer.handle(now, new ListReceived(ListKind.CHANGES, List.of(Workload.cache(3, state))));
   }
 
-  /** A whole list that tells nothing new. */
+  /** A full list without any change. */
   @Benchmark
   public Object wholeList() {
-    now += STEP_MS;
-    return balancer.handle(now, new ListReceived(ListKind.FULL, whole));
+    now += REQUEST_INTERVAL_MS;
+    return balancer.handle(now, new ListReceived(ListKind.FULL, endpointList));
   }
 }
--- a/src/benchmark/java/beampoint/benchmark/DecisionCosts.java
+++ b/src/benchmark/java/beampoint/benchmark/DecisionCosts.java
@@ -15,7 +15,7 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import org.openjdk.jmh.runner.options.VerboseMode;
 
-/** Slopes of the decision module's time and memory, by endpoints and by proxies. */
+/** Fits the time and memory of the decision module against the number of endpoints and of proxies. */
 public final class DecisionCosts {
 
   private static final int[] ENDPOINTS = {14, 60, 200, 610};
@@ -28,12 +28,12 @@
 
   public static void main(String[] args) throws RunnerException {
     for (String price : new String[] {"0", "0.03"}) {
-      time("request", "endpoints", texts(ENDPOINTS), MAX_PROXIES, price);
-      time("request", "proxies", MAX_ENDPOINTS, PROXIES, price);
+      measureTime("request", "endpoints", texts(ENDPOINTS), MAX_PROXIES, price);
+      measureTime("request", "proxies", MAX_ENDPOINTS, PROXIES, price);
     }
-    time("changeOfOne", "endpoints", texts(ENDPOINTS), MAX_PROXIES, "0.03");
-    time("wholeList", "endpoints", texts(ENDPOINTS), MAX_PROXIES, "0.03");
-    memory();
+    measureTime("changeOfOne", "endpoints", texts(ENDPOINTS), MAX_PROXIES, "0.03");
+    measureTime("wholeList", "endpoints", texts(ENDPOINTS), MAX_PROXIES, "0.03");
+    measureMemory();
   }
 
   private static String[] texts(int[] sizes) {
@@ -44,8 +44,8 @@
     return texts;
   }
 
-  private static void time(String benchmark, String by, String[] endpoints, String[] proxies, String price)
-      throws RunnerException {
+  private static void measureTime(String benchmark, String by, String[] endpoints, String[] proxies,
+      String price) throws RunnerException {
     ChainedOptionsBuilder options = new OptionsBuilder()
         .include(DecisionBenchmark.class.getName() + "." + benchmark + "$").verbosity(VerboseMode.SILENT)
         .param("endpoints", endpoints).param("proxies", proxies).param("price", price);
@@ -61,25 +61,26 @@
     System.out.println(LinearFit.of(points).text(benchmark + " by " + by + ", price " + price, "us"));
   }
 
-  /** The heap that an instance with a list holds, of many of them. */
-  private static void memory() {
+  /** The heap used by one instance with a host list, as the mean over {@link #INSTANCES}. */
+  private static void measureMemory() {
     List<LinearFit.Point> points = new ArrayList<>();
     for (int endpoints : ENDPOINTS) {
       List<Balancer> instances = new ArrayList<>();
-      long before = used();
+      long before = usedHeapBytes();
       for (int i = 0; i < INSTANCES; i++) {
         Balancer balancer = new BalancerPolicy(Workload.settings(2_300, 0.03));
         balancer.handle(1_000, new ListReceived(ListKind.FULL, Workload.endpoints(endpoints)));
         instances.add(balancer);
       }
-      double each = (used() - before) / 1024.0 / instances.size();
-      points.add(new LinearFit.Point(endpoints, each));
-      System.out.printf(Locale.ROOT, "heap of an instance, %d endpoints: %.1f KB%n", endpoints, each);
+      double kbPerInstance = (usedHeapBytes() - before) / 1024.0 / instances.size();
+      points.add(new LinearFit.Point(endpoints, kbPerInstance));
+      System.out.printf(Locale.ROOT, "heap of an instance, %d endpoints: %.1f KB%n", endpoints,
+          kbPerInstance);
     }
     System.out.println(LinearFit.of(points).text("heap by endpoints", "KB"));
   }
 
-  private static long used() {
+  private static long usedHeapBytes() {
     for (int i = 0; i < 3; i++) {
       System.gc();
     }
--- a/src/benchmark/java/beampoint/benchmark/FleetProcesses.java
+++ b/src/benchmark/java/beampoint/benchmark/FleetProcesses.java
@@ -17,21 +17,21 @@
 import java.util.stream.Stream;
 
 /**
- * Real processes of {@code serve} on loopback, with membership and without: processor time, memory and
- * control bytes of each, from the system's accounts and the proxies' own counters. Arguments: sizes, as
- * {@code 5,20,60,120}, the seconds of the measured window, and {@code fleet} or {@code alone}.
+ * Measures real {@code serve} processes on loopback, with and without membership: CPU time, memory and
+ * control traffic of each, from /proc and the counters of the proxies. Arguments: fleet sizes such as
+ * {@code 5,20,60,120}, the length of the measured window in seconds, and {@code fleet} or {@code alone}.
  */
 public final class FleetProcesses {
 
   private static final int CACHES = 14;
   private static final int ZONES = 2;
   private static final int SOCKETS = 256;
-  private static final int KNOWN_PEERS = 5;
-  private static final int REQUESTS_A_SECOND = 2; // of each proxy
+  private static final int SEED_PEERS = 5;
+  private static final int REQUESTS_A_SECOND = 2; // per proxy
   private static final int STARTS_AT_ONCE = 10;
   private static final long MAX_START_MS = 60_000;
   private static final String SHARED_AMONG = "the load is shared among ";
-  private static final long SETTLE_MS = 15_000; // until all know each other and the compiler is quiet
+  private static final long SETTLE_MS = 15_000; // for membership and JIT compilation to settle
 
   private final List<ServeProcess> proxies = new ArrayList<>();
   private final int size;
@@ -39,11 +39,11 @@
   private final Path directory;
   private final ScriptedPeers peers;
 
-  /** What one proxy had spent at a moment. */
+  /** The resource usage and the counters of a proxy at a time in seconds. */
   private record Sample(double at, ProcessAccount account, Map<String, Long> stats) {}
 
-  /** What one proxy spent a second, and what it held at the end. */
-  private record Spent(double cpuMs, double sentBytes, double receivedBytes, double messages,
+  /** What a proxy used per second in the measured window, and its resources at the end. */
+  private record Usage(double cpuMs, double sentBytes, double receivedBytes, double messages,
       ProcessAccount held) {}
 
   private FleetProcesses(int size, boolean fleet) throws IOException {
@@ -58,11 +58,11 @@
     List<LinearFit.Point> sent = new ArrayList<>();
     List<LinearFit.Point> memory = new ArrayList<>();
     for (String size : args[0].split(",")) {
-      FleetProcesses study = new FleetProcesses(Integer.parseInt(size), args[2].equals("fleet"));
-      List<Spent> spent = study.run(Long.parseLong(args[1]) * 1_000);
-      cpu.add(new LinearFit.Point(study.size, mean(spent, Spent::cpuMs)));
-      sent.add(new LinearFit.Point(study.size, mean(spent, Spent::sentBytes)));
-      memory.add(new LinearFit.Point(study.size, mean(spent, s -> s.held.residentKb())));
+      FleetProcesses processes = new FleetProcesses(Integer.parseInt(size), args[2].equals("fleet"));
+      List<Usage> usages = processes.run(Long.parseLong(args[1]) * 1_000);
+      cpu.add(new LinearFit.Point(processes.size, mean(usages, Usage::cpuMs)));
+      sent.add(new LinearFit.Point(processes.size, mean(usages, Usage::sentBytes)));
+      memory.add(new LinearFit.Point(processes.size, mean(usages, each -> each.held.residentKb())));
     }
     if (cpu.size() > 1) {
       System.out.println(LinearFit.of(cpu).text("processor ms a second", "ms"));
@@ -72,15 +72,15 @@
     System.exit(0);
   }
 
-  private static double mean(List<Spent> spent, ToDoubleFunction<Spent> figure) {
-    return spent.stream().mapToDouble(figure).average().orElseThrow();
+  private static double mean(List<Usage> usages, ToDoubleFunction<Usage> value) {
+    return usages.stream().mapToDouble(value).average().orElseThrow();
   }
 
-  private static double most(List<Spent> spent, ToDoubleFunction<Spent> figure) {
-    return spent.stream().mapToDouble(figure).max().orElseThrow();
+  private static double max(List<Usage> usages, ToDoubleFunction<Usage> value) {
+    return usages.stream().mapToDouble(value).max().orElseThrow();
   }
 
-  private List<Spent> run(long windowMs) throws Exception {
+  private List<Usage> run(long windowMs) throws Exception {
     try {
       startAll();
       Thread load = new Thread(this::load, "load");
@@ -91,12 +91,12 @@
       Thread.sleep(windowMs);
       List<Sample> after = samples();
       load.interrupt();
-      List<Spent> spent = new ArrayList<>();
+      List<Usage> usages = new ArrayList<>();
       for (int i = 0; i < proxies.size(); i++) {
-        spent.add(spent(before.get(i), after.get(i)));
+        usages.add(usage(before.get(i), after.get(i)));
       }
-      print(spent);
-      return spent;
+      print(usages);
+      return usages;
     } finally {
       endAll();
       peers.close();
@@ -134,7 +134,7 @@
 
   private static JsonObject fleetOf(int number, List<Integer> ports) {
     JsonArray known = new JsonArray();
-    for (int i = 1; i <= Math.min(KNOWN_PEERS, ports.size() - 1); i++) {
+    for (int i = 1; i <= Math.min(SEED_PEERS, ports.size() - 1); i++) {
       int other = (number + i) % ports.size();
       JsonObject peer = new JsonObject();
       peer.addProperty("name", name(other));
@@ -148,7 +148,7 @@
     return settings;
   }
 
-  /** A little load: every proxy is asked a few times a second. */
+  /** Sends each proxy a few requests per second. */
   private void load() {
     List<Socket> clients = new ArrayList<>();
     try {
@@ -166,7 +166,7 @@
         Thread.sleep(1_000 / REQUESTS_A_SECOND / size);
       }
     } catch (IOException | InterruptedException e) {
-      // the window is over
+      // the measurement has ended
     }
   }
 
@@ -179,9 +179,9 @@
     return samples;
   }
 
-  private static Spent spent(Sample before, Sample after) {
+  private static Usage usage(Sample before, Sample after) {
     double seconds = after.at - before.at;
-    return new Spent((after.account.cpuMs() - before.account.cpuMs()) / seconds,
+    return new Usage((after.account.cpuMs() - before.account.cpuMs()) / seconds,
         rate("member_bytes_sent", before, after), rate("member_bytes_received", before, after),
         rate("member_messages_sent", before, after), after.account);
   }
@@ -190,18 +190,19 @@
     return (after.stats.get(counter) - before.stats.get(counter)) / (after.at - before.at);
   }
 
-  private void print(List<Spent> spent) throws IOException {
+  private void print(List<Usage> usages) throws IOException {
     System.out.printf(Locale.ROOT, "%d processes, %s: processor %.2f ms a second (most %.2f), resident"
         + " %.1f MB (most %.1f), shared pages divided %.1f MB, %.0f descriptors, %.0f threads%n", size,
-        fleet ? "members" : "alone", mean(spent, Spent::cpuMs), most(spent, Spent::cpuMs),
-        mean(spent, s -> s.held.residentKb() / 1024.0), most(spent, s -> s.held.residentKb() / 1024.0),
-        mean(spent, s -> s.held.proportionalKb() / 1024.0), mean(spent, s -> s.held.descriptors()),
-        mean(spent, s -> s.held.threads()));
+        fleet ? "members" : "alone", mean(usages, Usage::cpuMs), max(usages, Usage::cpuMs),
+        mean(usages, each -> each.held.residentKb() / 1024.0),
+        max(usages, each -> each.held.residentKb() / 1024.0),
+        mean(usages, each -> each.held.proportionalKb() / 1024.0),
+        mean(usages, each -> each.held.descriptors()), mean(usages, each -> each.held.threads()));
     System.out.printf(Locale.ROOT, "  sent %.0f bytes a second (most %.0f) in %.1f messages, received %.0f;"
         + " the whole fleet is known to %d; the first was told of %d suspicions since its start; machine load"
-        + " %s%n", mean(spent, Spent::sentBytes),
-        most(spent, Spent::sentBytes), mean(spent, Spent::messages), mean(spent, Spent::receivedBytes),
-        fleet ? knowAll() : 0, suspicions(), ProcessAccount.machineLoad());
+        + " %s%n", mean(usages, Usage::sentBytes),
+        max(usages, Usage::sentBytes), mean(usages, Usage::messages), mean(usages, Usage::receivedBytes),
+        fleet ? countCompleteViews() : 0, suspicions(), ProcessAccount.machineLoad());
   }
 
   private long suspicions() throws IOException {
@@ -210,15 +211,15 @@
     }
   }
 
-  /** How many last said that they share the load among all. */
-  private long knowAll() throws IOException {
-    long knowing = 0;
+  /** The number of proxies whose last log line on it shares the load among the whole fleet. */
+  private long countCompleteViews() throws IOException {
+    long complete = 0;
     for (int i = 0; i < size; i++) {
       String last = Files.readAllLines(directory.resolve(name(i) + ".log")).stream()
           .filter(line -> line.contains(SHARED_AMONG)).reduce("", (before, after) -> after);
-      knowing += last.contains(SHARED_AMONG + size + " proxies") ? 1 : 0;
+      complete += last.contains(SHARED_AMONG + size + " proxies") ? 1 : 0;
     }
-    return knowing;
+    return complete;
   }
 
   private void endAll() {
--- a/src/benchmark/java/beampoint/benchmark/HollowFleet.java
+++ b/src/benchmark/java/beampoint/benchmark/HollowFleet.java
@@ -8,8 +8,8 @@
 import java.util.Locale;
 
 /**
- * Members in virtual time, at the sizes of {@link FleetProcesses}: bytes and processor time of each, to
- * compare with real processes. Argument: sizes, as {@code 5,20,60,120}.
+ * Simulates members in virtual time at the sizes of {@link FleetProcesses}: bytes and CPU time of each, to
+ * compare with real processes. Argument: fleet sizes such as {@code 5,20,60,120}.
  */
 public final class HollowFleet {
 
--- a/src/benchmark/java/beampoint/benchmark/LinearFit.java
+++ b/src/benchmark/java/beampoint/benchmark/LinearFit.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A least-squares line through measured points, with its worst residual. */
+/** A least-squares line through measured points, with the largest residual and the size that has it. */
 public record LinearFit(double intercept, double slope, double worstResidual, double worstAt) {
 
-  /** One measured figure at one size. */
+  /** A value measured at a size. */
   public record Point(double size, double value) {}
 
-  /** Fits a line; there must be at least two sizes. */
+  /** Fits a line to points of at least two different sizes. */
   public static LinearFit of(List<Point> points) {
     double meanSize = points.stream().mapToDouble(Point::size).average().orElseThrow();
     double meanValue = points.stream().mapToDouble(Point::value).average().orElseThrow();
@@ -33,12 +33,12 @@
     return new LinearFit(intercept, slope, worst, worstAt);
   }
 
-  /** The line's value at a size. */
+  /** The value of the line at a size. */
   public double at(double size) {
     return intercept + slope * size;
   }
 
-  /** The fit in one line of a report. */
+  /** The fit as one line of a report. */
   public String text(String what, String unit) {
     return String.format(Locale.ROOT, "%s = %.4g + %.4g x size %s, worst residual %.3g at %.0f", what,
         intercept, slope, unit, worstResidual, worstAt);
--- a/src/benchmark/java/beampoint/benchmark/ListCosts.java
+++ b/src/benchmark/java/beampoint/benchmark/ListCosts.java
@@ -16,7 +16,7 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import org.openjdk.jmh.runner.options.VerboseMode;
 
-/** Slopes of the list of hosts: its bytes, the time to read it, and a start of a proxy that knows it. */
+/** Fits against the size of the host list: its bytes, the time to parse it, and a proxy's start with it. */
 public final class ListCosts {
 
   private static final int[] ENTRIES = {14, 60, 200, 610};
@@ -29,14 +29,14 @@
   private ListCosts() {}
 
   public static void main(String[] args) throws Exception {
-    bytes();
-    time("readWhole");
-    time("readChangeOfOne");
-    starts();
+    measureBytes();
+    measureTime("readWhole");
+    measureTime("readChangeOfOne");
+    measureStarts();
     System.exit(0);
   }
 
-  private static void bytes() {
+  private static void measureBytes() {
     List<LinearFit.Point> points = new ArrayList<>();
     for (int entries : ENTRIES) {
       int whole = ListBenchmark.line(entries, false).length;
@@ -47,7 +47,7 @@
     System.out.println(LinearFit.of(points).text("bytes of a whole list", "bytes"));
   }
 
-  private static void time(String benchmark) throws RunnerException {
+  private static void measureTime(String benchmark) throws RunnerException {
     Collection<RunResult> results = new Runner(new OptionsBuilder()
         .include(ListBenchmark.class.getName() + "." + benchmark + "$").verbosity(VerboseMode.SILENT).build())
         .run();
@@ -62,14 +62,14 @@
     System.out.println(LinearFit.of(points).text(benchmark, "us"));
   }
 
-  /** Medians of some starts each, until the proxy says that it is ready. */
-  private static void starts() throws Exception {
+  /** Medians over {@link #STARTS} starts of a proxy, each until it answers that it is ready. */
+  private static void measureStarts() throws Exception {
     List<LinearFit.Point> points = new ArrayList<>();
     for (int entries : ENTRIES) {
       List<Double> cpu = new ArrayList<>();
       List<Double> wall = new ArrayList<>();
       for (int i = 0; i < STARTS; i++) {
-        start(entries, cpu, wall);
+        measureStart(entries, cpu, wall);
       }
       Collections.sort(cpu);
       Collections.sort(wall);
@@ -82,7 +82,7 @@
     System.out.println(LinearFit.of(points).text("processor ms of a start", "ms"));
   }
 
-  private static void start(int entries, List<Double> cpu, List<Double> wall) throws Exception {
+  private static void measureStart(int entries, List<Double> cpu, List<Double> wall) throws Exception {
     Path directory = Files.createTempDirectory("list-costs");
     try (ScriptedPeers peers = new ScriptedPeers(entries, ZONES, 1)) {
       JsonObject config = ServeConfig.of(peers.list(entries, ZONES), peers.discoveryAddress(), PROXIES, ZONES,
--- a/src/benchmark/java/beampoint/benchmark/ProcessAccount.java
+++ b/src/benchmark/java/beampoint/benchmark/ProcessAccount.java
@@ -6,22 +6,22 @@
 import java.util.stream.Stream;
 
 /**
- * What the system's accounts say of one process.
+ * The resource usage of one process, from /proc.
  *
- * @param cpuMs processor time of all its threads, in user and system mode
- * @param residentKb memory that it has in RAM now
- * @param proportionalKb the same, where pages that processes share are divided among them
- * @param descriptors that are open
- * @param threads that run
+ * @param cpuMs CPU time of all its threads, in user and system mode
+ * @param residentKb current resident memory
+ * @param proportionalKb the same, with shared pages divided among the processes that share them (PSS)
+ * @param descriptors number of open file descriptors
+ * @param threads number of threads
  */
 public record ProcessAccount(double cpuMs, long residentKb, long proportionalKb, long descriptors,
     long threads) {
 
-  private static final double MS_PER_TICK = 10; // USER_HZ is 100 on every usual system
+  private static final double MS_PER_TICK = 10; // USER_HZ is 100 on common systems
   private static final int USER_TIME = 11; // fields of /proc/PID/stat after the name in brackets
   private static final int SYSTEM_TIME = 12;
 
-  /** Reads the accounts of a process. */
+  /** Reads the resource usage of a process. */
   public static ProcessAccount of(long pid) throws IOException {
     Path directory = Path.of("/proc", Long.toString(pid));
     String status = Files.readString(directory.resolve("status"));
@@ -32,7 +32,7 @@
     }
   }
 
-  /** Processor time of a process alone, which is cheap to read. */
+  /** Only the CPU time of a process, which is cheap to read. */
   public static double cpuMs(long pid) throws IOException {
     return cpuMs(Path.of("/proc", Long.toString(pid), "stat"));
   }
@@ -49,10 +49,10 @@
         return Long.parseLong(line.substring(name.length()).trim().split(" ")[0]);
       }
     }
-    throw new IllegalStateException("no " + name + " in the accounts of a process");
+    throw new IllegalStateException("missing field " + name + " in /proc files of a process");
   }
 
-  /** The machine's load, as {@code uptime} prints it. */
+  /** The contents of /proc/loadavg, with the load averages. */
   public static String machineLoad() throws IOException {
     return Files.readString(Path.of("/proc/loadavg")).trim();
   }
--- a/src/benchmark/java/beampoint/benchmark/RequestCosts.java
+++ b/src/benchmark/java/beampoint/benchmark/RequestCosts.java
@@ -9,25 +9,26 @@
 import java.util.stream.Stream;
 
 /**
- * What one process of {@code serve} takes for requests, on loopback among scripted peers: by their rate, by
- * the length of values, by the number of cache nodes, which connections it holds, and the load of the peak.
+ * Measures the cost of requests in one {@code serve} process on loopback with scripted peers: by request rate,
+ * by value size, by number of cache nodes, the connections it makes with two limits on sockets, and the load of
+ * the peak.
  * Argument: {@code rates}, {@code values}, {@code caches}, {@code connections} or {@code peak}.
  */
 public final class RequestCosts {
 
   private static final int ZONES = 2;
   private static final int SOCKETS = 2_048;
-  private static final int USUAL_SOCKETS = 1_024;
+  private static final int FEWER_SOCKETS = 1_024;
   private static final int PROXIES = 2_300;
   private static final int CLIENTS = 16;
   private static final int MANY_CLIENTS = 64;
   private static final long WARM_UP_MS = 8_000;
   private static final long WINDOW_MS = 6_000;
   private static final long MAX_START_MS = 30_000;
-  private static final int SMALL_VALUE = 100;
-  private static final int PEAK_VALUE = 420_000; // 3.8 Gbit/s in 1,130 requests a second
+  private static final int SMALL_VALUE_BYTES = 100;
+  private static final int PEAK_VALUE_BYTES = 420_000; // 3.8 Gbit/s in 1,130 requests a second
 
-  /** One measured load; a rate of 0 is as fast as the clients can. */
+  /** One measured load; with a rate of 0 the clients send as fast as they can. */
   private record Load(int caches, double price, double rate, int valueBytes, int clients,
       int sockets) {
 
@@ -45,7 +46,7 @@
       case "caches" -> caches();
       case "connections" -> connections();
       case "peak" -> peak();
-      default -> throw new IllegalArgumentException("not one of the studies: " + args[0]);
+      default -> throw new IllegalArgumentException("unknown study: " + args[0]);
     }
     System.exit(0);
   }
@@ -53,31 +54,31 @@
   private static void rates() throws Exception {
     List<LinearFit.Point> points = new ArrayList<>();
     for (double rate : new double[] {250, 500, 1_130, 2_000, 4_000}) {
-      points.add(new LinearFit.Point(rate, run(new Load(14, 0, rate, SMALL_VALUE, CLIENTS))));
+      points.add(new LinearFit.Point(rate, run(new Load(14, 0, rate, SMALL_VALUE_BYTES, CLIENTS))));
     }
     System.out.println(LinearFit.of(points).text("processor ms a second by requests a second", "ms"));
-    run(new Load(14, 0, 0, SMALL_VALUE, MANY_CLIENTS));
-    run(new Load(610, 0, 0, SMALL_VALUE, MANY_CLIENTS));
-    run(new Load(610, 0.03, 0, SMALL_VALUE, MANY_CLIENTS));
+    run(new Load(14, 0, 0, SMALL_VALUE_BYTES, MANY_CLIENTS));
+    run(new Load(610, 0, 0, SMALL_VALUE_BYTES, MANY_CLIENTS));
+    run(new Load(610, 0.03, 0, SMALL_VALUE_BYTES, MANY_CLIENTS));
   }
 
   private static void values() throws Exception {
     List<LinearFit.Point> points = new ArrayList<>();
-    for (int bytes : new int[] {100, 16_384, 65_536, 131_072, PEAK_VALUE, 1_048_576}) {
+    for (int bytes : new int[] {100, 16_384, 65_536, 131_072, PEAK_VALUE_BYTES, 1_048_576}) {
       double rate = 200;
       double cpu = run(new Load(14, 0, rate, bytes, CLIENTS));
       points.add(new LinearFit.Point(bytes / 1024.0, cpu / rate * 1_000));
     }
     System.out.println(LinearFit.of(points).text("processor us a request by KB of its value", "us"));
     run(new Load(14, 0, 0, 65_536, CLIENTS));
-    run(new Load(14, 0, 0, PEAK_VALUE, CLIENTS));
+    run(new Load(14, 0, 0, PEAK_VALUE_BYTES, CLIENTS));
   }
 
   private static void caches() throws Exception {
     for (double price : new double[] {0, 0.03}) {
       List<LinearFit.Point> points = new ArrayList<>();
       for (int caches : new int[] {14, 60, 200, 610}) {
-        double cpu = run(new Load(caches, price, Workload.REQUESTS_PER_SECOND, SMALL_VALUE, CLIENTS));
+        double cpu = run(new Load(caches, price, Workload.REQUESTS_PER_SECOND, SMALL_VALUE_BYTES, CLIENTS));
         points.add(new LinearFit.Point(caches, cpu));
       }
       String what = "processor ms a second by cache nodes, price " + price;
@@ -86,23 +87,23 @@
   }
 
   private static void connections() throws Exception {
-    for (int sockets : new int[] {SOCKETS, USUAL_SOCKETS}) {
+    for (int sockets : new int[] {SOCKETS, FEWER_SOCKETS}) {
       for (double rate : new double[] {100, 300, 565, 1_130}) {
-        run(new Load(610, 0, rate, SMALL_VALUE, CLIENTS, sockets));
+        run(new Load(610, 0, rate, SMALL_VALUE_BYTES, CLIENTS, sockets));
       }
     }
   }
 
-  /** All cache nodes and values of the mean length of the peak, up to half as many again as its rate. */
+  /** All cache nodes, values of the mean size at the peak, and rates up to 1.5 times that of the peak. */
   private static void peak() throws Exception {
     List<LinearFit.Point> points = new ArrayList<>();
     for (double rate : new double[] {280, 565, 1_130, 1_700}) {
-      points.add(new LinearFit.Point(rate, run(new Load(610, 0, rate, PEAK_VALUE, CLIENTS))));
+      points.add(new LinearFit.Point(rate, run(new Load(610, 0, rate, PEAK_VALUE_BYTES, CLIENTS))));
     }
     System.out.println(LinearFit.of(points).text("processor ms a second by requests of the peak", "ms"));
   }
 
-  /** Plays a load on a process of its own; returns its processor time in ms a second. */
+  /** Runs a load against a new process; returns its CPU time in ms per second. */
   private static double run(Load load) throws Exception {
     Path directory = Files.createTempDirectory("request-costs");
     try (ScriptedPeers peers = new ScriptedPeers(load.caches, ZONES, load.valueBytes);
@@ -139,7 +140,7 @@
     ProcessAccount held = ProcessAccount.of(proxy.pid());
     Map<String, Long> after = proxy.stats();
     double connected = (after.get("upstream_connections") - before.get("upstream_connections")) / seconds;
-    clients.end();
+    clients.stop();
     for (Thread thread : threads) {
       thread.join(WINDOW_MS);
     }
--- a/src/benchmark/java/beampoint/benchmark/ScriptedPeers.java
+++ b/src/benchmark/java/beampoint/benchmark/ScriptedPeers.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** All that a proxy talks to, on loopback: one listener for all cache nodes and the origin, and discovery. */
+/** Scripted peers of a proxy on loopback: one listener for all cache nodes and the origin, and discovery. */
 final class ScriptedPeers implements AutoCloseable {
 
   private static final int BACKLOG = 512;
@@ -26,12 +26,12 @@
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   private final String list;
 
-  /** What is done with a connection. */
-  private interface Service {
-    void serve(Socket socket) throws IOException, InterruptedException;
+  /** Serves one connection until it ends. */
+  private interface ConnectionHandler {
+    void handle(Socket socket) throws IOException, InterruptedException;
   }
 
-  /** Cache nodes in so many zones; each answers every read with so many bytes. */
+  /** Cache nodes in {@code zones} zones that answer every read with {@code valueBytes} bytes. */
   ScriptedPeers(int caches, int zones, int valueBytes) throws IOException {
     value = new byte[valueBytes + 2];
     Arrays.fill(value, (byte) 'v');
@@ -50,36 +50,36 @@
     return ServeProcess.HOST + ":" + discovery.getLocalPort();
   }
 
-  private ServerSocket listen(Service service) throws IOException {
+  private ServerSocket listen(ConnectionHandler handler) throws IOException {
     ServerSocket server = new ServerSocket(0, BACKLOG, InetAddress.getByName(ServeProcess.HOST));
-    start(() -> accept(server, service));
+    startThread(() -> accept(server, handler));
     return server;
   }
 
-  private static void start(Runnable task) {
+  private static void startThread(Runnable task) {
     Thread thread = new Thread(null, task, "peer", STACK_BYTES);
     thread.setDaemon(true);
     thread.start();
   }
 
-  private void accept(ServerSocket server, Service service) {
+  private void accept(ServerSocket server, ConnectionHandler handler) {
     try {
       while (true) {
         Socket socket = server.accept();
         socket.setTcpNoDelay(true);
         open.add(socket);
-        start(() -> play(socket, service));
+        startThread(() -> handle(socket, handler));
       }
     } catch (IOException e) {
-      // closed at the end
+      // the listener was closed
     }
   }
 
-  private void play(Socket socket, Service service) {
+  private void handle(Socket socket, ConnectionHandler handler) {
     try (socket) {
-      service.serve(socket);
+      handler.handle(socket);
     } catch (IOException | InterruptedException e) {
-      // the other side has gone
+      // the other side closed the connection
     } finally {
       open.remove(socket);
     }
@@ -103,9 +103,9 @@
   private void serveDiscovery(Socket socket) throws IOException, InterruptedException {
     InputStream in = new BufferedInputStream(socket.getInputStream());
     for (String line = ServeProcess.line(in); line != null && !line.isEmpty(); line = ServeProcess.line(in)) {
-      // the head; whatever it asks for is the whole list first
+      // the request head; any request gets the full list first
     }
-    say(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     chunk(socket, list + "\n");
     while (!socket.isClosed()) {
       Thread.sleep(HEARTBEAT_MS);
@@ -114,10 +114,10 @@
   }
 
   private static void chunk(Socket socket, String text) throws IOException {
-    say(socket, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    write(socket, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
   }
 
-  private static void say(Socket socket, String text) throws IOException {
+  private static void write(Socket socket, String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
--- a/src/benchmark/java/beampoint/benchmark/ServeConfig.java
+++ b/src/benchmark/java/beampoint/benchmark/ServeConfig.java
@@ -4,12 +4,12 @@
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 
-/** Configurations of {@code serve} for the measured processes. */
+/** Configurations for the measured {@code serve} processes. */
 final class ServeConfig {
 
   private ServeConfig() {}
 
-  /** One that knows the list, in a fleet of so many proxies; connections have the given price. */
+  /** A configuration with a known host list for a fleet of {@code proxies}; all connection prices are equal. */
   static JsonObject of(JsonObject known, String discovery, int proxies, int zones, int sockets,
       double price) {
     JsonObject config = new JsonObject();
--- a/src/benchmark/java/beampoint/benchmark/ServeProcess.java
+++ b/src/benchmark/java/beampoint/benchmark/ServeProcess.java
@@ -17,21 +17,21 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 
-/** One process of {@code serve}, with the command of {@code deploy/balancer.toml}. */
+/** A {@code serve} process, started with the command of {@code deploy/balancer.toml}. */
 final class ServeProcess implements AutoCloseable {
 
   static final String HOST = "127.0.0.1";
 
-  /** The program's flags as operators run it. */
+  /** The operators' start command. */
   static final List<String> COMMAND = List.of("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
       "-XX:-UsePerfData", "-Xshare:auto", "-XX:SharedArchiveFile=target/beampoint.jsa", "-Xms64m", "-Xmx64m",
       "-Xss256k", "-XX:MaxDirectMemorySize=16m", "-XX:MaxMetaspaceSize=48m", "-XX:ReservedCodeCacheSize=24m",
       "-XX:CICompilerCount=1", "-Djava.net.preferIPv4Stack=true", "-jar", "target/beampoint.jar", "serve");
 
-  private static final int LOWEST_PORT = 12_000; // below those that the system gives to whoever connects
-  private static final int HIGHEST_PORT = 32_000;
-  private static final int TIME_OUT_MS = 20_000;
-  private static final long LOOK_EVERY_MS = 5;
+  private static final int MIN_PORT = 12_000; // below the system's ephemeral ports
+  private static final int MAX_PORT = 32_000;
+  private static final int READ_TIMEOUT_MS = 20_000;
+  private static final long POLL_INTERVAL_MS = 5;
   private static final SplittableRandom PORTS = new SplittableRandom();
 
   private final Process process;
@@ -42,7 +42,7 @@
     this.port = port;
   }
 
-  /** Starts it with a configuration, which is given its name and its address. */
+  /** Starts a process with a configuration, to which its name and address are added. */
   static ServeProcess start(Path directory, String name, JsonObject config) throws IOException {
     int port = freePort();
     config.addProperty("name", name);
@@ -59,14 +59,14 @@
     return started;
   }
 
-  /** A port that nobody has at this moment. */
+  /** A port that is currently free. */
   static int freePort() throws IOException {
     while (true) {
-      int port = PORTS.nextInt(LOWEST_PORT, HIGHEST_PORT);
+      int port = PORTS.nextInt(MIN_PORT, MAX_PORT);
       try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getByName(HOST))) {
         return free.getLocalPort();
       } catch (IOException e) {
-        continue; // somebody has it
+        continue; // the port is in use
       }
     }
   }
@@ -75,17 +75,17 @@
     return process.pid();
   }
 
-  /** A client's connection to it. */
+  /** Opens a client connection to the process. */
   Socket connect() throws IOException {
     Socket socket = new Socket(InetAddress.getByName(HOST), port);
     socket.setTcpNoDelay(true);
-    socket.setSoTimeout(TIME_OUT_MS);
+    socket.setSoTimeout(READ_TIMEOUT_MS);
     return socket;
   }
 
-  /** Waits until it answers that it is ready. */
-  void awaitReady(long longestMs) throws IOException, InterruptedException {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(longestMs);
+  /** Polls until the process answers that it is ready. */
+  void awaitReady(long timeoutMs) throws IOException, InterruptedException {
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     while (System.nanoTime() < end && process.isAlive()) {
       try (Socket socket = connect()) {
         socket.getOutputStream().write("mn\r\n".getBytes(StandardCharsets.ISO_8859_1));
@@ -93,14 +93,14 @@
           return;
         }
       } catch (IOException e) {
-        Thread.onSpinWait(); // it does not listen yet
+        Thread.onSpinWait(); // the process does not listen yet
       }
-      Thread.sleep(LOOK_EVERY_MS);
+      Thread.sleep(POLL_INTERVAL_MS);
     }
-    throw new IOException("a proxy is not ready, pid " + pid());
+    throw new IOException("proxy not ready within " + timeoutMs + " ms or it has exited, pid " + pid());
   }
 
-  /** Its counters, by name. */
+  /** The counters of the process by name. */
   Map<String, Long> stats() throws IOException {
     Map<String, Long> stats = new TreeMap<>();
     try (Socket socket = connect()) {
@@ -116,7 +116,7 @@
     return stats;
   }
 
-  /** A line without its end, or null at the end of the stream. */
+  /** The next line without its LF or CRLF, or null at the end of the stream. */
   static String line(InputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
     for (int next = in.read(); next >= 0; next = in.read()) {
--- a/src/benchmark/java/beampoint/benchmark/Workload.java
+++ b/src/benchmark/java/beampoint/benchmark/Workload.java
@@ -20,25 +20,25 @@
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** The load of one proxy at the size that docs/CAPACITY.md is about: settings, endpoints and keys. */
+/** The load of one proxy at the fleet size of docs/CAPACITY.md: settings, endpoints and keys. */
 public final class Workload {
 
-  /** Requests a second that a proxy takes on average at the peak. */
+  /** Mean requests per second of a proxy at the peak. */
   public static final double REQUESTS_PER_SECOND = 1_130;
-  /** Requests a second of the whole fleet at the peak. */
+  /** Requests per second of the whole fleet at the peak. */
   public static final double FLEET_REQUESTS_PER_SECOND = 2.6e6;
   /** Objects that the fleet serves. */
   public static final int OBJECTS = 200_000_000;
 
   private static final int ZONES = 31;
-  private static final int TENANTS = 10; // assumed: no figure was given
+  private static final int TENANTS = 10; // an assumption, not specified
   private static final int ORIGIN_KIND = 1;
-  private static final double ZIPF_EXPONENT = 0.9; // assumed
+  private static final double ZIPF_EXPONENT = 0.9; // an assumption
   private static final long SEED = 1;
 
   private Workload() {}
 
-  /** Settings of a fleet of so many proxies; connections, handshakes and crossing zones have one price. */
+  /** Settings for a fleet of {@code proxies}; connections, handshakes and crossing zones have one price. */
   public static Settings settings(int proxies, double price) {
     RequestClass read = new RequestClass(Idempotency.SAFE, DedupGroup.ALL, 0, 500, 1_000, 1, 0);
     List<Tenant> tenants = Collections.nCopies(TENANTS, new Tenant(FLEET_REQUESTS_PER_SECOND / TENANTS));
@@ -47,7 +47,7 @@
         new Prices(price, price, 0.05, price), List.of(read), tenants);
   }
 
-  /** So many cache nodes and the origin. */
+  /** The endpoints: {@code caches} cache nodes and the origin. */
   public static List<Endpoint> endpoints(int caches) {
     List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < caches; i++) {
@@ -57,12 +57,12 @@
     return endpoints;
   }
 
-  /** One cache node's entry. */
+  /** The endpoint of one cache node. */
   public static Endpoint cache(int number, EndpointState state) {
     return new Endpoint("cache-" + number, number % ZONES, 0, number / ZONES, state, 1, 0);
   }
 
-  /** Keys drawn with Zipf's law from all objects. */
+  /** Keys drawn from all objects with a Zipf distribution. */
   public static long[] keys(int count) {
     var sampler = RejectionInversionZipfSampler.of(RandomSource.XO_SHI_RO_256_PP.create(SEED), OBJECTS,
         ZIPF_EXPONENT);
@@ -73,7 +73,7 @@
     return keys;
   }
 
-  /** Where the first attempt of a list of actions goes, or null. */
+  /** The endpoint of the first attempt in a list of actions, or null. */
   public static String sentTo(List<Balancer.Action> actions) {
     for (Balancer.Action action : actions) {
       if (action instanceof Balancer.Send send) {
@@ -83,7 +83,7 @@
     return null;
   }
 
-  /** The list of so many cache nodes and the origin as discovery writes it, all at one address. */
+  /** A host list of {@code caches} cache nodes and the origin in the discovery format, all at one address. */
   public static JsonObject hostList(int caches, int zones, String dial) {
     JsonArray hosts = new JsonArray();
     for (int i = 0; i <= caches; i++) {
