--- a/src/benchmark/java/beampoint/benchmark/RequestCosts.java
+++ b/src/benchmark/java/beampoint/benchmark/RequestCosts.java
@@ -9,9 +9,9 @@
 import java.util.stream.Stream;
 
 /**
- * Measures the cost of requests in one {@code serve} process on loopback with scripted peers: by request rate,
- * by value size, by number of cache nodes, the connections it makes with two limits on sockets, and the load of
- * the peak.
+ * Measures the cost of requests in one {@code serve} process on loopback with scripted peers: by request
+ * rate, by value size, by number of cache nodes, the connections it makes with two limits on sockets, and the
+ * load of the peak.
  * Argument: {@code rates}, {@code values}, {@code caches}, {@code connections} or {@code peak}.
  */
 public final class RequestCosts {
--- a/src/benchmark/java/beampoint/benchmark/ServeConfig.java
+++ b/src/benchmark/java/beampoint/benchmark/ServeConfig.java
@@ -9,7 +9,7 @@
 
   private ServeConfig() {}
 
-  /** A configuration with a known host list for a fleet of {@code proxies}; all connection prices are equal. */
+  /** A configuration with a known host list, the size of the fleet, and the price of connections. */
   static JsonObject of(JsonObject known, String discovery, int proxies, int zones, int sockets,
       double price) {
     JsonObject config = new JsonObject();
--- a/src/test/java/beampoint/ci/KnownRedTest.java
+++ b/src/test/java/beampoint/ci/KnownRedTest.java
@@ -13,20 +13,20 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The check of CI: just the tests that are listed as red may fail, and they must. */
+/** Tests {@code .ci/known-red}: exactly the listed tests may fail, and they must. */
 @Timeout(30)
 class KnownRedTest {
 
-  private static final String RED = test("a.OneTest#fails");
-  private static final String SLOW_DAY =
+  private static final String KNOWN_TEST = testEntry("a.OneTest#fails");
+  private static final String KNOWN_CASE =
       "case | a slow day | bench --day 3 | seed 7 | a lost request | issue 1\n";
 
   @TempDir
   private Path reports;
-  private String told;
+  private String output;
 
   @BeforeEach
-  void report() throws IOException {
+  void writeReport() throws IOException {
     Files.writeString(reports.resolve("TEST-a.OneTest.xml"), """
         <testsuite name="a.OneTest">
           <testcase name="passes" classname="a.OneTest" time="0.1"/>
@@ -38,73 +38,73 @@
         """);
   }
 
-  private static String test(String name) {
+  private static String testEntry(String name) {
     return "test | " + name + " | mvn test | no seed | a cause | issue 1\n";
   }
 
-  private int check(String list) throws IOException, InterruptedException {
+  private int runCheck(String list) throws IOException, InterruptedException {
     Path file = reports.resolve("list");
     Files.writeString(file, list);
     Process process = new ProcessBuilder("bash", ".ci/known-red", file.toString(), reports.toString())
         .redirectErrorStream(true).start();
-    told = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertTrue(process.waitFor(10, TimeUnit.SECONDS));
     return process.exitValue();
   }
 
   @Test
-  void whatIsListedMayFailAndIsTold() throws Exception {
-    assertEquals(0, check(RED), told);
-    assertTrue(told.contains("known red: test | a.OneTest#fails"), told);
+  void aListedFailureIsAllowedAndPrinted() throws Exception {
+    assertEquals(0, runCheck(KNOWN_TEST), output);
+    assertTrue(output.contains("known red: test | a.OneTest#fails"), output);
   }
 
   @Test
-  void anyOtherFailureFails() throws Exception {
-    assertEquals(1, check(""));
-    assertTrue(told.contains("failed: a.OneTest#fails"), told);
+  void anUnlistedFailureFailsTheCheck() throws Exception {
+    assertEquals(1, runCheck(""));
+    assertTrue(output.contains("failed: a.OneTest#fails"), output);
     Files.writeString(reports.resolve("TEST-a.TwoTest.xml"), """
         <testcase name="breaks(int)[5]" classname="a.TwoTest" time="0.1">
           <error type="x">text</error>
         </testcase>
         """);
-    assertEquals(1, check(RED));
-    assertTrue(told.contains("failed: a.TwoTest#breaks\n"), told);
+    assertEquals(1, runCheck(KNOWN_TEST));
+    assertTrue(output.contains("failed: a.TwoTest#breaks\n"), output);
   }
 
   @Test
-  void whatIsListedAndDoesNotFailFails() throws Exception {
+  void aListedTestThatDoesNotFailFailsTheCheck() throws Exception {
     for (String name : new String[] {"passes", "isSkipped", "isNowhere"}) {
-      assertEquals(1, check(RED + test("a.OneTest#" + name)), name);
-      assertTrue(told.contains("did not fail: test | a.OneTest#" + name), told);
+      assertEquals(1, runCheck(KNOWN_TEST + testEntry("a.OneTest#" + name)), name);
+      assertTrue(output.contains("did not fail: test | a.OneTest#" + name), output);
     }
   }
 
   @Test
-  void manyMayBeListed() throws Exception {
+  void manyEntriesAreAllowed() throws Exception {
     StringBuilder cases = new StringBuilder();
     for (int i = 0; i < 20; i++) {
-      cases.append(SLOW_DAY.replace("slow day", "slow day " + i));
+      cases.append(KNOWN_CASE.replace("slow day", "slow day " + i));
     }
-    assertEquals(0, check("# a comment\n\n" + RED + cases), told);
+    assertEquals(0, runCheck("# a comment\n\n" + KNOWN_TEST + cases), output);
   }
 
   @Test
-  void aCaseIsToldAndFreesNoTest() throws Exception {
-    assertEquals(0, check(RED + SLOW_DAY), told);
-    assertTrue(told.contains("known red: case | a slow day"), told);
-    assertEquals(1, check("case | a.OneTest#passes | mvn test | no seed | a cause | issue 1\n"), told);
-    assertTrue(told.contains("failed: a.OneTest#fails"), told);
+  void aListedCaseIsPrintedAndAllowsNoTestToFail() throws Exception {
+    assertEquals(0, runCheck(KNOWN_TEST + KNOWN_CASE), output);
+    assertTrue(output.contains("known red: case | a slow day"), output);
+    assertEquals(1, runCheck("case | a.OneTest#passes | mvn test | no seed | a cause | issue 1\n"), output);
+    assertTrue(output.contains("failed: a.OneTest#fails"), output);
   }
 
-  /** A listed case has no part in what tests may do, though it bears the name of one that failed. */
+  /** A listed case allows no test to fail, even if it has the name of a failed test. */
   @Test
-  void aCaseNamedLikeATestDoesNotFreeIt() throws Exception {
-    assertEquals(1, check("case | a.OneTest#fails | mvn test | no seed | a cause | issue 1\n"), told);
-    assertTrue(told.contains("failed: a.OneTest#fails"), told);
+  void aCaseNamedLikeATestDoesNotAllowItToFail() throws Exception {
+    assertEquals(1, runCheck("case | a.OneTest#fails | mvn test | no seed | a cause | issue 1\n"), output);
+    assertTrue(output.contains("failed: a.OneTest#fails"), output);
   }
 
   @Test
-  void aMalformedEntryFailsWithItsLine() throws Exception {
+  void aMalformedEntryFailsTheCheckWithItsLineNumber() throws Exception {
     String[][] malformed = {
         {"a.OneTest#fails: a cause, issue 1", "neither a test nor a case"},
         {"test | fails | mvn test | no seed | a cause | issue 1", "no name"},
@@ -116,10 +116,10 @@
         {"case | a slow day | bench | seed 7 | lost | issue x", "no issue"},
         {"case | a slow day | bench | seed 7 | lost | issue 1 | more", "too many fields"}};
     for (String[] entry : malformed) {
-      assertEquals(1, check(RED + entry[0] + "\n"), entry[0]);
-      assertTrue(told.contains("line 2: " + entry[1]) && told.contains(entry[0]), told);
+      assertEquals(1, runCheck(KNOWN_TEST + entry[0] + "\n"), entry[0]);
+      assertTrue(output.contains("line 2: " + entry[1]) && output.contains(entry[0]), output);
     }
-    assertEquals(1, check(RED + RED), told);
-    assertTrue(told.contains("line 2: listed twice"), told);
+    assertEquals(1, runCheck(KNOWN_TEST + KNOWN_TEST), output);
+    assertTrue(output.contains("line 2: listed twice"), output);
   }
 }
