--- a/src/test/java/beampoint/soak/DiscoveryPeer.java
+++ b/src/test/java/beampoint/soak/DiscoveryPeer.java
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Announces on all watches that a host drains. If fewer than {@code processes} watches get it, the change
-   * counts as known to all only after {@link #MAX_PROPAGATION_MS}.
+   * Announces on all watches that a host drains. If fewer than {@code processes} watches get it, or discovery
+   * is silent, the change counts as known to all only after {@link #MAX_PROPAGATION_MS}.
    */
   synchronized void drain(String host, String address, int processes) {
     String entry = entry(host, address, "m2", context.injects(Check.DRAIN) ? "Ready" : "Terminating");
--- a/src/test/java/beampoint/soak/Outcome.java
+++ b/src/test/java/beampoint/soak/Outcome.java
@@ -7,7 +7,7 @@
  * The result of a run.
  *
  * @param violations the violations that no pause by the harness explains
- * @param excused the number of those that such a pause explains
+ * @param excused the number of further violations that such a pause explains
  * @param machineStalls the measured times for which the harness or a process had no processor
  * @param requests the number of requests of the run
  * @param unreadAtClose the number of requests that were not forwarded before their connection closed
