--- a/src/benchmark/java/beampoint/benchmark/LoadClients.java
+++ b/src/benchmark/java/beampoint/benchmark/LoadClients.java
@@ -48,9 +48,9 @@
   List<Thread> start(int clients, double rate) {
     List<Thread> threads = new ArrayList<>();
     for (int i = 0; i < clients; i++) {
-      long intervalNanos = rate > 0 ? (long) (1e9 * clients / rate) : 0;
-      long firstDueNanos = System.nanoTime() + intervalNanos * i / clients;
-      Thread thread = new Thread(() -> run(firstDueNanos, intervalNanos), "client");
+      long intervalNs = rate > 0 ? (long) (1e9 * clients / rate) : 0;
+      long firstDueNs = System.nanoTime() + intervalNs * i / clients;
+      Thread thread = new Thread(() -> run(firstDueNs, intervalNs), "client");
       thread.setDaemon(true);
       thread.start();
       threads.add(thread);
@@ -62,12 +62,11 @@
     stopped = true;
   }
 
-  private void run(long firstDueNanos, long intervalNanos) {
+  private void run(long firstDueNs, long intervalNs) {
     byte[] buffer = new byte[BUFFER_BYTES];
     try (Socket socket = proxy.connect()) {
       InputStream in = new BufferedInputStream(socket.getInputStream(), BUFFER_BYTES);
-      for (long due = firstDueNanos; !stopped;
-          due = intervalNanos > 0 ? due + intervalNanos : System.nanoTime()) {
+      for (long due = firstDueNs; !stopped; due = intervalNs > 0 ? due + intervalNs : System.nanoTime()) {
         for (long wait = due - System.nanoTime(); wait > 0; wait = due - System.nanoTime()) {
           LockSupport.parkNanos(wait);
         }
--- a/src/test/java/beampoint/soak/SoakPlan.java
+++ b/src/test/java/beampoint/soak/SoakPlan.java
@@ -11,7 +11,9 @@
     List<ClientBehavior> clients, boolean opensIdleConnections, Series series, double signalAt) {
 
   /** Whether discovery answers during a run. */
-  enum DiscoveryBehavior { SERVES, IS_SILENT, IS_SILENT_FOR_A_WHILE }
+  enum DiscoveryBehavior {
+    SERVES, IS_SILENT, IS_SILENT_FOR_A_WHILE
+  }
 
   /** How a client uses its connections. */
   enum ClientBehavior {
