--- a/src/benchmark/java/beampoint/benchmark/RequestCosts.java
+++ b/src/benchmark/java/beampoint/benchmark/RequestCosts.java
@@ -18,7 +18,7 @@
 
   private static final int ZONES = 2;
   private static final int SOCKETS = 2_048;
-  private static final int FEWER_SOCKETS = 1_024;
+  private static final int DEFAULT_SOCKETS = 1_024;
   private static final int PROXIES = 2_300;
   private static final int CLIENTS = 16;
   private static final int MANY_CLIENTS = 64;
@@ -87,7 +87,7 @@
   }
 
   private static void connections() throws Exception {
-    for (int sockets : new int[] {SOCKETS, FEWER_SOCKETS}) {
+    for (int sockets : new int[] {SOCKETS, DEFAULT_SOCKETS}) {
       for (double rate : new double[] {100, 300, 565, 1_130}) {
         run(new Load(610, 0, rate, SMALL_VALUE_BYTES, CLIENTS, sockets));
       }
