--- a/src/main/java/beampoint/cli/EmulateCommand.java
+++ b/src/main/java/beampoint/cli/EmulateCommand.java
@@ -62,8 +62,8 @@
       LOG.error("the run is void: " + e.getMessage());
       return VOID;
     }
-    print(report.broken(), report.figures());
-    return report.breaks() > 0 ? RULE_BROKEN : 0;
+    print(report.brokenRules(), report.figures());
+    return report.brokenRuleCount() > 0 ? RULE_BROKEN : 0;
   }
 
   private int runControl(ControlScenario scenario) throws InputException {
@@ -89,7 +89,7 @@
         "-Djava.net.preferIPv4Stack=true", "-jar", jar.toAbsolutePath().toString());
     Loopback.Outcome outcome = Loopback.run(scenario, command, directory);
     if (outcome.report() == null) {
-      throw new IOException(outcome.why());
+      throw new IOException(outcome.failureReason());
     }
     LOG.info("99th percentile of the lateness of the load generator's tasks: " + outcome.lateness()
         + " ms; logs: " + directory);
--- a/src/main/java/beampoint/cli/ExperimentCommand.java
+++ b/src/main/java/beampoint/cli/ExperimentCommand.java
@@ -52,7 +52,7 @@
     try {
       Results results = new Experiment(plan, BalancerPolicy::new, Math.max(1, threads), maxSeconds).run(out);
       spec.commandLine().getOut().println(Files.readString(out.resolve("summary.md")));
-      return results.breaks() > 0 ? EmulateCommand.RULE_BROKEN : results.isPartial() ? PARTIAL : 0;
+      return results.brokenRuleCount() > 0 ? EmulateCommand.RULE_BROKEN : results.isPartial() ? PARTIAL : 0;
     } catch (IOException e) {
       LOG.error("can't write results, those already written are kept: " + e);
       return PARTIAL;
--- a/src/main/java/beampoint/emulator/Loopback.java
+++ b/src/main/java/beampoint/emulator/Loopback.java
@@ -14,7 +14,7 @@
   private Loopback() {}
 
   /** What came of a run; no report where it is void, and why. */
-  public record Outcome(Report report, double lateness, String why) {}
+  public record Outcome(Report report, double lateness, String failureReason) {}
 
   /**
    * Plays a day with proxies that are started by this command, with {@code serve --config FILE} behind it.
--- a/src/main/java/beampoint/emulator/Report.java
+++ b/src/main/java/beampoint/emulator/Report.java
@@ -36,7 +36,7 @@
   private final Map<Result, Long> ends = new EnumMap<>(Result.class);
   private final List<String> broken = new ArrayList<>();
   private final Map<String, Long> counts = new TreeMap<>();
-  private long breaks;
+  private long brokenRuleCount;
   private double coldest;
   private long tasks;
   private double start;
@@ -108,7 +108,7 @@
   }
 
   void broken(double at, String rule) {
-    breaks++;
+    brokenRuleCount++;
     if (broken.size() < MAX_TOLD) {
       broken.add(String.format(Locale.ROOT, "%.3f s, seed %d: %s", (at - start) / 1000, scenario.seed(),
           rule));
@@ -157,13 +157,13 @@
   }
 
   /** The rules that were broken, the first first; each with its time and seed. */
-  public List<String> broken() {
+  public List<String> brokenRules() {
     return List.copyOf(broken);
   }
 
   /** How often a rule was broken. */
-  public long breaks() {
-    return breaks;
+  public long brokenRuleCount() {
+    return brokenRuleCount;
   }
 
   /** One of the counts, or how often attempts ended in a way. */
@@ -187,7 +187,7 @@
       figures.put("ended." + result.name().toLowerCase(Locale.ROOT), (double) count(result));
     }
     figures.put("cold_multiple", coldest);
-    figures.put("rules_broken", (double) breaks);
+    figures.put("rules_broken", (double) brokenRuleCount);
     figures.put("events", (double) tasks);
     return figures;
   }
--- a/src/main/java/beampoint/experiment/Results.java
+++ b/src/main/java/beampoint/experiment/Results.java
@@ -13,7 +13,7 @@
   private final Map<String, List<Map<String, Double>>> rows = new TreeMap<>();
   private final List<String> broken = new ArrayList<>();
   private final List<String> failures = new ArrayList<>();
-  private long breaks;
+  private long brokenRuleCount;
 
   Results(Plan plan) {
     this.plan = plan;
@@ -22,8 +22,8 @@
 
   void add(Plan.Variant variant, Report report) {
     rows.get(variant.name()).add(report.figures());
-    breaks += report.breaks();
-    report.broken().forEach(rule -> broken.add(variant.name() + ", " + rule));
+    brokenRuleCount += report.brokenRuleCount();
+    report.brokenRules().forEach(rule -> broken.add(variant.name() + ", " + rule));
   }
 
   void fail(String what) {
@@ -46,12 +46,12 @@
   }
 
   /** The broken rules, each with variant, time and seed. */
-  public List<String> broken() {
+  public List<String> brokenRules() {
     return List.copyOf(broken);
   }
 
-  public long breaks() {
-    return breaks;
+  public long brokenRuleCount() {
+    return brokenRuleCount;
   }
 
   /** A figure of a variant on the seeds that all variants have been played on. */
--- a/src/main/java/beampoint/experiment/Summary.java
+++ b/src/main/java/beampoint/experiment/Summary.java
@@ -21,9 +21,10 @@
 
   static String text(Plan plan, Results results) {
     StringBuilder text = new StringBuilder("# " + plan.file().getFileName() + "\n\n");
-    if (results.breaks() > 0) {
-      text.append("**Rules broken: ").append(results.breaks()).append(".** The first of each run:\n\n");
-      results.broken().forEach(rule -> text.append("- ").append(rule).append('\n'));
+    if (results.brokenRuleCount() > 0) {
+      text.append("**Rules broken: ").append(results.brokenRuleCount())
+          .append(".** The first of each run:\n\n");
+      results.brokenRules().forEach(rule -> text.append("- ").append(rule).append('\n'));
       text.append('\n');
     }
     if (results.isPartial()) {
--- a/src/test/java/beampoint/emulator/ChaosTest.java
+++ b/src/test/java/beampoint/emulator/ChaosTest.java
@@ -56,7 +56,7 @@
     double falls = 0;
     for (long number : new long[] {1176, 1210, 1430}) {
       Report report = Emulation.run(day(number), BalancerPolicy::new);
-      assertEquals(List.of(), report.broken());
+      assertEquals(List.of(), report.brokenRules());
       falls += report.figures().get("cold_falls");
     }
     assertTrue(falls > 0, "falls on these days: " + falls);
@@ -69,7 +69,7 @@
     double falls = 0;
     for (long number = FIRST; number < FIRST + DAYS; number++) {
       Report report = Emulation.run(day(number), BalancerPolicy::new);
-      report.broken().stream().limit(2).forEach(broken::add);
+      report.brokenRules().stream().limit(2).forEach(broken::add);
       served += report.service() / DAYS;
       falls += report.figures().get("cold_falls");
     }
--- a/src/test/java/beampoint/emulator/EmulationTest.java
+++ b/src/test/java/beampoint/emulator/EmulationTest.java
@@ -75,7 +75,8 @@
   }
 
   private static void assertTold(Report report, String rule) {
-    assertTrue(report.broken().stream().anyMatch(told -> told.contains(rule)), "" + report.broken());
+    assertTrue(report.brokenRules().stream().anyMatch(told -> told.contains(rule)),
+        "" + report.brokenRules());
   }
 
   @Test
@@ -89,7 +90,7 @@
   @Test
   void aCalmDayIsServedAndBreaksNoRule() throws Exception {
     Report report = play(day());
-    assertEquals(List.of(), report.broken());
+    assertEquals(List.of(), report.brokenRules());
     assertTrue(report.service() > 0.97, "service: " + report.service());
     Map<String, Double> figures = report.figures();
     assertTrue(figures.get("all.asked") > 1000, "asked: " + figures.get("all.asked"));
@@ -110,7 +111,7 @@
     marks.put("{what: refuse, at_s: 4, for_s: 3, part: 0.3}", Result.CONNECT_FAILED);
     for (Map.Entry<String, Result> mark : marks.entrySet()) {
       Report report = play(with(mark.getKey()));
-      assertEquals(List.of(), report.broken(), mark.getKey());
+      assertEquals(List.of(), report.brokenRules(), mark.getKey());
       assertTrue(report.count(mark.getValue()) > calm.count(mark.getValue()), mark.getKey());
     }
     for (String fault : List.of("{what: slow, at_s: 2, for_s: 9, part: 1, factor: 9}",
@@ -119,7 +120,7 @@
       assertTrue(play(with(fault)).service() < calm.service() - 0.01, fault);
     }
     Report roll = play(with("{what: roll, at_s: 2, for_s: 6, part: 1}"));
-    assertEquals(List.of(), roll.broken());
+    assertEquals(List.of(), roll.brokenRules());
     assertTrue(roll.figures().get("cold_multiple") > 0.1, "successors were sent something");
   }
 
@@ -128,7 +129,7 @@
   void whatDiscoveryDoesNotTellIsToldOnceItIsBack() throws Exception {
     Report report = play(day("faults:", "  - {what: discovery-down, at_s: 2, for_s: 6}",
         "  - {what: crash, at_s: 3, for_s: 100, part: 0.3}"));
-    assertEquals(List.of(), report.broken());
+    assertEquals(List.of(), report.brokenRules());
     assertTrue(report.count(Result.CONNECT_FAILED) > 10);
     assertTrue(report.service() > 0.8, "service: " + report.service());
   }
@@ -141,7 +142,7 @@
   void aRequestThatNobodyAnswersIsTold() throws Exception {
     Report report = play(day(), (event, seen) -> List.of());
     assertTold(report, "lost");
-    assertTrue(report.breaks() > 1000);
+    assertTrue(report.brokenRuleCount() > 1000);
   }
 
   @Test
@@ -181,7 +182,7 @@
             - {what: discovery_down, at_s: 3, for_s: %d}
             - {what: restart, at_s: 3.5, for_s: 0.5, part: 1}
           """.formatted(outage));
-      assertEquals(List.of(), play(scenario).broken(), "an outage of " + outage + " s");
+      assertEquals(List.of(), play(scenario).brokenRules(), "an outage of " + outage + " s");
     }
   }
 }
--- a/src/test/java/beampoint/emulator/LoopbackTest.java
+++ b/src/test/java/beampoint/emulator/LoopbackTest.java
@@ -39,12 +39,12 @@
     for (int i = 0; i < 4 && !isSound(outcome); i++) {
       outcome = Loopback.run(day, command(), directory);
     }
-    assertNotNull(outcome.report(), outcome.why());
+    assertNotNull(outcome.report(), outcome.failureReason());
     return outcome;
   }
 
   private static boolean isSound(Loopback.Outcome outcome) {
-    return outcome.report() != null && outcome.report().broken().isEmpty();
+    return outcome.report() != null && outcome.report().brokenRules().isEmpty();
   }
 
   @Test
@@ -53,7 +53,7 @@
     long before = children();
     Report real = play(day).report();
     Report model = Emulation.run(day, BalancerPolicy::new);
-    assertEquals(List.of(), real.broken());
+    assertEquals(List.of(), real.brokenRules());
     assertEquals(model.figures().get("all.asked"), real.figures().get("all.asked"), 3, "the same requests");
     assertEquals(model.service(), real.service(), 0.15);
     double ended = real.figures().get("ended.ok") + real.figures().get("ended.miss");
@@ -66,7 +66,7 @@
   void aProxyThatIsKilledAndStartsAgainServesOn() throws Exception {
     Scenario day = Scenario.parse("test", DAY + "faults: [{what: restart, at_s: 1, for_s: 0.5, part: 1}]\n");
     Report real = play(day).report();
-    assertEquals(List.of(), real.broken());
+    assertEquals(List.of(), real.brokenRules());
     assertTrue(real.service() > 0.3, "service: " + real.service());
     assertTrue(real.service() < 1, "while none is there nobody is served");
   }
@@ -77,7 +77,7 @@
     Loopback.Outcome outcome =
         Loopback.run(Scenario.parse("test", DAY), List.of(JAVA, "-cp", "none", "none.Main"), directory);
     assertNull(outcome.report());
-    assertTrue(outcome.why().contains("did not get ready"), outcome.why());
+    assertTrue(outcome.failureReason().contains("did not get ready"), outcome.failureReason());
     assertEquals(before, children());
   }
 
--- a/src/test/java/beampoint/experiment/ExperimentTest.java
+++ b/src/test/java/beampoint/experiment/ExperimentTest.java
@@ -113,9 +113,9 @@
   void aBrokenRuleIsToldFirstWithVariantSeedAndTime() throws Exception {
     Results results = run(plan(PLAN), settings -> settings.limits().maxAttempts() > 1
         ? new BalancerPolicy(settings) : (now, event) -> List.of());
-    assertTrue(results.breaks() > 0);
-    assertTrue(results.broken().get(0).matches("other, [0-9.]+ s, seed 1: a request was lost.*"),
-        results.broken().get(0));
+    assertTrue(results.brokenRuleCount() > 0);
+    assertTrue(results.brokenRules().get(0).matches("other, [0-9.]+ s, seed 1: a request was lost.*"),
+        results.brokenRules().get(0));
     assertTrue(summary().indexOf("Rules broken") < summary().indexOf("| figure"), summary());
   }
 
