--- a/src/main/java/beampoint/emulator/Attempt.java
+++ b/src/main/java/beampoint/emulator/Attempt.java
@@ -3,7 +3,7 @@
 import beampoint.Balancer.Result;
 import java.util.function.Consumer;
 
-/** One attempt of an instance that is out, at a cache node or, without one, at the origin. */
+/** An attempt in flight from a proxy instance to a cache node, or to the origin if {@code node} is null. */
 final class Attempt {
 
   final Instance instance;
@@ -12,13 +12,13 @@
   final int number;
   final CacheNode node;
   final double sentAt;
-  int life; // of the node, as its connection was made
+  int nodeIncarnation; // when the connection was made
   boolean connected;
   boolean hit;
   Server server;
   Server.Job job;
-  Consumer<Result> ended;
-  boolean over;
+  Consumer<Result> onResult;
+  boolean finished;
   private boolean answered;
 
   Attempt(Instance instance, ClientRequest.Try clientTry, int number, CacheNode node, double sentAt) {
@@ -30,20 +30,24 @@
     this.sentAt = sentAt;
   }
 
-  /** What the peer says; it reaches the instance after the way back. */
+  /**
+   * Passes the server's result to the instance, which gets it after the network delay; only the first counts.
+   */
   void answer(Result result) {
     if (!answered) {
       answered = true;
-      instance.answered(this, result);
+      instance.attemptAnswered(this, result);
     }
   }
 
-  /** Nobody waits for it any more. */
-  void giveUp() {
-    over = true;
+  /**
+   * Ends the attempt, since nobody waits for its result any more, and removes its job if it is still queued.
+   */
+  void cancel() {
+    finished = true;
     answered = true;
     if (job != null) {
-      server.drop(job);
+      server.cancel(job);
     }
   }
 }
--- a/src/main/java/beampoint/emulator/CacheNode.java
+++ b/src/main/java/beampoint/emulator/CacheNode.java
@@ -8,30 +8,35 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A cache node: cores, a waiting room, memory, connections, and whatever is wrong with it. */
+/** A model of a cache node: cores with a queue, an LRU memory, a connection limit, and its current faults. */
 final class CacheNode {
 
-  /** What it was sent, in ms of work of a warm node, and whether its sender had been told of the start. */
-  private record Load(double at, double work, boolean told) {}
+  /**
+   * A request received while cold: its work in ms on a warm node, and whether its sender knew of the start.
+   */
+  private record ReceivedWork(double at, double work, boolean senderNotified) {}
 
-  private static final double BLAMED_PART = 2.0 / 3; // of a fall, from those that had been told
+  /**
+   * A fall breaks the rule if more than this fraction of the work came from proxies that knew of the start.
+   */
+  private static final double NOTIFIED_WORK_FRACTION = 2.0 / 3;
 
   private final World world;
   private final Scenario.Caches caches;
   final String id;
   final int zone;
   private final Server server;
-  private final Map<Long, Boolean> memory; // the least recently used first
-  private final Deque<Load> window = new ArrayDeque<>(); // while it is cold
-  private double windowWork;
-  double startedAt; // 0: long ago
+  private final Map<Long, Boolean> memory; // in order of use, the least recently used key first
+  private final Deque<ReceivedWork> coldLoadWindow = new ArrayDeque<>(); // empty unless the node is cold
+  private double coldWindowWork;
+  double startedAt; // 0: long ago, so that the node is warm
   EndpointState listed = EndpointState.RUNNING;
-  int life; // processes so far: connections end with theirs
+  int incarnation; // number of process starts; a connection ends with its process
   boolean dead;
   boolean silent;
-  boolean refuses;
+  boolean refusesConnections;
   double slowness = 1;
-  double errorPart;
+  double errorFraction;
   private int connections;
 
   CacheNode(World world, String id, int zone, double startedAt) {
@@ -44,14 +49,14 @@
     this.memory = memory(caches.memory());
   }
 
-  /** Room for so many keys, of which the least recently used goes. */
-  static Map<Long, Boolean> memory(int room) {
+  /** Creates an LRU memory that holds up to {@code maxKeys} keys. */
+  static Map<Long, Boolean> memory(int maxKeys) {
     return new LinkedHashMap<>(16, 0.75f, true) {
       private static final long serialVersionUID = 1L;
 
       @Override
       protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-        return size() > room;
+        return size() > maxKeys;
       }
     };
   }
@@ -68,27 +73,27 @@
     return warmth() < 1;
   }
 
-  /** Opens a connection: OK, CONNECT_FAILED at once, or TIMEOUT where nobody answers. */
+  /** Opens a connection: OK, CONNECT_FAILED at once, or TIMEOUT if the node is silent. */
   Result connect() {
     if (silent) {
       return Result.TIMEOUT;
     }
-    if (dead || refuses || connections >= caches.connections()) {
+    if (dead || refusesConnections || connections >= caches.connections()) {
       return Result.CONNECT_FAILED;
     }
     connections++;
     return Result.OK;
   }
 
-  void disconnect(int ofLife) {
-    if (ofLife == life) {
+  void disconnect(int ofIncarnation) {
+    if (ofIncarnation == incarnation) {
       connections--;
     }
   }
 
-  /** A request has come whole. */
-  void take(Attempt attempt, boolean fresh) {
-    if (dead || attempt.life != life) {
+  /** Handles a request that has been received completely. */
+  void receive(Attempt attempt, boolean newConnection) {
+    if (dead || attempt.nodeIncarnation != incarnation) {
       attempt.answer(Result.RESET);
       return;
     }
@@ -99,20 +104,20 @@
       attempt.answer(Result.FULL);
       return;
     }
-    if (errorPart > 0 && world.chance(attempt.request.id, errorPart)) {
+    if (errorFraction > 0 && world.isSelected(attempt.request.id, errorFraction)) {
       attempt.answer(Result.ERROR);
       return;
     }
     double work = attempt.request.work * attempt.request.kind.work();
-    press(work, attempt.instance);
+    recordColdLoad(work, attempt.instance);
     if (dead) {
       return;
     }
-    double extra = fresh ? caches.handshake() : 0;
-    attempt.job = server.take(() -> {
+    double handshakeWork = newConnection ? caches.handshake() : 0;
+    attempt.job = server.submit(() -> {
       attempt.hit = memory.get(attempt.request.key) != null;
-      double part = attempt.hit ? 1 : caches.missPart();
-      return (extra + work * part) * slowness / warmth();
+      double workFraction = attempt.hit ? 1 : caches.missPart();
+      return (handshakeWork + work * workFraction) * slowness / warmth();
     }, () -> attempt.answer(attempt.hit ? Result.OK : Result.MISS));
     attempt.server = server;
     if (attempt.job == null) {
@@ -121,33 +126,36 @@
   }
 
   /**
-   * The rule on cold nodes: what it was sent in a window, beside what it can do now. It bears N + 2
-   * root N + 2 requests of mean work, N being what the multiple allows: chance is no storm. Each fall counts;
-   * it breaks the rule where most of it came from proxies that had been told of the start.
+   * Checks the rule on cold nodes: compares the work received in a window with the node's present capacity.
+   * A cold node bears N + 2 sqrt(N) + 2 requests of mean work, where N is the number that the configured
+   * multiple of its capacity allows, so that random variation alone does not overload it. Beyond that it
+   * falls, that is, its process dies. Each fall is counted; it breaks the rule if most of the work came from
+   * proxies that had been notified of the start.
    */
-  private void press(double work, Instance from) {
+  private void recordColdLoad(double work, Instance sender) {
     if (!isCold()) {
-      window.clear();
-      windowWork = 0;
+      coldLoadWindow.clear();
+      coldWindowWork = 0;
       return;
     }
     double now = world.clock.now();
-    double length = world.scenario.rules().fallWindow();
-    window.add(new Load(now, work, from == null || from.knowsStart(this)));
-    windowWork += work;
-    while (window.peekFirst().at() < now - length) {
-      windowWork -= window.pollFirst().work();
+    double windowLength = world.scenario.rules().fallWindow();
+    coldLoadWindow.add(new ReceivedWork(now, work, sender == null || sender.knowsStart(this)));
+    coldWindowWork += work;
+    while (coldLoadWindow.peekFirst().at() < now - windowLength) {
+      coldWindowWork -= coldLoadWindow.pollFirst().work();
     }
-    double capacity = caches.cores() * warmth() * length;
-    double multiple = windowWork / capacity;
-    double mean = windowWork / window.size();
-    double allowed = world.scenario.rules().fallMultiple() * capacity / mean; // requests
-    world.report.coldLoad(multiple);
-    if (window.size() > allowed + 2 * Math.sqrt(allowed) + 2) {
-      double told = window.stream().filter(Load::told).mapToDouble(Load::work).sum();
+    double capacity = caches.cores() * warmth() * windowLength;
+    double loadMultiple = coldWindowWork / capacity;
+    double meanWork = coldWindowWork / coldLoadWindow.size();
+    double allowedRequests = world.scenario.rules().fallMultiple() * capacity / meanWork;
+    world.report.coldLoad(loadMultiple);
+    if (coldLoadWindow.size() > allowedRequests + 2 * Math.sqrt(allowedRequests) + 2) {
+      double notifiedWork = coldLoadWindow.stream().filter(ReceivedWork::senderNotified)
+          .mapToDouble(ReceivedWork::work).sum();
       world.report.coldFall();
-      if (told > BLAMED_PART * windowWork) {
-        world.report.broken(now, "a cold cache was pushed over: " + id);
+      if (notifiedWork > NOTIFIED_WORK_FRACTION * coldWindowWork) {
+        world.report.ruleBroken(now, "a cold cache was pushed over: " + id);
       }
       die();
     }
@@ -159,22 +167,22 @@
     }
   }
 
-  void forget(long key) {
+  void invalidate(long key) {
     memory.remove(key);
   }
 
   void die() {
     dead = true;
-    life++;
+    incarnation++;
     connections = 0;
-    server.empty();
+    server.clear();
     memory.clear();
-    window.clear();
-    windowWork = 0;
-    world.proxies().forEach(proxy -> proxy.lost(this));
+    coldLoadWindow.clear();
+    coldWindowWork = 0;
+    world.proxies().forEach(proxy -> proxy.nodeDied(this));
   }
 
-  void begin() {
+  void restart() {
     dead = false;
     startedAt = world.clock.now();
   }
--- a/src/main/java/beampoint/emulator/ClientCall.java
+++ b/src/main/java/beampoint/emulator/ClientCall.java
@@ -7,88 +7,89 @@
 import java.net.Socket;
 import java.util.Locale;
 
-/** One request of a client on a connection to a proxy, by the meta commands. */
+/** A client's request on a connection to a proxy, in the memcached meta protocol. */
 final class ClientCall {
 
-  /** How it ended, and the advice where it was refused. */
-  interface Told {
+  /** Is called once with the outcome and, for a refused request, the retry advice in ms (0 if none). */
+  interface OutcomeListener {
     void ended(Outcome outcome, double advice);
   }
 
-  private final String words;
+  private final String command;
   private final String id;
-  private final Told told;
+  private final OutcomeListener listener;
   private Socket socket;
-  private boolean over;
+  private boolean finished;
 
-  ClientCall(String words, String id, Told told) {
-    this.words = words;
+  ClientCall(String command, String id, OutcomeListener listener) {
+    this.command = command;
     this.id = id;
-    this.told = told;
+    this.listener = listener;
   }
 
-  /** What a client writes for a try. */
-  static String words(ClientRequest.Try clientTry, Scenario scenario, double now, String id) {
+  /** Formats the command that a client sends for a try: mg for a read, ms for a write. */
+  static String command(ClientRequest.Try clientTry, Scenario scenario, double now, String id) {
     ClientRequest request = clientTry.request;
-    long wait = Math.max(1, (long) (clientTry.notAfter - now));
+    long timeout = Math.max(1, (long) (clientTry.deadline - now));
     String tenant = scenario.tenants().get(request.tenant).name();
-    String list = " Pc=" + request.kind.name() + ",t=" + tenant + ",d=" + wait;
+    String attributes = " Pc=" + request.kind.name() + ",t=" + tenant + ",d=" + timeout;
     String key = String.format(Locale.ROOT, "%016x", request.key);
     if (!request.kind.write()) {
-      return "mg " + key + " v " + id + list + "\r\n";
+      return "mg " + key + " v " + id + attributes + "\r\n";
     }
-    String once = request.kind.rules().idempotency() == Idempotency.KEYED ? ",k=" + id.substring(1) : "";
-    return "ms " + key + " 5 " + id + list + once + "\r\nvalue\r\n";
+    String idempotencyKey =
+        request.kind.rules().idempotency() == Idempotency.KEYED ? ",k=" + id.substring(1) : "";
+    return "ms " + key + " 5 " + id + attributes + idempotencyKey + "\r\nvalue\r\n";
   }
 
-  /** Asks on this connection; false where it ended before an answer began. */
-  boolean play(Socket on) {
+  /** Sends the command and reads the reply; false if the connection ended before a reply line came. */
+  boolean execute(Socket connection) {
     synchronized (this) {
-      if (over) {
+      if (finished) {
         return true;
       }
-      socket = on;
+      socket = connection;
     }
     try {
-      Listener.write(on, words);
-      InputStream in = on.getInputStream();
-      String line = Listener.line(in);
+      Listener.write(connection, command);
+      InputStream in = connection.getInputStream();
+      String line = Listener.readLine(in);
       if (line == null) {
-        ProxyProcess.close(on);
+        ProxyProcess.close(connection);
         return false;
       }
-      read(line, in);
-      return !on.isClosed();
+      readReply(line, in);
+      return !connection.isClosed();
     } catch (IOException e) {
-      ProxyProcess.close(on);
+      ProxyProcess.close(connection);
       return false;
     }
   }
 
-  private void read(String line, InputStream in) throws IOException {
-    String[] words = line.split(" ");
-    if (words[0].equals("VA") && words.length > 2) {
-      String value = ProxyProcess.bytes(in, Integer.parseInt(words[1]) + 2);
-      end(words[2].equals(id) && value.startsWith(id) ? Outcome.SERVED : Outcome.LOST, 0);
-    } else if (words[0].equals("HD") && words.length > 1) {
-      end(words[1].equals(id) ? Outcome.SERVED : Outcome.LOST, 0);
+  private void readReply(String line, InputStream in) throws IOException {
+    String[] fields = line.split(" ");
+    if (fields[0].equals("VA") && fields.length > 2) {
+      String value = ProxyProcess.readString(in, Integer.parseInt(fields[1]) + 2);
+      finish(fields[2].equals(id) && value.startsWith(id) ? Outcome.SERVED : Outcome.LOST, 0);
+    } else if (fields[0].equals("HD") && fields.length > 1) {
+      finish(fields[1].equals(id) ? Outcome.SERVED : Outcome.LOST, 0);
     } else if (line.startsWith("SERVER_ERROR busy")) {
-      end(Outcome.REFUSED, words.length > 2 ? Double.parseDouble(words[2]) : 0);
+      finish(Outcome.REFUSED, fields.length > 2 ? Double.parseDouble(fields[2]) : 0);
     } else {
-      end(Outcome.FAILED, 0);
+      finish(Outcome.FAILED, 0);
     }
   }
 
-  synchronized void end(Outcome outcome, double advice) {
-    if (!over) {
-      over = true;
-      told.ended(outcome, advice);
+  synchronized void finish(Outcome outcome, double advice) {
+    if (!finished) {
+      finished = true;
+      listener.ended(outcome, advice);
     }
   }
 
-  /** The client leaves: its connection is closed. */
-  synchronized void leave() {
-    over = true;
+  /** Closes the connection, as a client does that stops waiting. */
+  synchronized void abandon() {
+    finished = true;
     if (socket != null) {
       ProxyProcess.close(socket);
     }
--- a/src/main/java/beampoint/emulator/ClientRequest.java
+++ b/src/main/java/beampoint/emulator/ClientRequest.java
@@ -1,8 +1,8 @@
 package beampoint.emulator;
 
 /**
- * A client's request, from when it was due to when it is answered or given up. The client may send it several
- * times: each time is a try, which a proxy takes for a request of its own.
+ * A client's request, from its scheduled time until it is answered or given up. The client may send it
+ * several times. Each of these is a try, which is a separate request for the proxy that receives it.
  */
 final class ClientRequest {
 
@@ -11,7 +11,7 @@
   final int kindNumber;
   final int tenant;
   final long key;
-  final double work; // a factor, the same wherever it is done
+  final double work; // a factor on the mean work, the same at each server
   final double dueAt;
   int tries;
 
@@ -26,24 +26,24 @@
     this.dueAt = dueAt;
   }
 
-  double endsAt() {
+  double deadline() {
     return dueAt + kind.rules().deadline();
   }
 
-  /** The request as it was sent once, to one instance. */
+  /** One sending of the request, to one instance. */
   static final class Try {
     final ClientRequest request;
-    final double notAfter;
-    boolean over; // answered, or its client has left
-    int runs; // of its effect
-    double ranAt;
+    final double deadline;
+    boolean finished; // answered, or the client has stopped waiting
+    int effectRuns; // how often the origin applied its effect
+    double effectRanAt;
 
-    Try(ClientRequest request, double notAfter) {
+    Try(ClientRequest request, double deadline) {
       this.request = request;
-      this.notAfter = notAfter;
+      this.deadline = deadline;
     }
   }
 
-  /** How a try ended, as its client sees it. */
+  /** How a try ended for its client. */
   enum Outcome { SERVED, REFUSED, FAILED, LOST }
 }
--- a/src/main/java/beampoint/emulator/Clock.java
+++ b/src/main/java/beampoint/emulator/Clock.java
@@ -3,16 +3,18 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Virtual time: what is due runs in the order of its times and, at one time, in the order of its setting. */
+/**
+ * Virtual time: tasks run in the order of their times, and those of one time in the order of their
+ * scheduling.
+ */
 class Clock {
 
-  /** What is due at a time. */
-  record Task(double at, long number, Runnable run) {}
+  record Task(double at, long sequence, Runnable run) {}
 
   private final PriorityQueue<Task> tasks =
-      new PriorityQueue<>(Comparator.comparingDouble(Task::at).thenComparingLong(Task::number));
+      new PriorityQueue<>(Comparator.comparingDouble(Task::at).thenComparingLong(Task::sequence));
   private double now;
-  private long number;
+  private long sequence;
 
   Clock(double start) {
     now = start;
@@ -23,14 +25,14 @@
   }
 
   void at(double time, Runnable task) {
-    tasks.add(new Task(Math.max(now(), time), ++number, task));
+    tasks.add(new Task(Math.max(now(), time), ++sequence, task));
   }
 
   void after(double delay, Runnable task) {
     at(now() + Math.max(0, delay), task);
   }
 
-  /** The next task, or null where none is set. */
+  /** The next task, or null if none is scheduled. */
   final Task peek() {
     return tasks.peek();
   }
@@ -39,16 +41,16 @@
     return tasks.poll();
   }
 
-  /** Runs all that is due up to a time; returns how many tasks that were. */
+  /** Runs all tasks that are due up to a time, and returns their number. */
   long runTo(double end) {
-    long run = 0;
+    long executed = 0;
     while (!tasks.isEmpty() && tasks.peek().at() <= end) {
       Task task = tasks.poll();
       now = task.at();
       task.run().run();
-      run++;
+      executed++;
     }
     now = end;
-    return run;
+    return executed;
   }
 }
--- a/src/main/java/beampoint/emulator/Discovery.java
+++ b/src/main/java/beampoint/emulator/Discovery.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Tells every proxy of the cache nodes, each late by a time of its own; nothing while it is down. */
+/** Sends host lists to all proxies, each after a random delay of its own; sends nothing while it is down. */
 final class Discovery {
 
-  private static final double SCATTER = 0.5; // of the usual delay, to both sides
+  private static final double JITTER_FRACTION = 0.5; // of the mean delay, to both sides
 
   private final World world;
   private final UniformRandomProvider random;
@@ -21,7 +21,7 @@
     this.random = random;
   }
 
-  /** The list as it is: nodes that are gone are not in it. */
+  /** The full list, without nodes that are gone. */
   List<Endpoint> list() {
     List<Endpoint> endpoints = new ArrayList<>();
     world.caches().stream().filter(node -> node.listed != EndpointState.GONE)
@@ -30,26 +30,28 @@
     return endpoints;
   }
 
-  /** Nodes that have changed. */
-  void changed(List<CacheNode> nodes) {
+  /** Sends changed nodes to all proxies; the change is dropped if discovery is down. */
+  void publish(List<CacheNode> nodes) {
     if (down) {
       return;
     }
     List<Endpoint> endpoints = nodes.stream().map(CacheNode::endpoint).toList();
     for (Instance proxy : world.proxies()) {
-      world.clock.after(delay(), () -> proxy.told(ListKind.CHANGES, endpoints));
+      world.clock.after(delay(), () -> proxy.receiveList(ListKind.CHANGES, endpoints));
     }
   }
 
   private double delay() {
-    double usual = world.scenario.discoveryDelay();
-    return usual * (1 - SCATTER + 2 * SCATTER * random.nextDouble());
+    double meanDelay = world.scenario.discoveryDelay();
+    return meanDelay * (1 - JITTER_FRACTION + 2 * JITTER_FRACTION * random.nextDouble());
   }
 
-  /** A new process asks for the whole list: its machine's agent has it, and is silent while this is down. */
-  void follow(Instance proxy) {
+  /**
+   * Sends the full list to a new process at once, as the agent on its machine holds it; nothing while down.
+   */
+  void subscribe(Instance proxy) {
     if (!down) {
-      proxy.told(ListKind.FULL, list());
+      proxy.receiveList(ListKind.FULL, list());
     }
   }
 
@@ -57,13 +59,14 @@
     return down;
   }
 
-  void goDown() {
+  void stop() {
     down = true;
   }
 
-  void comeBack() {
+  /** Ends an outage: each proxy gets the full list after its delay. */
+  void recover() {
     down = false;
     world.proxies().forEach(
-        proxy -> world.clock.after(delay(), () -> proxy.told(ListKind.FULL, list())));
+        proxy -> world.clock.after(delay(), () -> proxy.receiveList(ListKind.FULL, list())));
   }
 }
--- a/src/main/java/beampoint/emulator/Emulation.java
+++ b/src/main/java/beampoint/emulator/Emulation.java
@@ -4,14 +4,14 @@
 import beampoint.Balancer.Settings;
 import java.util.function.Function;
 
-/** A day of a fleet in virtual time: the same seed gives the same report, to the last digit. */
+/** Runs a scenario in virtual time: the same seed gives exactly the same report. */
 public final class Emulation {
 
-  private static final double START = 1e9; // the clock at the start of a day, long after "long ago"
+  private static final double START = 1e9; // ms; so that a start time of 0 is long ago
 
   private Emulation() {}
 
-  /** Plays a day round instances of a decision module. */
+  /** Runs a scenario with proxies that are instances of a decision module. */
   public static Report run(Scenario scenario, Function<Settings, Balancer> factory) {
     return new World(scenario, new Clock(START),
         (world, number, zone) -> new ModuleInstance(world, number, zone, factory)).play();
--- a/src/main/java/beampoint/emulator/FaultPlan.java
+++ b/src/main/java/beampoint/emulator/FaultPlan.java
@@ -4,12 +4,12 @@
 import beampoint.emulator.ControlScenario.What;
 import java.util.List;
 
-/** What a scenario's faults do to a fleet, and when. */
+/** Schedules the faults of a control scenario on a fleet. */
 final class FaultPlan {
 
   private FaultPlan() {}
 
-  /** Lets a fault happen, and end. */
+  /** Schedules the begin and the end of a fault: a zone's hosts are killed, or a region is cut off. */
   static void plan(ControlFleet fleet, Fault fault) {
     boolean isZone = fault.what() == What.ZONE_LOST;
     List<Integer> hosts = isZone ? fleet.layout().ofZone(fault.place())
--- a/src/main/java/beampoint/emulator/Instance.java
+++ b/src/main/java/beampoint/emulator/Instance.java
@@ -11,17 +11,17 @@
 /** One proxy as the model knows it, whether it is an instance of the module or a process. */
 abstract class Instance {
 
-  private static final double TOLD_AT_LAST = 6_000; // what it missed counts as told so long after
-  static final double LATE = 50; // after a request's time, within which an answer still counts
+  private static final double MAX_NOTICE_DELAY_MS = 6_000; // a proxy must know of a start by then
+  static final double ANSWER_TOLERANCE_MS = 50; // an answer counts until this long after its deadline
 
   final World world;
   final int number;
   final int zone;
-  // What the agent on its machine has counts as told, also to a process that starts later.
-  private final Map<String, Double> mayNotSendFrom = new TreeMap<>(); // since it was told, and the grace
-  private final Map<String, Double> startTold = new TreeMap<>(); // the last start of each that it was told of
+  // What the agent on the machine was sent is known to the proxy, also to a process that starts later.
+  private final Map<String, Double> drainDeadlines = new TreeMap<>(); // end of the grace period
+  private final Map<String, Double> announcedStarts = new TreeMap<>(); // the latest of each node
   private boolean up;
-  private double diedAt = Double.NEGATIVE_INFINITY;
+  private double wentDownAt = Double.NEGATIVE_INFINITY;
 
   Instance(World world, int number, int zone) {
     this.world = world;
@@ -29,79 +29,82 @@
     this.zone = zone;
   }
 
-  /** Begins with nothing learnt and an old list; it is up then, or later. */
+  /** Starts a new process with an old list and no learned state; it is up on return or some time later. */
   abstract void start(List<Endpoint> remembered);
 
-  /** Ends it at once, whatever it holds. */
+  /** Kills the process at once, with all requests that it holds. */
   abstract void kill();
 
-  /** Discovery tells it of nodes. */
-  abstract void told(ListKind kind, List<Endpoint> endpoints);
+  /** Handles a list or changes from discovery. */
+  abstract void receiveList(ListKind kind, List<Endpoint> endpoints);
 
-  /** A client asks. */
-  abstract void take(ClientRequest.Try clientTry);
+  /** Handles a request of a client. */
+  abstract void receive(ClientRequest.Try clientTry);
 
-  /** The client has left. */
-  abstract void left(ClientRequest.Try clientTry);
+  /** Handles that the client of a try has stopped waiting. */
+  abstract void clientGone(ClientRequest.Try clientTry);
 
-  /** The cache nodes that lacked the key for this request. */
-  abstract List<CacheNode> missedAt(ClientRequest.Try clientTry);
+  /** The cache nodes that have answered attempts of this try with a miss. */
+  abstract List<CacheNode> missedNodes(ClientRequest.Try clientTry);
 
-  /** A peer has answered; the answer is on its way. */
-  abstract void answered(Attempt attempt, Result result);
+  /** Handles the result of an attempt, which arrives after the network delay. */
+  abstract void attemptAnswered(Attempt attempt, Result result);
 
-  /** A cache node died: what was out there ends as a reset. */
-  abstract void lost(CacheNode node);
+  /** Handles the death of a cache node: attempts in flight to it end as connection errors. */
+  abstract void nodeDied(CacheNode node);
 
-  /** It was told of these; its grace for those that take nothing new is longer by so much. */
-  final void note(List<Endpoint> endpoints, double more) {
-    double from = world.clock.now() + world.scenario.rules().drainGrace() + more;
+  /**
+   * Records endpoints that discovery has sent; {@code extraGrace} prolongs the grace period of a drain, in
+   * ms.
+   */
+  final void recordList(List<Endpoint> endpoints, double extraGrace) {
+    double deadline = world.clock.now() + world.scenario.rules().drainGrace() + extraGrace;
     for (Endpoint endpoint : endpoints) {
-      startTold.merge(endpoint.id(), endpoint.startedAt(), Math::max);
+      announcedStarts.merge(endpoint.id(), endpoint.startedAt(), Math::max);
       if (endpoint.state() == EndpointState.RUNNING) {
-        mayNotSendFrom.remove(endpoint.id());
+        drainDeadlines.remove(endpoint.id());
       } else {
-        mayNotSendFrom.putIfAbsent(endpoint.id(), from);
+        drainDeadlines.putIfAbsent(endpoint.id(), deadline);
       }
     }
   }
 
-  /** True where it was told of a node's last start, or counts as told. */
+  /** True if the proxy was notified of a node's last start, or must know of it by now. */
   final boolean knowsStart(CacheNode node) {
-    return startTold.getOrDefault(node.id, 0.0) >= node.startedAt
-        || world.clock.now() >= node.startedAt + TOLD_AT_LAST;
+    return announcedStarts.getOrDefault(node.id, 0.0) >= node.startedAt
+        || world.clock.now() >= node.startedAt + MAX_NOTICE_DELAY_MS;
   }
 
-  /** The rule on drains, for what it sends now. */
-  final void checkGrace(String endpoint) {
+  /** Checks the rule that nothing is sent to an endpoint after the grace period of its drain. */
+  final void checkDrainGrace(String endpoint) {
     double now = world.clock.now();
-    Double from = mayNotSendFrom.get(endpoint);
-    if (from != null && now > from) {
-      world.report.broken(now, "sent past a drain's grace: " + endpoint);
+    Double deadline = drainDeadlines.get(endpoint);
+    if (deadline != null && now > deadline) {
+      world.report.ruleBroken(now, "sent past a drain's grace: " + endpoint);
     }
   }
 
-  final void up() {
+  final void markUp() {
     up = true;
   }
 
-  final void down() {
+  final void markDown() {
     up = false;
-    diedAt = world.clock.now();
+    wentDownAt = world.clock.now();
   }
 
   final boolean isUp() {
     return up;
   }
 
-  /** True where the front still sends to it. */
-  final boolean isKnownUp() {
-    return up || world.clock.now() < diedAt + world.scenario.clients().frontNotices();
+  /** True if the clients' load balancer still sends requests to this proxy. */
+  final boolean isBelievedUp() {
+    return up || world.clock.now() < wentDownAt + world.scenario.clients().failoverDelay();
   }
 
-  /** One way to a node, or to the origin. */
-  final double way(CacheNode node) {
-    boolean crosses = node != null && node.zone != zone;
-    return world.scenario.delay() + (crosses ? world.scenario.zoneDelay() : 0);
+  /** The network delay to a node, or to the origin if {@code node} is null, in ms. */
+  final double oneWayDelay(CacheNode node) {
+    boolean crossesZones = node != null && node.zone != zone;
+    return world.scenario.delay() + (crossesZones ? world.scenario.zoneDelay() : 0);
   }
 }
--- a/src/main/java/beampoint/emulator/Listener.java
+++ b/src/main/java/beampoint/emulator/Listener.java
@@ -12,24 +12,24 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A listener on loopback, one thread a connection; it can refuse for a while, and end what is open. */
+/** A listener on loopback with a thread per connection; it can refuse and reset connections. */
 final class Listener implements Closeable {
 
   private static final int MAX_LINE = 8192;
   private static final int BACKLOG = 256;
 
-  /** What is done with a connection, on its own thread. */
-  interface Service {
-    void serve(Socket socket, InputStream in) throws IOException;
+  /** Handles a connection on its own thread. */
+  interface ConnectionHandler {
+    void handle(Socket socket, InputStream in) throws IOException;
   }
 
-  private final Service service;
+  private final ConnectionHandler handler;
   private final InetSocketAddress address;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
   private volatile ServerSocket server;
 
-  Listener(Service service) throws IOException {
-    this.service = service;
+  Listener(ConnectionHandler handler) throws IOException {
+    this.handler = handler;
     this.server = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
     this.address = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
     accept(server);
@@ -39,31 +39,31 @@
     return "127.0.0.1:" + address.getPort();
   }
 
-  /** Listens, or refuses whoever comes. */
-  void listen(boolean on) throws IOException {
-    if (!on && server != null) {
+  /** Listens, or closes the listening socket, so that new connections are refused. */
+  void setListening(boolean listening) throws IOException {
+    if (!listening && server != null) {
       server.close();
       server = null;
-    } else if (on && server == null) {
-      ServerSocket next = new ServerSocket();
-      next.setReuseAddress(true);
-      next.bind(address, BACKLOG);
-      server = next;
-      accept(next);
+    } else if (listening && server == null) {
+      ServerSocket successor = new ServerSocket();
+      successor.setReuseAddress(true);
+      successor.bind(address, BACKLOG);
+      server = successor;
+      accept(successor);
     }
   }
 
-  private void accept(ServerSocket from) {
+  private void accept(ServerSocket acceptor) {
     start(() -> {
       try {
         while (true) {
-          Socket socket = from.accept();
+          Socket socket = acceptor.accept();
           socket.setTcpNoDelay(true);
-          open.add(socket);
-          start(() -> play(socket));
+          openSockets.add(socket);
+          start(() -> handleConnection(socket));
         }
       } catch (IOException e) {
-        // it listens no more
+        // the listening socket was closed
       }
     });
   }
@@ -74,30 +74,32 @@
     thread.start();
   }
 
-  private void play(Socket socket) {
+  private void handleConnection(Socket socket) {
     try (socket) {
-      service.serve(socket, new BufferedInputStream(socket.getInputStream()));
+      handler.handle(socket, new BufferedInputStream(socket.getInputStream()));
     } catch (IOException e) {
-      // the other side has gone
+      // the peer has closed the connection
     } finally {
-      open.remove(socket);
+      openSockets.remove(socket);
     }
   }
 
-  /** Ends all connections as a process does that dies. */
-  void reset() {
-    for (Socket socket : open) {
+  /** Resets all connections, as when a process dies. */
+  void resetConnections() {
+    for (Socket socket : openSockets) {
       try {
         socket.setSoLinger(true, 0);
         socket.close();
       } catch (IOException e) {
-        // it has ended already
+        // already closed
       }
     }
   }
 
-  /** A line without its end, or null at the end; one that is too long ends the connection. */
-  static String line(InputStream in) throws IOException {
+  /**
+   * Reads a line without its terminator, or null at the end of the stream; fails on a line that is too long.
+   */
+  static String readLine(InputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
     for (int b = in.read(); b >= 0; b = in.read()) {
       if (b == '\n') {
@@ -105,7 +107,7 @@
         return end >= 0 && line.charAt(end) == '\r' ? line.substring(0, end) : line.toString();
       }
       if (line.length() > MAX_LINE) {
-        throw new IOException("a line without end");
+        throw new IOException("line exceeds " + MAX_LINE + " bytes");
       }
       line.append((char) b);
     }
@@ -116,13 +118,13 @@
     try {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     } catch (IOException e) {
-      // the other side has gone
+      // the peer has closed the connection
     }
   }
 
   @Override
   public void close() throws IOException {
-    listen(false);
-    reset();
+    setListening(false);
+    resetConnections();
   }
 }
--- a/src/main/java/beampoint/emulator/Loopback.java
+++ b/src/main/java/beampoint/emulator/Loopback.java
@@ -4,26 +4,26 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** A day of a fleet of real processes on loopback, beside the same model as in virtual time. */
+/** Runs a scenario with real proxy processes on loopback and the same model of caches, origin and clients. */
 public final class Loopback {
 
-  /** Where a hundredth of its own tasks is later than this, in ms, a run tells nothing of the proxies. */
+  /** A run says nothing about the proxies and is void if its own tasks' lateness exceeds this at p99. */
   public static final double MAX_LATENESS_MS = 20;
   private static final double MAX_START_MS = 30_000;
 
   private Loopback() {}
 
-  /** What came of a run; no report where it is void, and why. */
+  /** The result of a run; if it is void, the report is null and {@code failureReason} is set. */
   public record Outcome(Report report, double lateness, String failureReason) {}
 
   /**
-   * Plays a day with proxies that are started by this command, with {@code serve --config FILE} behind it.
-   * What they need and log goes to a directory. None of them outlives the run.
+   * Runs a scenario with proxies that are started by this command, followed by {@code serve --config FILE}.
+   * Their configurations and logs are written to a directory. No proxy process outlives the run.
    */
   public static Outcome run(Scenario scenario, List<String> command, Path directory) throws IOException {
     try (ProcessFleet fleet = new ProcessFleet(scenario, command, directory)) {
       Thread end = new Thread(() -> close(fleet), "end");
-      Runtime.getRuntime().addShutdownHook(end); // an interruption leaves no process either
+      Runtime.getRuntime().addShutdownHook(end); // ends the processes of an interrupted run
       Report report = fleet.play(MAX_START_MS);
       Runtime.getRuntime().removeShutdownHook(end);
       double lateness = fleet.lateness();
@@ -31,8 +31,8 @@
         return new Outcome(null, lateness, "a proxy did not get ready; its log is in " + directory);
       }
       if (lateness > MAX_LATENESS_MS) {
-        return new Outcome(null, lateness, "the load maker itself was late: " + lateness
-            + " ms for a hundredth of its tasks, " + MAX_LATENESS_MS + " at most");
+        return new Outcome(null, lateness, "the load generator was late: 99th percentile of its lateness "
+            + lateness + " ms, limit " + MAX_LATENESS_MS + " ms");
       }
       return new Outcome(report, lateness, null);
     }
@@ -42,7 +42,7 @@
     try {
       fleet.close();
     } catch (IOException e) {
-      // it ends anyway
+      // the program is ending
     }
   }
 }
--- a/src/main/java/beampoint/emulator/MembershipViews.java
+++ b/src/main/java/beampoint/emulator/MembershipViews.java
@@ -20,13 +20,17 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * How the hosts see each other by the state machine of membership, one for each, over the same network and at
- * the expense of bytes of its own. Whole views are exchanged over a connection that loses nothing.
+ * The hosts' views of each other by the membership protocol: each host runs its state machine over the
+ * emulated network, and the bytes of its messages are counted. Full views are exchanged over a lossless
+ * connection.
  */
 final class MembershipViews implements Views {
 
-  private static final long MAX_DETECTION = 3_600_000; // ms
-  private static final double WRONG_AFTER = 5_000; // ms that a host could be reached before it was buried
+  private static final long MAX_DETECTION_MS = 3_600_000;
+  /**
+   * A death is a false positive if the host was up and reachable for this long before it was declared dead.
+   */
+  private static final double FALSE_POSITIVE_AFTER_MS = 5_000;
 
   private final Clock clock;
   private final ControlNetwork network;
@@ -34,14 +38,14 @@
   private final FleetLayout layout;
   private final Consumer<ControlHost> viewChanged;
   private final UniformRandomProvider random;
-  private final MembershipSettings terms = MembershipSettings.defaults();
+  private final MembershipSettings settings = MembershipSettings.defaults();
   private final Codec codec = new Codec("emulated");
-  private final List<MemberState> known = new ArrayList<>();
+  private final List<MemberState> initialStates = new ArrayList<>();
   private final SiteNeighbours neighbours;
-  private final double[] changedAt; // when a host was last killed, started, cut off or healed
-  private final Histogram detection = new Histogram(MAX_DETECTION, 3);
+  private final double[] changedAt; // when each host was last killed, started, cut off or reconnected
+  private final Histogram detection = new Histogram(MAX_DETECTION_MS, 3);
   private long wronglyDead;
-  private long bytes; // sent and received, whole views among them
+  private long bytes; // sent and received, including full views
   private long exchangedBytes;
 
   MembershipViews(Clock clock, FleetLayout layout, List<ControlHost> hosts, ControlNetwork network,
@@ -56,8 +60,8 @@
     this.changedAt = new double[layout.hosts()];
     for (int i = 0; i < layout.hosts(); i++) {
       String name = layout.place(i).name();
-      known.add(new MemberState(name, "10." + i / 62_500 + "." + i / 250 % 250 + "." + i % 250 + ":7946",
-          Status.ALIVE, 0, false, name));
+      initialStates.add(new MemberState(name,
+          "10." + i / 62_500 + "." + i / 250 % 250 + "." + i % 250 + ":7946", Status.ALIVE, 0, false, name));
     }
   }
 
@@ -69,18 +73,18 @@
   @Override
   public void started(ControlHost host) {
     host.dead.clear();
-    host.membership = new Membership(terms, host.place.name(), known.get(host.number).address(), known,
-        RandomSource.XO_SHI_RO_256_PP.create(random.nextLong()), host.local(clock.now()));
+    host.membership = new Membership(settings, host.place.name(), initialStates.get(host.number).address(),
+        initialStates, RandomSource.XO_SHI_RO_256_PP.create(random.nextLong()), host.local(clock.now()));
     long life = host.life;
-    clock.after(random.nextDouble() * terms.tickInterval(), () -> tick(host, life));
+    clock.after(random.nextDouble() * settings.tickInterval(), () -> tick(host, life));
   }
 
   private void tick(ControlHost host, long life) {
     if (host.isUp() && host.life == life) {
       if (!host.isPaused()) {
-        give(host, new MemberEvent.Tick());
+        deliver(host, new MemberEvent.Tick());
       }
-      clock.after(terms.tickInterval(), () -> tick(host, life));
+      clock.after(settings.tickInterval(), () -> tick(host, life));
     }
   }
 
@@ -97,37 +101,37 @@
     exchangedBytes = 0;
   }
 
-  private void give(ControlHost host, MemberEvent event) {
+  private void deliver(ControlHost host, MemberEvent event) {
     if (host.isUp()) {
-      host.membership.handle(host.local(clock.now()), event).forEach(action -> carryOut(host, action));
+      host.membership.handle(host.local(clock.now()), event).forEach(action -> execute(host, action));
     }
   }
 
-  private void carryOut(ControlHost host, MemberAction action) {
+  private void execute(ControlHost host, MemberAction action) {
     if (action instanceof Send send) {
       send(host, hosts.get(layout.number(send.to().member())), send.message());
     } else if (action instanceof Exchange exchange) {
       exchange(host, hosts.get(layout.number(exchange.peer().member())));
     } else if (action instanceof Changed changed) {
-      note(host, changed.state());
+      recordChange(host, changed.state());
     }
   }
 
-  private void note(ControlHost host, MemberState news) {
-    int other = layout.number(news.member());
-    boolean isDead = news.status() == Status.DEAD || news.status() == Status.LEFT;
+  private void recordChange(ControlHost host, MemberState state) {
+    int other = layout.number(state.member());
+    boolean isDead = state.status() == Status.DEAD || state.status() == Status.LEFT;
     if (isDead) {
-      boolean isOwn = news.reporter().equals(host.place.name());
-      boolean lives = hosts.get(other).isUp() && reaches(host, hosts.get(other));
+      boolean isOwnVerdict = state.reporter().equals(host.place.name());
+      boolean isReachable = hosts.get(other).isUp() && reaches(host, hosts.get(other));
       double since = clock.now() - Math.max(changedAt[host.number], changedAt[other]);
-      if (!lives && network.island(host.number) == 0) {
-        detection.recordValue(Math.min(MAX_DETECTION, (long) since));
-      } else if (lives && isOwn && since > WRONG_AFTER) {
+      if (!isReachable && network.island(host.number) == 0) {
+        detection.recordValue(Math.min(MAX_DETECTION_MS, (long) since));
+      } else if (isReachable && isOwnVerdict && since > FALSE_POSITIVE_AFTER_MS) {
         wronglyDead++;
       }
     }
-    boolean isOther = isDead ? host.dead.add(news.member()) : host.dead.remove(news.member());
-    if (isOther && neighbours.of(host.place).contains(other)) {
+    boolean isViewChanged = isDead ? host.dead.add(state.member()) : host.dead.remove(state.member());
+    if (isViewChanged && neighbours.of(host.place).contains(other)) {
       viewChanged.accept(host);
     }
   }
@@ -137,47 +141,47 @@
   }
 
   private void send(ControlHost from, ControlHost to, Message message) {
-    byte[] sent = codec.write(message);
-    bytes += sent.length;
+    byte[] datagram = codec.write(message);
+    bytes += datagram.length;
     for (int copies = network.copies(from.number, to.number); copies > 0; copies--) {
-      clock.after(network.delay(from.number, to.number), () -> deliver(from, to, sent));
+      clock.after(network.delay(from.number, to.number), () -> deliverMessage(from, to, datagram));
     }
   }
 
-  private void deliver(ControlHost from, ControlHost to, byte[] sent) {
+  private void deliverMessage(ControlHost from, ControlHost to, byte[] datagram) {
     if (to.isUp() && reaches(from, to)) {
-      bytes += sent.length;
+      bytes += datagram.length;
       long life = to.life;
       to.whenAwake(() -> {
         if (to.life == life) {
-          give(to, new MemberEvent.Received(read(sent)));
+          deliver(to, new MemberEvent.Received(read(datagram)));
         }
       });
     }
   }
 
-  private Message read(byte[] sent) {
+  private Message read(byte[] datagram) {
     try {
-      return codec.read(sent, sent.length);
+      return codec.read(datagram, datagram.length);
     } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** Both whole views, each way; how long a connection takes. */
+  /** Exchanges full views in both directions, with the delays of opening a connection. */
   private void exchange(ControlHost one, ControlHost other) {
     if (!reaches(one, other) || !other.isUp() || other.isPaused()) {
       return;
     }
-    List<MemberState> asked = one.membership.view();
-    count(asked);
+    List<MemberState> request = one.membership.view();
+    count(request);
     clock.after(3 * network.delay(one.number, other.number), () -> {
       if (other.isUp() && reaches(one, other)) {
-        List<MemberState> answer = other.membership.view();
-        count(answer);
-        give(other, new MemberEvent.ViewReceived(asked));
+        List<MemberState> response = other.membership.view();
+        count(response);
+        deliver(other, new MemberEvent.ViewReceived(request));
         clock.after(network.delay(other.number, one.number),
-            () -> one.whenAwake(() -> give(one, new MemberEvent.ViewReceived(answer))));
+            () -> one.whenAwake(() -> deliver(one, new MemberEvent.ViewReceived(response))));
       }
     });
   }
@@ -188,25 +192,26 @@
     exchangedBytes += length;
   }
 
-  /** How often a host itself declared one dead that ran and could be reached for 5 s. */
+  /** How often a host itself declared another dead that had been up and reachable for 5 s. */
   long wronglyDead() {
     return wronglyDead;
   }
 
   /**
-   * From when a host was killed or cut off to when one of the greater part held it for dead: 99 of 100. Who
-   * is cut off with a few others doubts itself, and is slow to bury the rest on purpose.
+   * The 99th percentile of the time from when a host was killed or cut off until a host of the larger part of
+   * the network declared it dead, in ms. Hosts that are cut off with a few others suspect that they are
+   * isolated themselves and declare the rest dead later on purpose; they are not counted.
    */
   double detectP99() {
     return detection.getValueAtPercentile(99);
   }
 
-  /** Sent and received, over all hosts. */
+  /** Bytes sent and received by all hosts, including full views. */
   long bytes() {
     return bytes;
   }
 
-  /** Of whole views among them. */
+  /** Bytes of full views, sent and received by all hosts. */
   long exchangedBytes() {
     return exchangedBytes;
   }
--- a/src/main/java/beampoint/emulator/ModuleInstance.java
+++ b/src/main/java/beampoint/emulator/ModuleInstance.java
@@ -22,33 +22,33 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 
-/** A proxy in virtual time: an instance of the decision module, its connections, and what it was told. */
+/** A proxy in virtual time: an instance of the decision module, its requests and its connections. */
 final class ModuleInstance extends Instance {
 
-  /** A request that it has taken. */
-  private static final class Open {
+  /** A request that has not ended, as the proxy holds it. */
+  private static final class OpenRequest {
     private final long id;
     private final ClientRequest.Try clientTry;
-    private final List<CacheNode> missedAt = new ArrayList<>();
+    private final List<CacheNode> missedNodes = new ArrayList<>();
     private int attempts;
-    private Attempt out;
+    private Attempt inFlight;
 
-    private Open(long id, ClientRequest.Try clientTry) {
+    private OpenRequest(long id, ClientRequest.Try clientTry) {
       this.id = id;
       this.clientTry = clientTry;
     }
   }
 
-  /** An idle connection. */
-  private record Link(int life, double since) {}
+  /** An idle connection to a cache node, with the node's incarnation when it was opened. */
+  private record IdleConnection(int incarnation, double since) {}
 
   private final Function<Settings, Balancer> factory;
   private Balancer balancer;
-  private int life; // processes so far; what was set in one does not reach the next
+  private int incarnation; // number of process starts; tasks of one process do not run in the next
   private long lastId;
-  private final Map<Long, Open> open = new HashMap<>();
-  private final Map<ClientRequest.Try, Open> byTry = new HashMap<>();
-  private final Map<String, Deque<Link>> idle = new TreeMap<>();
+  private final Map<Long, OpenRequest> openRequests = new HashMap<>();
+  private final Map<ClientRequest.Try, OpenRequest> requestsByTry = new HashMap<>();
+  private final Map<String, Deque<IdleConnection>> idleConnections = new TreeMap<>();
 
   ModuleInstance(World world, int number, int zone, Function<Settings, Balancer> factory) {
     super(world, number, zone);
@@ -57,72 +57,73 @@
 
   @Override
   void start(List<Endpoint> remembered) {
-    up();
-    life++;
-    balancer = factory.apply(world.settings(this, life));
-    give(new ListReceived(ListKind.UNCONFIRMED, remembered));
+    markUp();
+    incarnation++;
+    balancer = factory.apply(world.settings(this, incarnation));
+    handle(new ListReceived(ListKind.UNCONFIRMED, remembered));
   }
 
   @Override
   void kill() {
-    down();
-    life++;
-    for (Open each : List.copyOf(open.values())) {
-      if (each.out != null) {
-        close(each.out);
-        each.out.giveUp();
+    markDown();
+    incarnation++;
+    for (OpenRequest each : List.copyOf(openRequests.values())) {
+      if (each.inFlight != null) {
+        close(each.inFlight);
+        each.inFlight.cancel();
       }
-      world.front.answered(each.clientTry, ClientRequest.Outcome.FAILED, 0);
+      world.loadGenerator.answered(each.clientTry, ClientRequest.Outcome.FAILED, 0);
     }
-    idle.forEach((id, links) -> links.forEach(link -> disconnect(id, link)));
-    idle.clear();
-    open.clear();
-    byTry.clear();
+    idleConnections
+        .forEach((id, connections) -> connections.forEach(connection -> disconnect(id, connection)));
+    idleConnections.clear();
+    openRequests.clear();
+    requestsByTry.clear();
   }
 
-  // ---- What it is told ------------------------------------------------------------------------------------
+  // ---- Events and actions of the module -------------------------------------------------------------------
 
   @Override
-  void told(ListKind kind, List<Endpoint> endpoints) {
-    note(endpoints, 0);
+  void receiveList(ListKind kind, List<Endpoint> endpoints) {
+    recordList(endpoints, 0);
     if (!isUp()) {
       return;
     }
-    give(new ListReceived(kind, endpoints));
+    handle(new ListReceived(kind, endpoints));
   }
 
   @Override
-  void take(ClientRequest.Try clientTry) {
+  void receive(ClientRequest.Try clientTry) {
     if (!isUp()) {
-      world.front.answered(clientTry, ClientRequest.Outcome.FAILED, 0);
+      world.loadGenerator.answered(clientTry, ClientRequest.Outcome.FAILED, 0);
       return;
     }
     long id = ++lastId;
-    Open taken = new Open(id, clientTry);
-    open.put(id, taken);
-    byTry.put(clientTry, taken);
-    inLife(clientTry.notAfter + LATE - world.clock.now(), () -> {
-      if (!clientTry.over) {
-        world.report.broken(world.clock.now(), "a request was lost: no answer in time");
-        answer(id, ClientRequest.Outcome.LOST, 0);
+    OpenRequest open = new OpenRequest(id, clientTry);
+    openRequests.put(id, open);
+    requestsByTry.put(clientTry, open);
+    scheduleWhileUp(clientTry.deadline + ANSWER_TOLERANCE_MS - world.clock.now(), () -> {
+      if (!clientTry.finished) {
+        world.report.ruleBroken(world.clock.now(), "a request was lost: no answer in time");
+        answerClient(id, ClientRequest.Outcome.LOST, 0);
       }
     });
     ClientRequest request = clientTry.request;
-    give(new RequestReceived(id, clientTry.notAfter, request.tenant, request.kindNumber, request.key,
+    handle(new RequestReceived(id, clientTry.deadline, request.tenant, request.kindNumber, request.key,
         request.kind.write()));
   }
 
   @Override
-  void left(ClientRequest.Try clientTry) {
-    Open taken = byTry.get(clientTry);
-    if (taken != null && !clientTry.over) {
-      clientTry.over = true;
-      forget(taken.id, taken);
-      give(new RequestGone(taken.id));
+  void clientGone(ClientRequest.Try clientTry) {
+    OpenRequest open = requestsByTry.get(clientTry);
+    if (open != null && !clientTry.finished) {
+      clientTry.finished = true;
+      removeIfDone(open.id, open);
+      handle(new RequestGone(open.id));
     }
   }
 
-  private void give(Event event) {
+  private void handle(Event event) {
     world.report.decision();
     for (Action action : balancer.handle(world.clock.now(), event)) {
       carryOut(action);
@@ -133,197 +134,206 @@
     if (action instanceof Balancer.Send a) {
       send(a);
     } else if (action instanceof Balancer.Refuse a) {
-      answer(a.id(), ClientRequest.Outcome.REFUSED, a.retryAfter());
+      answerClient(a.id(), ClientRequest.Outcome.REFUSED, a.retryAfter());
     } else if (action instanceof Balancer.Fail a) {
-      answer(a.id(), ClientRequest.Outcome.FAILED, 0);
+      answerClient(a.id(), ClientRequest.Outcome.FAILED, 0);
     } else if (action instanceof Balancer.Cancel a) {
-      Open taken = open.get(a.id());
-      if (taken != null && taken.out != null && taken.out.number == a.attempt()) {
-        Attempt out = taken.out;
-        inLife(0, () -> end(a.id(), out, Result.CANCELLED));
+      OpenRequest open = openRequests.get(a.id());
+      if (open != null && open.inFlight != null && open.inFlight.number == a.attempt()) {
+        Attempt attempt = open.inFlight;
+        scheduleWhileUp(0, () -> endAttempt(a.id(), attempt, Result.CANCELLED));
       }
     } else if (action instanceof Balancer.SetTimer a) {
-      inLife(a.delay(), () -> give(new TimerFired(a.token())));
+      scheduleWhileUp(a.delay(), () -> handle(new TimerFired(a.token())));
     } else if (action instanceof Balancer.Probe a) {
       probe(a.endpoint());
     } else if (action instanceof Balancer.CloseIdle a) {
-      Deque<Link> links = idle.remove(a.endpoint());
-      if (links != null) {
-        links.forEach(link -> disconnect(a.endpoint(), link));
+      Deque<IdleConnection> connections = idleConnections.remove(a.endpoint());
+      if (connections != null) {
+        connections.forEach(connection -> disconnect(a.endpoint(), connection));
       }
     } else if (action instanceof Balancer.FollowList) {
-      world.discovery.follow(this);
+      world.discovery.subscribe(this);
     }
   }
 
-  /** Runs a task later, unless this process has ended by then. */
-  private void inLife(double delay, Runnable task) {
-    int ofLife = life;
+  /** Runs a task after a delay, unless this process has ended by then. */
+  private void scheduleWhileUp(double delay, Runnable task) {
+    int ofIncarnation = incarnation;
     world.clock.after(delay, () -> {
-      if (ofLife == life && isUp()) {
+      if (ofIncarnation == incarnation && isUp()) {
         task.run();
       }
     });
   }
 
-  private void answer(long id, ClientRequest.Outcome outcome, double advice) {
-    Open taken = open.get(id);
-    if (taken != null && !taken.clientTry.over) {
-      taken.clientTry.over = true;
-      world.front.answered(taken.clientTry, outcome, advice);
-      forget(id, taken);
+  private void answerClient(long id, ClientRequest.Outcome outcome, double advice) {
+    OpenRequest open = openRequests.get(id);
+    if (open != null && !open.clientTry.finished) {
+      open.clientTry.finished = true;
+      world.loadGenerator.answered(open.clientTry, outcome, advice);
+      removeIfDone(id, open);
     }
   }
 
-  private void forget(long id, Open taken) {
-    if (taken.clientTry.over && taken.out == null) {
-      open.remove(id);
-      byTry.remove(taken.clientTry);
+  private void removeIfDone(long id, OpenRequest open) {
+    if (open.clientTry.finished && open.inFlight == null) {
+      openRequests.remove(id);
+      requestsByTry.remove(open.clientTry);
     }
   }
 
   @Override
-  List<CacheNode> missedAt(ClientRequest.Try clientTry) {
-    Open taken = byTry.get(clientTry);
-    return taken == null ? List.of() : taken.missedAt;
+  List<CacheNode> missedNodes(ClientRequest.Try clientTry) {
+    OpenRequest open = requestsByTry.get(clientTry);
+    return open == null ? List.of() : open.missedNodes;
   }
 
   // ---- Attempts -------------------------------------------------------------------------------------------
 
   private void send(Balancer.Send a) {
-    Open taken = open.get(a.id());
+    OpenRequest open = openRequests.get(a.id());
     double now = world.clock.now();
-    if (taken == null) {
+    if (open == null) {
       return;
     }
     CacheNode node = world.cache(a.endpoint());
-    Attempt attempt = new Attempt(this, taken.clientTry, taken.attempts++, node, now);
-    taken.out = attempt;
+    Attempt attempt = new Attempt(this, open.clientTry, open.attempts++, node, now);
+    open.inFlight = attempt;
     world.report.attempt(attempt.number);
-    checkGrace(a.endpoint());
-    double notAfter = taken.clientTry.notAfter;
-    double last = a.timeout() > 0 ? Math.min(notAfter, now + a.timeout()) : notAfter;
-    if (taken.clientTry.over || now >= last || attempt.number >= world.scenario.limits().maxAttempts()) {
-      inLife(0, () -> end(a.id(), attempt, Result.NOT_SENT));
+    checkDrainGrace(a.endpoint());
+    double deadline = open.clientTry.deadline;
+    double attemptDeadline = a.timeout() > 0 ? Math.min(deadline, now + a.timeout()) : deadline;
+    if (open.clientTry.finished || now >= attemptDeadline
+        || attempt.number >= world.scenario.limits().maxAttempts()) {
+      scheduleWhileUp(0, () -> endAttempt(a.id(), attempt, Result.NOT_SENT));
       return;
     }
-    inLife(last - now, () -> end(a.id(), attempt, Result.TIMEOUT));
-    attempt.ended = result -> end(a.id(), attempt, result);
+    scheduleWhileUp(attemptDeadline - now, () -> endAttempt(a.id(), attempt, Result.TIMEOUT));
+    attempt.onResult = result -> endAttempt(a.id(), attempt, result);
     if (a.endpoint().equals(OriginServer.ID)) {
-      inLife(world.scenario.delay(), () -> unlessOver(attempt, () -> world.origin.take(attempt)));
+      scheduleWhileUp(world.scenario.delay(),
+          () -> unlessFinished(attempt, () -> world.origin.receive(attempt)));
     } else if (node == null) {
-      inLife(way(null), () -> end(a.id(), attempt, Result.CONNECT_FAILED));
+      scheduleWhileUp(oneWayDelay(null), () -> endAttempt(a.id(), attempt, Result.CONNECT_FAILED));
     } else {
       connect(a.id(), attempt);
     }
   }
 
-  private static void unlessOver(Attempt attempt, Runnable task) {
-    if (!attempt.over) {
+  private static void unlessFinished(Attempt attempt, Runnable task) {
+    if (!attempt.finished) {
       task.run();
     }
   }
 
   private void connect(long id, Attempt attempt) {
     CacheNode node = attempt.node;
-    Link link = idleLink(node);
-    if (link != null) {
-      attempt.life = link.life();
+    IdleConnection connection = takeIdleConnection(node);
+    if (connection != null) {
+      attempt.nodeIncarnation = connection.incarnation();
       attempt.connected = true;
-      inLife(way(node), () -> unlessOver(attempt, () -> node.take(attempt, false)));
+      scheduleWhileUp(oneWayDelay(node), () -> unlessFinished(attempt, () -> node.receive(attempt, false)));
       return;
     }
-    inLife(way(node), () -> unlessOver(attempt, () -> {
-      Result made = node.connect();
-      if (made == Result.OK) {
-        attempt.life = node.life;
+    scheduleWhileUp(oneWayDelay(node), () -> unlessFinished(attempt, () -> {
+      Result connectResult = node.connect();
+      if (connectResult == Result.OK) {
+        attempt.nodeIncarnation = node.incarnation;
         attempt.connected = true;
         world.report.handshake();
-        inLife(2 * way(node), () -> unlessOver(attempt, () -> node.take(attempt, true)));
+        scheduleWhileUp(2 * oneWayDelay(node),
+            () -> unlessFinished(attempt, () -> node.receive(attempt, true)));
       } else {
-        double wait = made == Result.TIMEOUT ? world.scenario.limits().connectTimeout() : way(node);
-        inLife(wait, () -> end(id, attempt, Result.CONNECT_FAILED));
+        double wait = connectResult == Result.TIMEOUT ? world.scenario.limits().connectTimeout()
+            : oneWayDelay(node);
+        scheduleWhileUp(wait, () -> endAttempt(id, attempt, Result.CONNECT_FAILED));
       }
     }));
   }
 
-  /** The idle connection that was used last; those whose process has ended, or that stood too long, go. */
-  private Link idleLink(CacheNode node) {
-    Deque<Link> links = idle.getOrDefault(node.id, new ArrayDeque<>());
-    for (Link link = links.pollLast(); link != null; link = links.pollLast()) {
-      if (link.life() == node.life && world.clock.now() < link.since() + world.scenario.caches().idle()) {
-        return link;
+  /**
+   * Takes the most recently used idle connection; closes those that were idle too long or whose process
+   * ended.
+   */
+  private IdleConnection takeIdleConnection(CacheNode node) {
+    Deque<IdleConnection> connections = idleConnections.getOrDefault(node.id, new ArrayDeque<>());
+    for (IdleConnection connection = connections.pollLast(); connection != null; connection =
+        connections.pollLast()) {
+      if (connection.incarnation() == node.incarnation
+          && world.clock.now() < connection.since() + world.scenario.caches().idle()) {
+        return connection;
       }
-      disconnect(node.id, link);
+      disconnect(node.id, connection);
     }
     return null;
   }
 
-  private void disconnect(String id, Link link) {
+  private void disconnect(String id, IdleConnection connection) {
     CacheNode node = world.cache(id);
     if (node != null) {
-      node.disconnect(link.life());
+      node.disconnect(connection.incarnation());
     }
   }
 
   private void close(Attempt attempt) {
     if (attempt.node != null && attempt.connected) {
-      attempt.node.disconnect(attempt.life);
+      attempt.node.disconnect(attempt.nodeIncarnation);
     }
   }
 
   @Override
-  void answered(Attempt attempt, Result result) {
-    inLife(way(attempt.node), () -> attempt.ended.accept(result));
+  void attemptAnswered(Attempt attempt, Result result) {
+    scheduleWhileUp(oneWayDelay(attempt.node), () -> attempt.onResult.accept(result));
   }
 
   @Override
-  void lost(CacheNode node) {
-    for (Map.Entry<Long, Open> entry : List.copyOf(open.entrySet())) {
-      Attempt out = entry.getValue().out;
-      if (out != null && out.node == node) {
-        Result result = out.connected ? Result.RESET : Result.CONNECT_FAILED;
-        inLife(way(node), () -> end(entry.getKey(), out, result));
+  void nodeDied(CacheNode node) {
+    for (Map.Entry<Long, OpenRequest> entry : List.copyOf(openRequests.entrySet())) {
+      Attempt attempt = entry.getValue().inFlight;
+      if (attempt != null && attempt.node == node) {
+        Result result = attempt.connected ? Result.RESET : Result.CONNECT_FAILED;
+        scheduleWhileUp(oneWayDelay(node), () -> endAttempt(entry.getKey(), attempt, result));
       }
     }
   }
 
-  private void end(long id, Attempt attempt, Result result) {
-    Open taken = open.get(id);
-    if (attempt.over || taken == null || taken.out != attempt) {
+  private void endAttempt(long id, Attempt attempt, Result result) {
+    OpenRequest open = openRequests.get(id);
+    if (attempt.finished || open == null || open.inFlight != attempt) {
       return;
     }
-    attempt.giveUp();
-    taken.out = null;
-    boolean kept = result == Result.OK || result == Result.MISS || result == Result.FULL
+    attempt.cancel();
+    open.inFlight = null;
+    boolean reusable = result == Result.OK || result == Result.MISS || result == Result.FULL
         || result == Result.ERROR;
-    if (kept && attempt.node != null && attempt.connected) {
-      idle.computeIfAbsent(attempt.node.id, key -> new ArrayDeque<>())
-          .addLast(new Link(attempt.life, world.clock.now()));
+    if (reusable && attempt.node != null && attempt.connected) {
+      idleConnections.computeIfAbsent(attempt.node.id, key -> new ArrayDeque<>())
+          .addLast(new IdleConnection(attempt.nodeIncarnation, world.clock.now()));
     } else {
       close(attempt);
     }
     world.report.ended(result);
     if (result == Result.MISS) {
-      taken.missedAt.add(attempt.node);
+      open.missedNodes.add(attempt.node);
     }
     if (result == Result.OK) {
-      answer(id, ClientRequest.Outcome.SERVED, 0);
+      answerClient(id, ClientRequest.Outcome.SERVED, 0);
     }
-    boolean done = taken.clientTry.over;
-    forget(id, taken);
+    boolean done = open.clientTry.finished;
+    removeIfDone(id, open);
     String endpoint = attempt.node == null ? OriginServer.ID : attempt.node.id;
-    give(new AttemptEnded(id, attempt.number, endpoint, world.clock.now() - attempt.sentAt, result, done));
+    handle(new AttemptEnded(id, attempt.number, endpoint, world.clock.now() - attempt.sentAt, result, done));
   }
 
   private void probe(String endpoint) {
     world.report.probe();
     CacheNode node = world.cache(endpoint);
-    double connect = world.scenario.limits().connectTimeout();
-    boolean mute = node != null && node.silent;
-    boolean fails = node == null || node.dead || node.refuses;
-    Result result = mute ? Result.TIMEOUT : fails ? Result.CONNECT_FAILED : Result.OK;
-    double time = mute ? 2 * connect : 2 * way(node);
-    inLife(time, () -> give(new ProbeEnded(endpoint, result, time)));
+    double connectTimeout = world.scenario.limits().connectTimeout();
+    boolean silent = node != null && node.silent;
+    boolean fails = node == null || node.dead || node.refusesConnections;
+    Result result = silent ? Result.TIMEOUT : fails ? Result.CONNECT_FAILED : Result.OK;
+    double time = silent ? 2 * connectTimeout : 2 * oneWayDelay(node);
+    scheduleWhileUp(time, () -> handle(new ProbeEnded(endpoint, result, time)));
   }
 }
--- a/src/main/java/beampoint/emulator/OriginServer.java
+++ b/src/main/java/beampoint/emulator/OriginServer.java
@@ -7,19 +7,21 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The origin: it has all keys, runs all effects, and stops for a while when it is sent far too much. */
+/**
+ * A model of the origin: it holds all keys, applies all writes, and stops for a while when it is overloaded.
+ */
 final class OriginServer {
 
   static final String ID = "origin";
 
-  /** A fetch or a write that came; cold: for a miss at a cold cache. */
-  private record Came(double at, boolean cold) {}
+  /** The arrival of a fetch or a write; {@code cold} if it follows a miss at a cold cache. */
+  private record Arrival(double at, boolean cold) {}
 
   private final World world;
   private final Scenario.Origin origin;
   private final Server server;
-  private final Deque<Came> window = new ArrayDeque<>();
-  private int coldOnes;
+  private final Deque<Arrival> window = new ArrayDeque<>();
+  private int coldArrivals;
   double slowness = 1;
 
   OriginServer(World world) {
@@ -32,30 +34,30 @@
     return new Endpoint(ID, 0, World.ORIGIN, 0, EndpointState.RUNNING, 1, 0);
   }
 
-  void take(Attempt attempt) {
+  void receive(Attempt attempt) {
     world.report.fetch();
-    press(attempt);
+    recordArrival(attempt);
     attempt.server = server;
-    attempt.job = server.take(() -> attempt.request.work * origin.work() * slowness, () -> done(attempt));
+    attempt.job = server.submit(() -> attempt.request.work * origin.work() * slowness, () -> done(attempt));
     if (attempt.job == null) {
       attempt.answer(Result.FULL);
     }
   }
 
-  private void press(Attempt attempt) {
+  private void recordArrival(Attempt attempt) {
     double now = world.clock.now();
-    boolean cold = attempt.instance.missedAt(attempt.clientTry).stream().anyMatch(CacheNode::isCold);
-    window.add(new Came(now, cold));
-    coldOnes += cold ? 1 : 0;
+    boolean cold = attempt.instance.missedNodes(attempt.clientTry).stream().anyMatch(CacheNode::isCold);
+    window.add(new Arrival(now, cold));
+    coldArrivals += cold ? 1 : 0;
     while (window.peekFirst().at() < now - origin.stopWindow()) {
-      coldOnes -= window.pollFirst().cold() ? 1 : 0;
+      coldArrivals -= window.pollFirst().cold() ? 1 : 0;
     }
-    double most = origin.stopMultiple() * origin.servers() * origin.stopWindow() / origin.work();
-    if (!server.isPaused() && window.size() > most) {
+    double maxArrivals = origin.stopMultiple() * origin.servers() * origin.stopWindow() / origin.work();
+    if (!server.isPaused() && window.size() > maxArrivals) {
       server.pause(origin.stopped());
       world.report.originStopped();
-      if (coldOnes > window.size() / 2) {
-        world.report.broken(now, "the origin was stopped by misses of cold caches");
+      if (coldArrivals > window.size() / 2) {
+        world.report.ruleBroken(now, "the origin was stopped by misses of cold caches");
       }
     }
   }
@@ -64,26 +66,29 @@
     ClientRequest.Try clientTry = attempt.clientTry;
     ClientRequest request = attempt.request;
     if (!request.kind.write()) {
-      attempt.instance.missedAt(clientTry).forEach(node -> node.store(request.key));
+      attempt.instance.missedNodes(clientTry).forEach(node -> node.store(request.key));
     } else {
-      world.caches().forEach(node -> node.forget(request.key));
-      run(clientTry, request);
+      world.caches().forEach(node -> node.invalidate(request.key));
+      runEffect(clientTry, request);
     }
     attempt.answer(Result.OK);
   }
 
-  /** The rule on effects: an unsafe one runs once, a keyed one is dropped within its window. */
-  private void run(ClientRequest.Try clientTry, ClientRequest request) {
+  /**
+   * Checks the rule on effects: an unsafe one runs once; repeats of a keyed one are dropped within its dedup
+   * window.
+   */
+  private void runEffect(ClientRequest.Try clientTry, ClientRequest request) {
     double now = world.clock.now();
-    boolean dropped = request.kind.rules().idempotency() == Idempotency.KEYED && clientTry.runs > 0
-        && now - clientTry.ranAt <= request.kind.rules().dedupWindow();
-    if (dropped || request.kind.rules().idempotency() == Idempotency.SAFE) {
+    boolean deduplicated = request.kind.rules().idempotency() == Idempotency.KEYED && clientTry.effectRuns > 0
+        && now - clientTry.effectRanAt <= request.kind.rules().dedupWindow();
+    if (deduplicated || request.kind.rules().idempotency() == Idempotency.SAFE) {
       return;
     }
-    clientTry.runs++;
-    clientTry.ranAt = now;
-    if (clientTry.runs > 1) {
-      world.report.broken(now, "an effect ran twice: class " + request.kind.name());
+    clientTry.effectRuns++;
+    clientTry.effectRanAt = now;
+    if (clientTry.effectRuns > 1) {
+      world.report.ruleBroken(now, "an effect ran twice: class " + request.kind.name());
     }
   }
 }
--- a/src/main/java/beampoint/emulator/ProcessFleet.java
+++ b/src/main/java/beampoint/emulator/ProcessFleet.java
@@ -19,23 +19,26 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The second way of running a day: proxies are processes, and the model answers them on loopback. */
+/**
+ * Runs a scenario with proxies that are real processes, while the model of caches and origin serves on
+ * loopback.
+ */
 final class ProcessFleet implements Closeable {
 
-  private static final double LOOK_MS = 20; // at which nodes listen
-  private static final double BREATH_MS = 2000;
+  private static final double NODE_POLL_MS = 20; // how often the nodes' listeners follow the model
+  private static final double HEARTBEAT_INTERVAL_MS = 2000;
 
   private final WallClock clock = new WallClock();
   private final List<String> command;
   private final Path directory;
   private final Listener origin = new Listener(this::serveOrigin);
-  private final Map<String, Listener> nodes = new TreeMap<>();
-  private final Map<String, OpenTry> byId = new ConcurrentHashMap<>();
-  private final Map<ClientRequest.Try, String> ids = new ConcurrentHashMap<>();
+  private final Map<String, Listener> nodeListeners = new TreeMap<>();
+  private final Map<String, OpenTry> triesById = new ConcurrentHashMap<>();
+  private final Map<ClientRequest.Try, String> idsByTry = new ConcurrentHashMap<>();
   private final World world;
   private long lastId;
 
-  /** A request that is open, by the id that stands on the wire. */
+  /** A try that has not ended, and the proxy that it was sent to. */
   private record OpenTry(ClientRequest.Try clientTry, ProcessInstance proxy) {}
 
   ProcessFleet(Scenario scenario, List<String> command, Path directory) throws IOException {
@@ -52,30 +55,32 @@
     }
   }
 
-  /** Plays the day once all proxies are ready; null, and nothing played, where one is not after so long. */
-  Report play(double longestStart) throws IOException {
+  /**
+   * Runs the scenario once all proxies are ready; null, without a run, if one is not within the limit (ms).
+   */
+  Report play(double maxStartTime) throws IOException {
     for (CacheNode node : world.caches()) {
-      nodeListener(node);
+      listenerOf(node);
     }
     world.proxies().forEach(proxy -> proxy.start(world.remembered));
-    double end = clock.now() + longestStart;
+    double end = clock.now() + maxStartTime;
     while (clock.now() < end && !world.proxies().stream().allMatch(Instance::isUp)) {
-      clock.runTo(clock.now() + LOOK_MS);
-      if (hasFailed()) {
+      clock.runTo(clock.now() + NODE_POLL_MS);
+      if (hasUnexpectedExit()) {
         return null;
       }
     }
     if (!world.proxies().stream().allMatch(Instance::isUp)) {
       return null;
     }
-    look();
-    breathe();
-    return world.playOn();
+    updateNodeListeners();
+    sendHeartbeats();
+    return world.playStarted();
   }
 
-  /** True where a proxy has ended though nobody ended it. */
-  boolean hasFailed() {
-    return proxies().stream().anyMatch(ProcessInstance::hasFailed);
+  /** True if a proxy has ended without being killed. */
+  boolean hasUnexpectedExit() {
+    return proxies().stream().anyMatch(ProcessInstance::hasUnexpectedExit);
   }
 
   double lateness() {
@@ -86,39 +91,39 @@
     return world.proxies().stream().map(ProcessInstance.class::cast).toList();
   }
 
-  private void breathe() {
-    proxies().forEach(ProcessInstance::breathe);
-    clock.after(BREATH_MS, this::breathe);
+  private void sendHeartbeats() {
+    proxies().forEach(ProcessInstance::sendHeartbeats);
+    clock.after(HEARTBEAT_INTERVAL_MS, this::sendHeartbeats);
   }
 
-  /** Has each node listen, or refuse, as the model has it now; new ones begin here. */
-  private void look() {
+  /** Lets each node accept or refuse connections as in the model now; new nodes get their listener here. */
+  private void updateNodeListeners() {
     try {
       for (CacheNode node : List.copyOf(world.caches())) {
-        nodeListener(node).listen(!node.dead && !node.refuses);
+        listenerOf(node).setListening(!node.dead && !node.refusesConnections);
       }
-      if (hasFailed()) {
-        world.report.broken(clock.now(), "a proxy has ended by itself");
+      if (hasUnexpectedExit()) {
+        world.report.ruleBroken(clock.now(), "a proxy has ended by itself");
       }
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    clock.after(LOOK_MS, this::look);
+    clock.after(NODE_POLL_MS, this::updateNodeListeners);
   }
 
-  private Listener nodeListener(CacheNode node) throws IOException {
-    Listener listener = nodes.get(node.id);
+  private Listener listenerOf(CacheNode node) throws IOException {
+    Listener listener = nodeListeners.get(node.id);
     if (listener == null) {
       listener = new Listener((socket, in) -> serveNode(node, socket, in));
-      nodes.put(node.id, listener);
+      nodeListeners.put(node.id, listener);
     }
     return listener;
   }
 
-  void reset(CacheNode node) {
-    Listener listener = nodes.get(node.id);
+  void resetConnections(CacheNode node) {
+    Listener listener = nodeListeners.get(node.id);
     if (listener != null) {
-      listener.reset();
+      listener.resetConnections();
     }
   }
 
@@ -126,86 +131,87 @@
 
   void register(ClientRequest.Try clientTry, ProcessInstance proxy) {
     String id = "O" + Long.toHexString(++lastId);
-    ids.put(clientTry, id);
-    byId.put(id, new OpenTry(clientTry, proxy));
+    idsByTry.put(clientTry, id);
+    triesById.put(id, new OpenTry(clientTry, proxy));
   }
 
   String wireId(ClientRequest.Try clientTry) {
-    return ids.get(clientTry);
+    return idsByTry.get(clientTry);
   }
 
   void forget(ClientRequest.Try clientTry) {
-    String id = ids.remove(clientTry);
+    String id = idsByTry.remove(clientTry);
     if (id != null) {
-      // What the proxy still has out for it may come a little later.
-      clock.after(World.PATIENCE * 10, () -> byId.remove(id));
+      // Attempts that the proxy still has in flight for it may arrive a little later.
+      clock.after(World.CLIENT_GRACE_MS * 10, () -> triesById.remove(id));
     }
   }
 
-  /** What is out on one connection. */
-  private static final class Channel {
+  /** The attempt in flight on one connection. */
+  private static final class ConnectionState {
     private Attempt attempt;
     private ProcessInstance proxy;
   }
 
   private void serveNode(CacheNode node, Socket socket, InputStream in) throws IOException {
-    Channel channel = new Channel();
-    boolean fresh = true;
+    ConnectionState connection = new ConnectionState();
+    boolean firstRequest = true;
     clock.post(world.report::handshake);
     try {
-      for (String line = Listener.line(in); line != null; line = Listener.line(in)) {
-        String[] words = line.split(" ");
-        boolean first = fresh;
-        fresh = false;
-        if (words[0].equals("mg") && words.length > 4) {
-          clock.post(() -> came(node, socket, channel, words[3], first));
-        } else if (words[0].equals("mn")) {
-          clock.post(() -> probed(node, socket));
+      for (String line = Listener.readLine(in); line != null; line = Listener.readLine(in)) {
+        String[] fields = line.split(" ");
+        boolean newConnection = firstRequest;
+        firstRequest = false;
+        if (fields[0].equals("mg") && fields.length > 4) {
+          clock.post(() -> handleGet(node, socket, connection, fields[3], newConnection));
+        } else if (fields[0].equals("mn")) {
+          clock.post(() -> handleProbe(node, socket));
         } else {
           Listener.write(socket, "CLIENT_ERROR not understood\r\n");
         }
       }
     } finally {
-      clock.post(() -> gone(channel));
+      clock.post(() -> connectionClosed(connection));
     }
   }
 
-  private void probed(CacheNode node, Socket socket) {
+  private void handleProbe(CacheNode node, Socket socket) {
     world.report.probe();
     if (!node.silent) {
       clock.after(world.scenario.delay() * 2, () -> Listener.write(socket, "MN\r\n"));
     }
   }
 
-  private static void gone(Channel channel) {
-    if (channel.attempt != null) {
-      channel.proxy.gaveUp(channel.attempt);
+  private static void connectionClosed(ConnectionState connection) {
+    if (connection.attempt != null) {
+      connection.proxy.connectionLost(connection.attempt);
     }
   }
 
-  private void came(CacheNode node, Socket socket, Channel channel, String id, boolean fresh) {
-    OpenTry known = byId.get(id);
-    if (known == null) {
-      Listener.write(socket, "SERVER_ERROR busy\r\n"); // the request is over already
+  private void handleGet(CacheNode node, Socket socket, ConnectionState connection, String id,
+      boolean newConnection) {
+    OpenTry openTry = triesById.get(id);
+    if (openTry == null) {
+      Listener.write(socket, "SERVER_ERROR busy\r\n"); // the request has already ended
       return;
     }
-    Attempt attempt = known.proxy().came(known.clientTry(), node);
-    attempt.life = node.life;
+    Attempt attempt = openTry.proxy().attemptArrived(openTry.clientTry(), node);
+    attempt.nodeIncarnation = node.incarnation;
     attempt.connected = true;
-    channel.attempt = attempt;
-    channel.proxy = known.proxy();
-    attempt.ended = result -> {
-      channel.attempt = null;
-      Listener.write(socket, words(result, id));
+    connection.attempt = attempt;
+    connection.proxy = openTry.proxy();
+    attempt.onResult = result -> {
+      connection.attempt = null;
+      Listener.write(socket, reply(result, id));
     };
-    clock.after(known.proxy().way(node), () -> {
-      if (!attempt.over) {
-        node.take(attempt, fresh);
+    clock.after(openTry.proxy().oneWayDelay(node), () -> {
+      if (!attempt.finished) {
+        node.receive(attempt, newConnection);
       }
     });
   }
 
-  private static String words(Result result, String id) {
+  private static String reply(Result result, String id) {
     return switch (result) {
       case OK -> "VA " + id.length() + " " + id + " h1\r\n" + id + "\r\n";
       case MISS -> "EN " + id + " h0\r\n";
@@ -215,58 +221,59 @@
   }
 
   private void serveOrigin(Socket socket, InputStream in) throws IOException {
-    Channel channel = new Channel();
+    ConnectionState connection = new ConnectionState();
     try {
-      for (String line = Listener.line(in); line != null; line = Listener.line(in)) {
+      for (String line = Listener.readLine(in); line != null; line = Listener.readLine(in)) {
         boolean probe = line.startsWith("GET /alive ") || line.startsWith("GET /metrics/load ");
         String id = "";
         int length = 0;
-        for (String field = Listener.line(in); field != null && !field.isEmpty(); field = Listener.line(in)) {
-          String lower = field.toLowerCase(Locale.ROOT);
-          id = lower.startsWith("req-id:") ? field.substring(7).trim() : id;
-          if (lower.startsWith("content-length:")) {
+        for (String field = Listener.readLine(in); field != null && !field.isEmpty(); field =
+            Listener.readLine(in)) {
+          String lowerCase = field.toLowerCase(Locale.ROOT);
+          id = lowerCase.startsWith("req-id:") ? field.substring(7).trim() : id;
+          if (lowerCase.startsWith("content-length:")) {
             length = Integer.parseInt(field.substring(15).trim());
           }
         }
         in.readNBytes(length);
-        String onWire = "O" + id; // there it is the id itself, at a cache node a flag and the id
+        String wireId = "O" + id; // the origin gets the bare id, a cache node the id behind its flag
         if (probe) {
-          Listener.write(socket, answer("200 OK", "", ""));
+          Listener.write(socket, httpResponse("200 OK", "", ""));
         } else {
-          clock.post(() -> fetched(socket, channel, onWire));
+          clock.post(() -> handleFetch(socket, connection, wireId));
         }
       }
     } finally {
-      clock.post(() -> gone(channel));
+      clock.post(() -> connectionClosed(connection));
     }
   }
 
-  private static String answer(String status, String header, String body) {
+  private static String httpResponse(String status, String header, String body) {
     return "HTTP/1.1 " + status + "\r\n" + header + "Content-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
-  private void fetched(Socket socket, Channel channel, String id) {
-    OpenTry known = byId.get(id);
-    if (known == null) {
-      Listener.write(socket, answer("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
+  private void handleFetch(Socket socket, ConnectionState connection, String id) {
+    OpenTry openTry = triesById.get(id);
+    if (openTry == null) {
+      Listener.write(socket, httpResponse("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
       return;
     }
-    Attempt attempt = known.proxy().came(known.clientTry(), null);
-    channel.attempt = attempt;
-    channel.proxy = known.proxy();
-    attempt.ended = result -> {
-      channel.attempt = null;
-      Listener.write(socket, result == Result.OK ? answer("200 OK", "", id)
-          : answer("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
+    Attempt attempt = openTry.proxy().attemptArrived(openTry.clientTry(), null);
+    connection.attempt = attempt;
+    connection.proxy = openTry.proxy();
+    attempt.onResult = result -> {
+      connection.attempt = null;
+      Listener.write(socket, result == Result.OK ? httpResponse("200 OK", "", id)
+          : httpResponse("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
     };
     clock.after(world.scenario.delay(), () -> {
-      if (!attempt.over) {
-        world.origin.take(attempt);
+      if (!attempt.finished) {
+        world.origin.receive(attempt);
       }
     });
   }
 
-  // ---- What a proxy is told -------------------------------------------------------------------------------
+  // ---- Configuration and discovery ------------------------------------------------------------------------
 
   WallClock clock() {
     return clock;
@@ -280,8 +287,8 @@
     return directory;
   }
 
-  /** A list as discovery writes it. */
-  JsonObject list(long sequence, boolean whole, List<Endpoint> endpoints) {
+  /** A host list in the format of discovery. */
+  JsonObject list(long sequence, boolean full, List<Endpoint> endpoints) {
     JsonArray hosts = new JsonArray();
     for (Endpoint endpoint : endpoints) {
       JsonObject host = new JsonObject();
@@ -298,7 +305,7 @@
     }
     JsonObject list = new JsonObject();
     list.addProperty("seq", sequence);
-    list.addProperty("whole", whole);
+    list.addProperty("whole", full);
     list.add("hosts", hosts);
     return list;
   }
@@ -308,7 +315,7 @@
       return origin.address();
     }
     try {
-      return nodeListener(world.cache(id)).address();
+      return listenerOf(world.cache(id)).address();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -332,7 +339,7 @@
     for (ProcessInstance proxy : proxies()) {
       proxy.close();
     }
-    for (Listener node : new ArrayList<>(nodes.values())) {
+    for (Listener node : new ArrayList<>(nodeListeners.values())) {
       node.close();
     }
     origin.close();
--- a/src/main/java/beampoint/emulator/ProcessInstance.java
+++ b/src/main/java/beampoint/emulator/ProcessInstance.java
@@ -15,22 +15,24 @@
 import java.util.Set;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A proxy that is a process: its clients, what it sends to cache nodes and origin, and its discovery. */
+/**
+ * A proxy that is a real process: its clients, its attempts at cache nodes and the origin, and its discovery.
+ */
 final class ProcessInstance extends Instance {
 
   private final ProcessFleet fleet;
   private final ProxyProcess process;
   private final Listener discovery;
   private final List<Socket> watches = new CopyOnWriteArrayList<>();
-  private final Set<Socket> answered = new HashSet<>(); // of these, by discovery
-  private final Map<ClientRequest.Try, Open> open = new HashMap<>();
-  private final List<Attempt> out = new ArrayList<>();
+  private final Set<Socket> answeredWatches = new HashSet<>(); // watches that have got a response
+  private final Map<ClientRequest.Try, OpenRequest> openRequests = new HashMap<>();
+  private final List<Attempt> inFlight = new ArrayList<>();
   private long sequence = 1;
-  private int life;
+  private int incarnation;
 
-  /** A request that it has taken. */
-  private static final class Open {
-    private final List<CacheNode> missedAt = new ArrayList<>();
+  /** A request that has not ended, as the proxy holds it. */
+  private static final class OpenRequest {
+    private final List<CacheNode> missedNodes = new ArrayList<>();
     private int attempts;
     private ClientCall call;
   }
@@ -43,75 +45,75 @@
   }
 
   private void watch(Socket socket, InputStream in) throws IOException {
-    for (String line = Listener.line(in); line != null && !line.isEmpty(); line = Listener.line(in)) {
-      // the head; whatever it asks for is the whole list first
+    for (String line = Listener.readLine(in); line != null && !line.isEmpty(); line = Listener.readLine(in)) {
+      // Skips the request head: each watch gets the full list first.
     }
     fleet.clock().post(() -> {
       watches.add(socket);
       if (!world.discovery.isDown()) {
-        answer(socket, world.discovery.list());
+        answerWatch(socket, world.discovery.list());
       }
     });
     while (in.read() >= 0) {
-      // nothing more is asked on it
+      // waits until the proxy closes the connection
     }
     fleet.clock().post(() -> {
       watches.remove(socket);
-      answered.remove(socket);
+      answeredWatches.remove(socket);
     });
   }
 
-  private void answer(Socket socket, List<Endpoint> endpoints) {
+  private void answerWatch(Socket socket, List<Endpoint> endpoints) {
     Listener.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    answered.add(socket);
-    note(endpoints, LATE);
-    write(socket, true, endpoints);
+    answeredWatches.add(socket);
+    recordList(endpoints, ANSWER_TOLERANCE_MS);
+    writeList(socket, true, endpoints);
   }
 
-  private void write(Socket socket, boolean whole, List<Endpoint> endpoints) {
-    String line = fleet.list(++sequence, whole, endpoints).toString() + "\n";
+  private void writeList(Socket socket, boolean full, List<Endpoint> endpoints) {
+    String line = fleet.list(++sequence, full, endpoints).toString() + "\n";
     Listener.write(socket, Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
   }
 
-  /** Sends an empty line to each watch, as discovery does now and then: one that is silent counts as dead. */
-  void breathe() {
+  /** Sends an empty line to each watch, as discovery does: a watch without traffic counts as broken. */
+  void sendHeartbeat() {
     if (!world.discovery.isDown()) {
-      answered.forEach(socket -> Listener.write(socket, "1\r\n\n\r\n"));
+      answeredWatches.forEach(socket -> Listener.write(socket, "1\r\n\n\r\n"));
     }
   }
 
   @Override
   void start(List<Endpoint> remembered) {
-    int now = ++life;
-    JsonObject config = fleet.config(this, now, discovery.address(), remembered);
+    int startedIncarnation = ++incarnation;
+    JsonObject config = fleet.config(this, startedIncarnation, discovery.address(), remembered);
     process.start(config, () -> fleet.clock().post(() -> {
-      if (now == life) {
-        up();
+      if (startedIncarnation == incarnation) {
+        markUp();
       }
     }));
   }
 
-  boolean hasFailed() {
-    return process.hasFailed();
+  boolean hasUnexpectedExit() {
+    return process.hasUnexpectedExit();
   }
 
   @Override
   void kill() {
-    life++;
-    down();
+    incarnation++;
+    markDown();
     process.kill();
     watches.clear();
-    answered.clear();
+    answeredWatches.clear();
   }
 
   @Override
-  void told(ListKind kind, List<Endpoint> endpoints) {
-    note(endpoints, LATE);
+  void receiveList(ListKind kind, List<Endpoint> endpoints) {
+    recordList(endpoints, ANSWER_TOLERANCE_MS);
     for (Socket socket : watches) {
-      if (answered.contains(socket)) {
-        write(socket, kind == ListKind.FULL, endpoints);
+      if (answeredWatches.contains(socket)) {
+        writeList(socket, kind == ListKind.FULL, endpoints);
       } else {
-        answer(socket, world.discovery.list());
+        answerWatch(socket, world.discovery.list());
       }
     }
   }
@@ -119,98 +121,103 @@
   // ---- Clients --------------------------------------------------------------------------------------------
 
   @Override
-  void take(ClientRequest.Try clientTry) {
-    Open taken = new Open();
-    open.put(clientTry, taken);
+  void receive(ClientRequest.Try clientTry) {
+    OpenRequest request = new OpenRequest();
+    openRequests.put(clientTry, request);
     fleet.register(clientTry, this);
-    int ofLife = life;
-    taken.call = process.call(clientTry, world.scenario, world.clock.now(), fleet.wireId(clientTry),
-        (outcome, advice) -> fleet.clock().post(() -> ended(clientTry, outcome, advice, ofLife)));
-    world.clock.at(clientTry.notAfter + LATE, () -> {
-      if (!clientTry.over && ofLife == life && isUp()) {
-        world.report.broken(world.clock.now(), "a request was lost: no answer in time");
+    int ofIncarnation = incarnation;
+    request.call = process.call(clientTry, world.scenario, world.clock.now(), fleet.wireId(clientTry),
+        (outcome, advice) -> fleet.clock().post(() -> callEnded(clientTry, outcome, advice, ofIncarnation)));
+    world.clock.at(clientTry.deadline + ANSWER_TOLERANCE_MS, () -> {
+      if (!clientTry.finished && ofIncarnation == incarnation && isUp()) {
+        world.report.ruleBroken(world.clock.now(), "a request was lost: no answer in time");
       }
     });
   }
 
-  /** A connection that ended with no answer lost its request, unless its process was killed, or was dying. */
-  private void ended(ClientRequest.Try clientTry, ClientRequest.Outcome outcome, double advice, int ofLife) {
+  /**
+   * Handles the outcome of a call. A connection that ended without an answer lost its request, which breaks a
+   * rule unless the process was killed or is ending.
+   */
+  private void callEnded(ClientRequest.Try clientTry, ClientRequest.Outcome outcome, double advice,
+      int ofIncarnation) {
     forget(clientTry);
-    if (!clientTry.over) {
-      if (outcome == ClientRequest.Outcome.LOST && ofLife == life && isUp()) {
-        world.report.broken(world.clock.now(), "a request was lost: its connection ended without an answer");
+    if (!clientTry.finished) {
+      if (outcome == ClientRequest.Outcome.LOST && ofIncarnation == incarnation && isUp()) {
+        world.report.ruleBroken(world.clock.now(),
+            "a request was lost: its connection ended without an answer");
       }
-      world.front.answered(clientTry, outcome, advice);
+      world.loadGenerator.answered(clientTry, outcome, advice);
     }
   }
 
   private void forget(ClientRequest.Try clientTry) {
-    open.remove(clientTry);
+    openRequests.remove(clientTry);
     fleet.forget(clientTry);
   }
 
   @Override
-  void left(ClientRequest.Try clientTry) {
-    Open taken = open.get(clientTry);
-    clientTry.over = true;
-    if (taken != null) {
-      taken.call.leave();
+  void clientGone(ClientRequest.Try clientTry) {
+    OpenRequest request = openRequests.get(clientTry);
+    clientTry.finished = true;
+    if (request != null) {
+      request.call.abandon();
       forget(clientTry);
     }
   }
 
   @Override
-  List<CacheNode> missedAt(ClientRequest.Try clientTry) {
-    Open taken = open.get(clientTry);
-    return taken == null ? List.of() : taken.missedAt;
+  List<CacheNode> missedNodes(ClientRequest.Try clientTry) {
+    OpenRequest request = openRequests.get(clientTry);
+    return request == null ? List.of() : request.missedNodes;
   }
 
-  // ---- What it sends --------------------------------------------------------------------------------------
+  // ---- Attempts -------------------------------------------------------------------------------------------
 
-  /** An attempt of it has come whole at a cache node or, without one, at the origin. */
-  Attempt came(ClientRequest.Try clientTry, CacheNode node) {
-    Open taken = open.get(clientTry);
+  /** Handles an attempt that a cache node, or the origin if {@code node} is null, has received completely. */
+  Attempt attemptArrived(ClientRequest.Try clientTry, CacheNode node) {
+    OpenRequest request = openRequests.get(clientTry);
     double now = world.clock.now();
-    Attempt attempt = new Attempt(this, clientTry, taken == null ? 0 : taken.attempts++, node, now);
+    Attempt attempt = new Attempt(this, clientTry, request == null ? 0 : request.attempts++, node, now);
     world.report.attempt(attempt.number);
     if (node != null) {
-      checkGrace(node.id);
+      checkDrainGrace(node.id);
     }
-    out.add(attempt);
+    inFlight.add(attempt);
     return attempt;
   }
 
   @Override
-  void answered(Attempt attempt, Result result) {
-    out.remove(attempt);
+  void attemptAnswered(Attempt attempt, Result result) {
+    inFlight.remove(attempt);
     world.report.ended(result);
-    Open taken = open.get(attempt.clientTry);
-    if (result == Result.MISS && taken != null) {
-      taken.missedAt.add(attempt.node);
+    OpenRequest request = openRequests.get(attempt.clientTry);
+    if (result == Result.MISS && request != null) {
+      request.missedNodes.add(attempt.node);
     }
-    world.clock.after(way(attempt.node), () -> attempt.ended.accept(result));
+    world.clock.after(oneWayDelay(attempt.node), () -> attempt.onResult.accept(result));
   }
 
-  /** Its connection ended before the answer. */
-  void gaveUp(Attempt attempt) {
-    if (!attempt.over && out.remove(attempt)) {
-      attempt.giveUp();
+  /** Handles that the proxy closed an attempt's connection before the answer. */
+  void connectionLost(Attempt attempt) {
+    if (!attempt.finished && inFlight.remove(attempt)) {
+      attempt.cancel();
       world.report.ended(Result.TIMEOUT);
     }
   }
 
   @Override
-  void lost(CacheNode node) {
-    fleet.reset(node);
-    List.copyOf(out).stream().filter(attempt -> attempt.node == node).forEach(attempt -> {
-      out.remove(attempt);
-      attempt.giveUp();
+  void nodeDied(CacheNode node) {
+    fleet.resetConnections(node);
+    List.copyOf(inFlight).stream().filter(attempt -> attempt.node == node).forEach(attempt -> {
+      inFlight.remove(attempt);
+      attempt.cancel();
       world.report.ended(Result.RESET);
     });
   }
 
   void close() throws IOException {
-    process.end();
+    process.stop();
     discovery.close();
   }
 }
--- a/src/main/java/beampoint/emulator/ProxyProcess.java
+++ b/src/main/java/beampoint/emulator/ProxyProcess.java
@@ -17,32 +17,32 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 
-/** The process of one proxy, and the connections of its clients. */
+/** The process of one proxy, and its clients' connections. */
 final class ProxyProcess {
 
-  private static final long ASK_AGAIN_MS = 10;
-  private static final long MAX_STOP_S = 10;
+  private static final long READY_POLL_MS = 10;
+  private static final long STOP_TIMEOUT_S = 10;
 
   private final ProcessFleet fleet;
   private final String name;
   private final ReservedPort port = new ReservedPort();
-  private final ConcurrentLinkedDeque<Socket> idle = new ConcurrentLinkedDeque<>();
+  private final ConcurrentLinkedDeque<Socket> idleSockets = new ConcurrentLinkedDeque<>();
   private final ExecutorService clients = Executors.newCachedThreadPool(task -> {
     Thread thread = new Thread(task, "client");
     thread.setDaemon(true);
     return thread;
   });
   private volatile Process process;
-  private volatile boolean wanted;
+  private volatile boolean shouldRun;
 
   ProxyProcess(ProcessFleet fleet, String name) throws IOException {
     this.fleet = fleet;
     this.name = name;
   }
 
-  /** Starts it; the call back comes once it answers that it is ready. */
+  /** Starts the process; {@code ready} runs once it answers a request. */
   void start(JsonObject config, Runnable ready) {
-    wanted = true;
+    shouldRun = true;
     config.addProperty("name", name);
     config.addProperty("listen", "127.0.0.1:" + port.number());
     try {
@@ -55,50 +55,50 @@
       builder.environment().remove("PROXY_OPS");
       process = builder.start();
     } catch (IOException e) {
-      throw new IllegalStateException("a proxy can't be started: " + e.getMessage(), e);
+      throw new IllegalStateException("proxy process could not be started: " + e.getMessage(), e);
     }
-    Process own = process;
-    clients.execute(() -> awaitReady(own, ready));
+    Process started = process;
+    clients.execute(() -> awaitReady(started, ready));
   }
 
-  private void awaitReady(Process own, Runnable ready) {
-    while (own.isAlive()) {
+  private void awaitReady(Process started, Runnable ready) {
+    while (started.isAlive()) {
       try (Socket socket = connect()) {
         Listener.write(socket, "mn\r\n");
-        if ("MN".equals(Listener.line(socket.getInputStream()))) {
+        if ("MN".equals(Listener.readLine(socket.getInputStream()))) {
           ready.run();
           return;
         }
-        Thread.sleep(ASK_AGAIN_MS);
+        Thread.sleep(READY_POLL_MS);
       } catch (IOException e) {
-        Thread.onSpinWait(); // it does not listen yet
+        Thread.onSpinWait(); // the proxy does not listen yet
       } catch (InterruptedException e) {
         return;
       }
     }
   }
 
-  /** True where it has ended though nobody ended it. */
-  boolean hasFailed() {
-    return wanted && process != null && !process.isAlive();
+  /** True if the process has ended without being killed. */
+  boolean hasUnexpectedExit() {
+    return shouldRun && process != null && !process.isAlive();
   }
 
   void kill() {
-    wanted = false;
+    shouldRun = false;
     if (process != null) {
       process.destroyForcibly();
     }
-    for (Socket socket = idle.poll(); socket != null; socket = idle.poll()) {
+    for (Socket socket = idleSockets.poll(); socket != null; socket = idleSockets.poll()) {
       close(socket);
     }
   }
 
-  /** Kills it, waits until it is gone and lets its port go: no process outlives a run. */
-  void end() {
+  /** Kills the process, waits until it has ended, and releases its port. */
+  void stop() {
     kill();
     try {
-      if (process != null && !process.waitFor(MAX_STOP_S, TimeUnit.SECONDS)) {
-        throw new IllegalStateException("a proxy does not end: " + name);
+      if (process != null && !process.waitFor(STOP_TIMEOUT_S, TimeUnit.SECONDS)) {
+        throw new IllegalStateException("proxy process did not end after SIGKILL: " + name);
       }
       port.close();
     } catch (IOException e) {
@@ -118,39 +118,39 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // it has ended already
+      // already closed
     }
   }
 
-  /** Asks, on a connection that is free or a new one. */
+  /** Sends a request on an idle connection or a new one; the listener is called on another thread. */
   ClientCall call(ClientRequest.Try clientTry, Scenario scenario, double now, String id,
-      ClientCall.Told told) {
-    ClientCall call = new ClientCall(ClientCall.words(clientTry, scenario, now, id), id, told);
-    clients.execute(() -> play(call));
+      ClientCall.OutcomeListener listener) {
+    ClientCall call = new ClientCall(ClientCall.command(clientTry, scenario, now, id), id, listener);
+    clients.execute(() -> execute(call));
     return call;
   }
 
-  private void play(ClientCall call) {
-    Socket kept = idle.pollLast();
+  private void execute(ClientCall call) {
+    Socket idleSocket = idleSockets.pollLast();
     try {
-      if (kept != null && call.play(kept)) {
-        idle.addLast(kept);
+      if (idleSocket != null && call.execute(idleSocket)) {
+        idleSockets.addLast(idleSocket);
         return;
       }
-      // One that the proxy closed between requests is no answer: the client asks once more, on a new one.
+      // The proxy may close an idle connection between requests, so the client sends once more on a new one.
       Socket socket = connect();
-      if (call.play(socket)) {
-        idle.addLast(socket);
+      if (call.execute(socket)) {
+        idleSockets.addLast(socket);
       } else {
-        call.end(Outcome.LOST, 0);
+        call.finish(Outcome.LOST, 0);
       }
     } catch (IOException e) {
-      call.end(Outcome.FAILED, 0); // nobody listens
+      call.finish(Outcome.FAILED, 0); // connection refused
     }
   }
 
-  /** The bytes of a value and its end. */
-  static String bytes(InputStream in, int count) throws IOException {
+  /** Reads so many bytes, or fewer at the end of the stream. */
+  static String readString(InputStream in, int count) throws IOException {
     return new String(in.readNBytes(count), StandardCharsets.ISO_8859_1);
   }
 }
--- a/src/main/java/beampoint/emulator/Report.java
+++ b/src/main/java/beampoint/emulator/Report.java
@@ -11,34 +11,34 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What was counted on one day. A request belongs to the day if it was due after the warm-up. */
+/** The figures of one run. Requests that were due during the warm-up are not counted. */
 public final class Report {
 
-  private static final int MAX_TOLD = 20; // broken rules that are told each by itself
+  private static final int MAX_LISTED_RULES = 20; // further broken rules are only counted
   private static final long MAX_MICROS = 3_600_000_000L;
 
-  /** How the requests of one kind or tenant ended. */
+  /** Counts and latencies of the requests of one class or tenant. */
   private static final class Tally {
-    private long asked;
+    private long arrived;
     private long inTime;
     private long late;
     private long refused;
     private long failed;
     private double worth;
     private double earned;
-    private final Histogram micros = new Histogram(MAX_MICROS, 3); // from when it was due
+    private final Histogram micros = new Histogram(MAX_MICROS, 3); // latency from the due time
   }
 
   private final Scenario scenario;
   private final Tally all = new Tally();
   private final List<Tally> kinds = new ArrayList<>();
   private final List<Tally> tenants = new ArrayList<>();
-  private final Map<Result, Long> ends = new EnumMap<>(Result.class);
-  private final List<String> broken = new ArrayList<>();
+  private final Map<Result, Long> results = new EnumMap<>(Result.class);
+  private final List<String> brokenRules = new ArrayList<>();
   private final Map<String, Long> counts = new TreeMap<>();
   private long brokenRuleCount;
-  private double coldest;
-  private long tasks;
+  private double maxColdMultiple;
+  private long executedTasks;
   private double start;
 
   Report(Scenario scenario) {
@@ -51,11 +51,11 @@
     }
   }
 
-  void begins(double at) {
+  void start(double at) {
     start = at;
   }
 
-  /** The names of all figures that a day gives. */
+  /** The names of all figures that a run of this scenario gives. */
   public static Set<String> names(Scenario scenario) {
     return new Report(scenario).figures().keySet();
   }
@@ -72,7 +72,7 @@
   }
 
   void ended(Result result) {
-    ends.merge(result, 1L, Long::sum);
+    results.merge(result, 1L, Long::sum);
   }
 
   void retry() {
@@ -100,31 +100,31 @@
   }
 
   void coldLoad(double multiple) {
-    coldest = Math.max(coldest, multiple);
+    maxColdMultiple = Math.max(maxColdMultiple, multiple);
   }
 
   void coldFall() {
     count("cold_falls");
   }
 
-  void broken(double at, String rule) {
+  void ruleBroken(double at, String rule) {
     brokenRuleCount++;
-    if (broken.size() < MAX_TOLD) {
-      broken.add(String.format(Locale.ROOT, "%.3f s, seed %d: %s", (at - start) / 1000, scenario.seed(),
+    if (brokenRules.size() < MAX_LISTED_RULES) {
+      brokenRules.add(String.format(Locale.ROOT, "%.3f s, seed %d: %s", (at - start) / 1000, scenario.seed(),
           rule));
     }
   }
 
   private List<Tally> tallies(ClientRequest request) {
-    boolean counts = request.dueAt >= start + scenario.warmUp();
-    return counts ? List.of(all, kinds.get(request.kindNumber), tenants.get(request.tenant)) : List.of();
+    boolean counted = request.dueAt >= start + scenario.warmUp();
+    return counted ? List.of(all, kinds.get(request.kindNumber), tenants.get(request.tenant)) : List.of();
   }
 
-  void asked(ClientRequest request) {
+  void requestArrived(ClientRequest request) {
     for (Tally tally : tallies(request)) {
-      tally.asked++;
-      // What is due so late that the day ends before its time is over owes nothing.
-      tally.worth += request.endsAt() <= start + scenario.length() ? request.kind.rules().worth() : 0;
+      tally.arrived++;
+      // A request whose deadline is after the end of the run does not count for the service.
+      tally.worth += request.deadline() <= start + scenario.length() ? request.kind.rules().worth() : 0;
     }
   }
 
@@ -134,7 +134,7 @@
       tally.inTime += inTime ? 1 : 0;
       tally.late += inTime ? 0 : 1;
       tally.micros.recordValue((long) Math.min(MAX_MICROS, time * 1000));
-      if (request.endsAt() <= start + scenario.length()) {
+      if (request.deadline() <= start + scenario.length()) {
         tally.earned += request.kind.rules().worth() * (inTime ? 1 : request.kind.rules().lateWorth());
       }
     }
@@ -147,28 +147,28 @@
     }
   }
 
-  void end(long run) {
-    tasks = run;
+  void end(long tasks) {
+    executedTasks = tasks;
   }
 
-  /** The worth that was served, of what was asked for. */
+  /** The worth of the served requests as a fraction of the worth of all requests, 0 to 1. */
   public double service() {
     return all.worth == 0 ? 0 : all.earned / all.worth;
   }
 
-  /** The rules that were broken, the first first; each with its time and seed. */
+  /** The first broken rules in order of time, each with its time and seed; at most 20 are listed. */
   public List<String> brokenRules() {
-    return List.copyOf(broken);
+    return List.copyOf(brokenRules);
   }
 
-  /** How often a rule was broken. */
+  /** How often rules were broken, including those not listed. */
   public long brokenRuleCount() {
     return brokenRuleCount;
   }
 
-  /** One of the counts, or how often attempts ended in a way. */
+  /** How many attempts ended with this result. */
   public long count(Result result) {
-    return ends.getOrDefault(result, 0L);
+    return results.getOrDefault(result, 0L);
   }
 
   /** All figures by name, in a stable order. */
@@ -186,14 +186,14 @@
     for (Result result : Result.values()) {
       figures.put("ended." + result.name().toLowerCase(Locale.ROOT), (double) count(result));
     }
-    figures.put("cold_multiple", coldest);
+    figures.put("cold_multiple", maxColdMultiple);
     figures.put("rules_broken", (double) brokenRuleCount);
-    figures.put("events", (double) tasks);
+    figures.put("events", (double) executedTasks);
     return figures;
   }
 
   private static void tally(Map<String, Double> figures, String name, Tally tally) {
-    figures.put(name + ".asked", (double) tally.asked);
+    figures.put(name + ".asked", (double) tally.arrived);
     figures.put(name + ".in_time", (double) tally.inTime);
     figures.put(name + ".late", (double) tally.late);
     figures.put(name + ".refused", (double) tally.refused);
--- a/src/main/java/beampoint/emulator/ReservedPort.java
+++ b/src/main/java/beampoint/emulator/ReservedPort.java
@@ -6,18 +6,19 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A port on loopback that is held for a proxy. A port that is only looked up and let go can be given to
- * another process before the proxy listens on it, and two proxies that share their listeners would then share
- * the clients.
+ * A port on loopback that is reserved for a proxy. A port that is looked up and released can be assigned to
+ * another process before the proxy listens on it. As proxies listen with SO_REUSEPORT, two proxies would then
+ * share their clients.
  */
 public final class ReservedPort implements AutoCloseable {
 
-  private final SocketChannel holder; // bound and never listening: it takes no connection
+  private final SocketChannel holder; // bound but not listening, so that it accepts no connections
   private final int number;
 
+  /** Reserves a free port. */
   public ReservedPort() throws IOException {
     holder = SocketChannel.open();
-    holder.setOption(StandardSocketOptions.SO_REUSEPORT, true); // a proxy's listener may share the port
+    holder.setOption(StandardSocketOptions.SO_REUSEPORT, true); // lets the proxy's listener bind to the port
     holder.bind(new InetSocketAddress("127.0.0.1", 0));
     number = ((InetSocketAddress) holder.getLocalAddress()).getPort();
   }
--- a/src/main/java/beampoint/emulator/Scenario.java
+++ b/src/main/java/beampoint/emulator/Scenario.java
@@ -16,75 +16,84 @@
 import java.util.List;
 import java.util.Map;
 
-/** A day of a fleet, as a file tells it: who asks, who serves, and what breaks when. Times are in ms. */
+/** A scenario of a fleet: its clients, caches, origin and faults, read from a YAML file. Times are in ms. */
 public record Scenario(String name, long seed, double length, double warmUp, int proxies, int zones,
     double zoneDelay, double delay, Limits limits, Rules rules, Prices prices, double overShareWorth,
     List<Kind> kinds, List<Client> tenants, Keys keys, Caches caches, Origin origin, Clients clients,
     double discoveryDelay, List<Fault> faults) {
 
   private static final int VERSION = 1;
-  private static final double DAY = 24 * 3600;
-  private static final int MAX_PROCESSES = 4_096; // proxies, and cache nodes: nearly twice what is planned
+  private static final double MAX_LENGTH_S = 24 * 3600;
+  private static final int MAX_PROCESSES = 4_096; // of a kind; nearly twice the planned fleet
   private static final int MAX_ZONES = 1_024;
 
-  /** A class of requests: its part of all, the mean work at a cache, and its rules. */
+  /** A class of requests: its share of all requests, its mean work at a cache in ms, and its rules. */
   public record Kind(String name, double share, double work, boolean write, RequestClass rules) {}
 
-  /** A tenant: its quota, and what it sends. */
+  /** A tenant: its quota and the rate that it sends, in requests a second. */
   public record Client(String name, double quota, double rate) {}
 
-  /** Keys of a Zipf law; which are popular drifts by so many places a second. */
+  /** Keys with Zipf-distributed popularity; the popularity shifts by {@code drift} keys a second. */
   public record Keys(int count, double exponent, double drift) {}
 
-  /** The cache nodes; memory counts keys, and a miss costs a part of the work. */
+  /** The cache nodes; {@code memory} is in keys, and a miss takes {@code missPart} of the work of a hit. */
   public record Caches(int count, int cores, int queue, int memory, int connections, double handshake,
       double idle, double missPart, double filled) {}
 
-  /** The origin: what it can take, and after how much for how long it stops. */
+  /**
+   * The origin: its capacity, the multiple of it within a window at which it stops, and for how long it
+   * stops.
+   */
   public record Origin(int servers, double work, int queue, double stopMultiple, double stopWindow,
       double stopped) {}
 
-  /** How clients come back. */
-  public record Clients(int retries, double pause, double tryPart, double frontNotices) {}
+  /**
+   * The clients' retries; {@code failoverDelay} is how long they are still sent to a proxy that has ended.
+   */
+  public record Clients(int retries, double retryPause, double tryPart, double failoverDelay) {}
 
-  /** What may break. */
+  /** The kinds of faults. */
   public enum What {
     /** Cache nodes die, and come back empty and cold. */
     CRASH,
-    /** Cache nodes say nothing, though they are listed; then they are back as they were. */
+    /** Cache nodes do not answer, though they are listed; afterwards they go on with their state. */
     SILENT,
-    /** Cache nodes are so many times slower. */
+    /** Cache nodes are slower by the factor. */
     SLOW,
     /** Cache nodes refuse new connections. */
     REFUSE,
-    /** Cache nodes fail a part of what they are sent, the factor, at once. */
+    /** Cache nodes fail a fraction of their requests, the factor, at once. */
     ERRORS,
-    /** Cache nodes drain, go, and are replaced under new names, a batch at a time. */
+    /** Cache nodes drain, are removed, and are replaced under new names, one batch at a time. */
     ROLL,
-    /** Proxies are killed and start again with nothing learnt. */
+    /** Proxies are killed and restarted without their learned state. */
     RESTART,
-    /** The origin is so many times slower. */
+    /** The origin is slower by the factor. */
     ORIGIN_SLOW,
-    /** Discovery tells nothing. */
+    /** Discovery sends no lists. */
     DISCOVERY_DOWN,
-    /** A tenant sends so many times what it usually does. */
+    /** A tenant sends its rate times the factor. */
     SURGE
   }
 
-  /** One fault: when, for how long, of what part of those it may hit, and how much. */
+  /**
+   * A fault: its time and duration, the fraction of candidates that it affects, and its factor; zone -1: any.
+   */
   public record Fault(What what, double at, double length, double part, double factor, String tenant,
       int zone) {}
 
-  /** Reads a file; whatever is wrong with it is told in one plain sentence. */
+  /** Reads a scenario file; an error is reported in one sentence with its line and field. */
   public static Scenario read(Path file) throws InputException {
     return read(file, Map.of());
   }
 
-  /** As {@link #read(Path)}, with other values at some places, which are named as in messages. */
-  public static Scenario read(Path file, Map<String, String> changes) throws InputException {
+  /**
+   * As {@link #read(Path)}, with some values replaced; they are keyed by field paths, as in error messages.
+   */
+  public static Scenario read(Path file, Map<String, String> overrides) throws InputException {
     Yaml top = Yaml.read(file);
-    for (Map.Entry<String, String> change : changes.entrySet()) {
-      top.set(change.getKey(), change.getValue());
+    for (Map.Entry<String, String> override : overrides.entrySet()) {
+      top.set(override.getKey(), override.getValue());
     }
     return parse(top);
   }
@@ -97,7 +106,7 @@
     if (top.whole("version", Double.NaN, -1_000_000, 1_000_000) != VERSION) {
       throw top.invalid("version", "this program reads version " + VERSION + " only");
     }
-    double length = 1000 * top.number("seconds", Double.NaN, 1, DAY);
+    double length = 1000 * top.number("seconds", Double.NaN, 1, MAX_LENGTH_S);
     int zones = top.whole("zones", 1, 1, MAX_ZONES);
     List<Kind> kinds = new ArrayList<>();
     for (Yaml kind : top.list("classes", 1)) {
@@ -204,24 +213,24 @@
       throw fields.invalid("tenant", "no tenant of this scenario: '" + tenant + "'");
     }
     boolean errors = what == What.ERRORS;
-    Fault fault = new Fault(what, 1000 * fields.number("at_s", Double.NaN, 0, DAY),
-        1000 * fields.number("for_s", 5, 0, DAY), fields.number("part", 0.25, 0, 1),
+    Fault fault = new Fault(what, 1000 * fields.number("at_s", Double.NaN, 0, MAX_LENGTH_S),
+        1000 * fields.number("for_s", 5, 0, MAX_LENGTH_S), fields.number("part", 0.25, 0, 1),
         fields.number("factor", errors ? 0.5 : 4, 0, errors ? 1 : 1000), tenant,
         fields.whole("zone", -1, -1, zones - 1));
     fields.rejectUnknownFields();
     return fault;
   }
 
-  /** What an instance is told at its start; each has a seed of its own. */
+  /** The settings of an instance, with a seed of its own. */
   Settings settings(long instanceSeed, int zone) {
     return new Settings(instanceSeed, proxies, zone, true, WeightSource.NOMINAL, World.ORIGIN, overShareWorth,
         limits, rules, prices, kinds.stream().map(Kind::rules).toList(),
         tenants.stream().map(t -> new Tenant(t.quota())).toList());
   }
 
-  /** The same day with another seed. */
-  public Scenario withSeed(long next) {
-    return new Scenario(name, next, length, warmUp, proxies, zones, zoneDelay, delay, limits, rules, prices,
-        overShareWorth, kinds, tenants, keys, caches, origin, clients, discoveryDelay, faults);
+  /** The same scenario with another seed. */
+  public Scenario withSeed(long newSeed) {
+    return new Scenario(name, newSeed, length, warmUp, proxies, zones, zoneDelay, delay, limits, rules,
+        prices, overShareWorth, kinds, tenants, keys, caches, origin, clients, discoveryDelay, faults);
   }
 }
--- a/src/main/java/beampoint/emulator/Server.java
+++ b/src/main/java/beampoint/emulator/Server.java
@@ -4,91 +4,91 @@
 import java.util.Deque;
 import java.util.function.DoubleSupplier;
 
-/** Cores and a waiting room of bounded length. Work that is given up while it waits is dropped. */
+/** Cores with a queue of bounded length. */
 final class Server {
 
-  /** A piece of work; its end is told unless it was dropped or the server was emptied. */
+  /** A piece of work; {@code onDone} runs at its end unless it was cancelled or the server was cleared. */
   static final class Job {
-    private final DoubleSupplier work; // measured when it begins
-    private final Runnable done;
-    private boolean begun;
-    private boolean dropped;
+    private final DoubleSupplier work; // in ms, evaluated when the job starts
+    private final Runnable onDone;
+    private boolean started;
+    private boolean cancelled;
 
-    private Job(DoubleSupplier work, Runnable done) {
+    private Job(DoubleSupplier work, Runnable onDone) {
       this.work = work;
-      this.done = done;
+      this.onDone = onDone;
     }
   }
 
   private final Clock clock;
   private final int cores;
-  private final int room;
-  private final Deque<Job> waiting = new ArrayDeque<>();
-  private int busy;
-  private long epoch; // what was begun before it was emptied ends unheard
+  private final int maxQueueLength;
+  private final Deque<Job> queue = new ArrayDeque<>();
+  private int busyCores;
+  private long epoch; // incremented by clear(), so that jobs started before do not report their end
   private double pausedUntil;
 
-  Server(Clock clock, int cores, int room) {
+  Server(Clock clock, int cores, int maxQueueLength) {
     this.clock = clock;
     this.cores = cores;
-    this.room = room;
+    this.maxQueueLength = maxQueueLength;
   }
 
-  /** Takes work, or answers null where the waiting room is full. */
-  Job take(DoubleSupplier work, Runnable done) {
-    Job job = new Job(work, done);
-    if (busy >= cores || clock.now() < pausedUntil) {
-      if (waiting.size() >= room) {
+  /** Starts or queues work; null if the queue is full. */
+  Job submit(DoubleSupplier work, Runnable onDone) {
+    Job job = new Job(work, onDone);
+    if (busyCores >= cores || clock.now() < pausedUntil) {
+      if (queue.size() >= maxQueueLength) {
         return null;
       }
-      waiting.add(job);
+      queue.add(job);
       return job;
     }
-    begin(job);
+    start(job);
     return job;
   }
 
-  /** Nobody waits for this work any more: it goes on if it has begun. */
-  void drop(Job job) {
-    if (!job.begun) {
-      job.dropped = true;
-      waiting.remove(job);
+  /** Removes a job from the queue; one that has started goes on. */
+  void cancel(Job job) {
+    if (!job.started) {
+      job.cancelled = true;
+      queue.remove(job);
     }
   }
 
-  private void begin(Job job) {
-    job.begun = true;
-    busy++;
-    long begunIn = epoch;
+  private void start(Job job) {
+    job.started = true;
+    busyCores++;
+    long startedInEpoch = epoch;
     clock.after(job.work.getAsDouble(), () -> {
-      if (begunIn == epoch) {
-        busy--;
-        job.done.run();
-        next();
+      if (startedInEpoch == epoch) {
+        busyCores--;
+        job.onDone.run();
+        startQueued();
       }
     });
   }
 
-  private void next() {
-    while (busy < cores && clock.now() >= pausedUntil && !waiting.isEmpty()) {
-      begin(waiting.poll());
+  private void startQueued() {
+    while (busyCores < cores && clock.now() >= pausedUntil && !queue.isEmpty()) {
+      start(queue.poll());
     }
   }
 
-  /** Begins nothing for a while; what has begun goes on. */
+  /** Starts no jobs for a while; those that have started go on. */
   void pause(double time) {
     pausedUntil = Math.max(pausedUntil, clock.now() + time);
-    clock.at(pausedUntil, this::next);
+    clock.at(pausedUntil, this::startQueued);
   }
 
   boolean isPaused() {
     return clock.now() < pausedUntil;
   }
 
-  /** Loses all work, as a process does that dies. */
-  void empty() {
+  /** Drops all jobs, as when the process dies. */
+  void clear() {
     epoch++;
-    busy = 0;
-    waiting.clear();
+    busyCores = 0;
+    queue.clear();
   }
 }
--- a/src/main/java/beampoint/emulator/SiteNeighbours.java
+++ b/src/main/java/beampoint/emulator/SiteNeighbours.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The hosts that each host may have to do with in the distribution tree. */
+/** The hosts that each host may be connected to in the distribution tree. */
 final class SiteNeighbours {
 
   private final Map<String, List<Integer>> ofSite = new HashMap<>();
@@ -23,7 +23,7 @@
     ofSite.put("", controls);
   }
 
-  /** The hosts of a site, and the control machines. */
+  /** The control machines and the hosts of this place's site. */
   List<Integer> of(Place place) {
     return ofSite.get(place.site());
   }
--- a/src/main/java/beampoint/emulator/Traffic.java
+++ b/src/main/java/beampoint/emulator/Traffic.java
@@ -1,6 +1,6 @@
 package beampoint.emulator;
 
-/** The bytes that one host sends and receives: the mean, and the worst second. */
+/** Counts the bytes that one host sends and receives: the mean per second and the largest second. */
 final class Traffic {
 
   private static final double SECOND = 1_000;
@@ -11,7 +11,7 @@
   private long worst;
   private long all;
 
-  /** Counts anew from a time on. */
+  /** Discards the counts and starts again at this time. */
   void restart(double now) {
     from = now;
     secondEnds = now + SECOND;
--- a/src/main/java/beampoint/emulator/Views.java
+++ b/src/main/java/beampoint/emulator/Views.java
@@ -2,18 +2,20 @@
 
 import java.util.List;
 
-/** How the hosts of a fleet come to see each other; what a host sees stands in its set of dead ones. */
+/** Maintains the hosts' views of each other: the set of hosts that each host considers dead. */
 interface Views {
 
-  /** The hosts that a host may have to do with: its site, itself among them, and the control machines. */
+  /**
+   * The hosts that a host may be connected to: those of its site, including itself, and the control machines.
+   */
   List<Integer> ofInterest(ControlHost host);
 
-  /** A host has started. */
+  /** Is called when a host has started. */
   void started(ControlHost host);
 
-  /** Something was done to these hosts: they were killed, started, cut off or healed. */
+  /** Is called when these hosts were killed, started, cut off or reconnected. */
   void changed(List<Integer> numbers);
 
-  /** Counts anew from now on. */
+  /** Resets the counters. */
   void countFromNow();
 }
--- a/src/main/java/beampoint/emulator/WallClock.java
+++ b/src/main/java/beampoint/emulator/WallClock.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 
-/** Real time: tasks run on the one thread that runs the clock; others hand in what came from sockets. */
+/** Real time: tasks run on the thread that runs the clock; other threads post their socket events to it. */
 final class WallClock extends Clock {
 
   private final LinkedBlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
@@ -16,51 +16,51 @@
     super(0);
   }
 
-  /** Unix time that never goes back: the proxies compare it with theirs. */
+  /** Unix time in ms, which does not go backwards; comparable with the proxies' clocks. */
   @Override
   double now() {
     return startMillis + (System.nanoTime() - startNanos) / 1e6;
   }
 
-  /** From any thread. */
+  /** Runs a task on the clock's thread; may be called from any thread. */
   void post(Runnable task) {
     posted.add(task);
   }
 
-  /** How late the tasks ran: the time under which ninety-nine of a hundred were, in ms. */
+  /** The 99th percentile of the tasks' lateness, in ms. */
   double lateness() {
     return lateMicros.getValueAtPercentile(99) / 1000.0;
   }
 
   @Override
   long runTo(double end) {
-    long run = 0;
+    long executed = 0;
     for (double now = now(); now < end; now = now()) {
-      Task due = peek();
-      if (due != null && due.at() <= now) {
-        lateMicros.recordValue((long) (1000 * Math.max(0, now - due.at())));
+      Task next = peek();
+      if (next != null && next.at() <= now) {
+        lateMicros.recordValue((long) (1000 * Math.max(0, now - next.at())));
         poll().run().run();
-        run++;
+        executed++;
         continue;
       }
-      double wait = Math.min(end, due == null ? end : due.at()) - now;
-      run += takeIn(wait);
+      double wait = Math.min(end, next == null ? end : next.at()) - now;
+      executed += runPosted(wait);
     }
-    return run;
+    return executed;
   }
 
-  private long takeIn(double wait) {
+  private long runPosted(double wait) {
     try {
       Runnable task = posted.poll((long) (wait * 1000), TimeUnit.MICROSECONDS);
-      long run = 0;
+      long executed = 0;
       for (; task != null; task = posted.poll()) {
         task.run();
-        run++;
+        executed++;
       }
-      return run;
+      return executed;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IllegalStateException("interrupted", e);
+      throw new IllegalStateException("interrupted while running the clock", e);
     }
   }
 }
--- a/src/main/java/beampoint/emulator/WireSettings.java
+++ b/src/main/java/beampoint/emulator/WireSettings.java
@@ -6,7 +6,7 @@
 import com.google.gson.JsonObject;
 import java.util.Locale;
 
-/** Settings under their names on the wire, as a proxy's configuration has them. */
+/** Writes settings as JSON, as in a proxy's configuration. */
 final class WireSettings {
 
   private WireSettings() {}
--- a/src/main/java/beampoint/emulator/World.java
+++ b/src/main/java/beampoint/emulator/World.java
@@ -10,71 +10,75 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** All that there is on a day, wired up. */
+/** The parts of one run: proxies, cache nodes, origin, discovery, clients and faults. */
 final class World {
 
-  static final int CACHE = 0; // kinds of endpoints
+  // Kinds of endpoints.
+  static final int CACHE = 0;
   static final int ORIGIN = 1;
-  static final double PATIENCE = 100; // beyond its time that a client waits
+  static final double CLIENT_GRACE_MS = 100; // how long a client waits beyond its deadline
 
   final Scenario scenario;
   final Clock clock;
-  double start; // of the day
+  double start; // of the run, in the clock's time
   final Report report;
   final Discovery discovery;
   final OriginServer origin;
-  final Front front;
+  final LoadGenerator loadGenerator;
   final List<Endpoint> remembered;
   private final Map<String, CacheNode> caches = new TreeMap<>();
   private final List<Instance> proxies = new ArrayList<>();
 
-  /** Makes the proxies of a day. */
-  interface Maker {
-    Instance make(World world, int number, int zone);
+  /** Creates the proxies of a run. */
+  interface InstanceFactory {
+    Instance create(World world, int number, int zone);
   }
 
-  World(Scenario scenario, Clock clock, Maker maker) {
+  World(Scenario scenario, Clock clock, InstanceFactory factory) {
     this.scenario = scenario;
     this.clock = clock;
     this.start = clock.now();
     this.report = new Report(scenario);
     this.discovery = new Discovery(this, stream(1));
     this.origin = new OriginServer(this);
-    this.front = new Front(this, stream(2), stream(3));
-    UniformRandomProvider filling = stream(4);
+    this.loadGenerator = new LoadGenerator(this, stream(2), stream(3));
+    UniformRandomProvider prefillRandom = stream(4);
     for (int i = 0; i < scenario.caches().count(); i++) {
-      add("cache-" + i, i % scenario.zones(), 0);
+      addCache("cache-" + i, i % scenario.zones(), 0);
     }
     for (int i = 0; i < scenario.proxies(); i++) {
-      proxies.add(maker.make(this, i, i % scenario.zones()));
+      proxies.add(factory.create(this, i, i % scenario.zones()));
     }
     remembered = discovery.list();
-    fill(filling);
+    prefill(prefillRandom);
   }
 
-  /** A stream of random numbers for one purpose: what one draws moves no other. */
+  /** An independent random stream for each purpose, so that draws for one do not affect the others. */
   private UniformRandomProvider stream(int purpose) {
     return RandomSource.XO_SHI_RO_256_PP.create(scenario.seed() * 31 + purpose);
   }
 
-  /** Before the day a node holds some of the popular keys, whoever owns them: its own come soon. */
-  private void fill(UniformRandomProvider random) {
-    int known = Math.min(scenario.keys().count(), scenario.caches().memory() * scenario.caches().count());
+  /**
+   * Fills the nodes with popular keys regardless of their placement; each soon gets the keys placed on it.
+   */
+  private void prefill(UniformRandomProvider random) {
+    int popularKeys =
+        Math.min(scenario.keys().count(), scenario.caches().memory() * scenario.caches().count());
     for (CacheNode node : caches.values()) {
       int count = (int) (scenario.caches().memory() * scenario.caches().filled());
       for (int i = 0; i < count; i++) {
-        node.store(1 + random.nextInt(known));
+        node.store(1 + random.nextInt(popularKeys));
       }
     }
   }
 
-  /** What a proxy is told at one of its starts. */
-  Settings settings(Instance proxy, int life) {
-    long seed = scenario.seed() * 1_000_003 + proxy.number * 1009L + life;
+  /** The settings of a proxy for one of its starts. */
+  Settings settings(Instance proxy, int incarnation) {
+    long seed = scenario.seed() * 1_000_003 + proxy.number * 1009L + incarnation;
     return scenario.settings(seed, proxy.zone);
   }
 
-  CacheNode add(String id, int zone, double startedAt) {
+  CacheNode addCache(String id, int zone, double startedAt) {
     CacheNode node = new CacheNode(this, id, zone, startedAt);
     caches.put(id, node);
     return node;
@@ -92,25 +96,25 @@
     return proxies;
   }
 
-  /** True for a part of all requests, and for one request at all times alike. */
-  boolean chance(long request, double part) {
-    long mixed = (request + scenario.seed()) * 0x9e3779b97f4a7c15L;
-    return (mixed >>> 11) * 0x1p-53 < part;
+  /** True for a fraction of all requests; the result depends only on the seed and the request. */
+  boolean isSelected(long request, double fraction) {
+    long hash = (request + scenario.seed()) * 0x9e3779b97f4a7c15L;
+    return (hash >>> 11) * 0x1p-53 < fraction;
   }
 
-  /** Plays the day. */
+  /** Starts the proxies and runs the scenario. */
   Report play() {
     proxies.forEach(proxy -> proxy.start(remembered));
-    proxies.forEach(discovery::follow);
-    return playOn();
+    proxies.forEach(discovery::subscribe);
+    return playStarted();
   }
 
-  /** Plays the day with proxies that have begun. */
-  Report playOn() {
+  /** Runs the scenario with proxies that have been started. */
+  Report playStarted() {
     start = clock.now();
-    report.begins(start);
-    new Faults(this, stream(5)).plan();
-    front.begin();
+    report.start(start);
+    new Faults(this, stream(5)).schedule();
+    loadGenerator.start();
     long tasks = clock.runTo(start + scenario.length());
     report.end(tasks);
     return report;
--- a/src/test/java/beampoint/emulator/ModelTest.java
+++ b/src/test/java/beampoint/emulator/ModelTest.java
@@ -40,7 +40,7 @@
       for (int i = 0; i < 200_000; i++) {
         at += -Math.log(1 - random.nextDouble()) / rate;
         double came = at;
-        clock.at(came, () -> server.take(() -> {
+        clock.at(came, () -> server.submit(() -> {
           waited[0] += clock.now() - came;
           waited[1]++;
           return -Math.log(1 - random.nextDouble()) * work;
