--- a/src/main/java/beampoint/experiment/Charts.java
+++ b/src/main/java/beampoint/experiment/Charts.java
@@ -10,7 +10,7 @@
 import org.knowm.xchart.VectorGraphicsEncoder;
 import org.knowm.xchart.VectorGraphicsEncoder.VectorGraphicsFormat;
 
-/** A chart for each figure: the mean of each variant and its interval. */
+/** Draws a chart for each figure, with the mean and the 95% confidence interval of each variant. */
 final class Charts {
 
   private static final int WIDTH = 640;
@@ -18,6 +18,7 @@
 
   private Charts() {}
 
+  /** Writes an SVG file for each figure into a directory. */
   static void write(Plan plan, Results results, Path directory) throws IOException {
     System.setProperty("java.awt.headless", "true");
     for (String figure : plan.figures()) {
--- a/src/main/java/beampoint/experiment/ConfidenceInterval.java
+++ b/src/main/java/beampoint/experiment/ConfidenceInterval.java
@@ -5,12 +5,12 @@
 import org.apache.commons.statistics.descriptive.Statistic;
 import org.apache.commons.statistics.distribution.TDistribution;
 
-/** A mean and its 95% confidence interval, by Student's t: the values are independent days. */
+/** A mean and its 95% confidence interval by Student's t distribution, for independent values. */
 public record ConfidenceInterval(double mean, double low, double high) {
 
-  private static final double TAIL_PROBABILITY = 0.025; // at each end
+  private static final double TAIL_PROBABILITY = 0.025; // on each side
 
-  /** Of two values or more. */
+  /** The interval of the mean of at least two values. */
   public static ConfidenceInterval of(double[] values) {
     DoubleStatistics statistics =
         DoubleStatistics.of(EnumSet.of(Statistic.MEAN, Statistic.STANDARD_DEVIATION), values);
@@ -21,7 +21,7 @@
     return new ConfidenceInterval(mean, mean - halfWidth, mean + halfWidth);
   }
 
-  /** Of the differences between values that belong together. */
+  /** The interval of the mean difference between paired values. */
   public static ConfidenceInterval ofDifference(double[] values, double[] base) {
     double[] differences = new double[values.length];
     for (int i = 0; i < values.length; i++) {
@@ -30,11 +30,12 @@
     return of(differences);
   }
 
-  /** True where it tells that the mean is not zero. */
+  /** True if the mean differs significantly from zero. */
   public boolean excludesZero() {
     return low > 0 || high < 0;
   }
 
+  /** Half the length of the interval. */
   public double halfWidth() {
     return (high - low) / 2;
   }
--- a/src/main/java/beampoint/experiment/Experiment.java
+++ b/src/main/java/beampoint/experiment/Experiment.java
@@ -18,31 +18,36 @@
 import java.util.function.Function;
 
 /**
- * Plays all variants of a plan on the same seeds, some runs at a time. What has ended is written at once and
- * in order, whatever happens later: an experiment that is cut short or whose variant fails keeps what it has.
+ * Runs all variants of a plan on the same seeds, several runs at a time. Results are written in order as soon
+ * as runs end, so that an experiment that is interrupted or has a failing variant keeps its results so far.
  */
 public final class Experiment {
 
   private final Plan plan;
   private final Function<Settings, Balancer> factory;
   private final int threads;
-  private final double longestSeconds;
+  private final double runTimeoutSeconds;
 
-  /** So many runs at a time; one that takes longer than so much is given up, and the experiment with it. */
-  public Experiment(Plan plan, Function<Settings, Balancer> factory, int threads, double longestSeconds) {
+  /**
+   * Creates an experiment.
+   *
+   * @param threads how many runs are done at a time
+   * @param runTimeoutSeconds a run that takes longer is abandoned, and the experiment ends
+   */
+  public Experiment(Plan plan, Function<Settings, Balancer> factory, int threads, double runTimeoutSeconds) {
     this.plan = plan;
     this.factory = factory;
     this.threads = threads;
-    this.longestSeconds = longestSeconds;
+    this.runTimeoutSeconds = runTimeoutSeconds;
   }
 
-  /** Plays, and writes runs.csv, summary.md and a chart for each figure into a directory. */
+  /** Runs the plan, and writes runs.csv, summary.md and a chart for each figure into a directory. */
   public Results run(Path directory) throws IOException {
     Files.createDirectories(directory);
     Results results = new Results(plan);
     ExecutorService pool = Executors.newFixedThreadPool(threads, task -> {
       Thread thread = new Thread(task, "run");
-      thread.setDaemon(true); // a run that does not end must not keep the program
+      thread.setDaemon(true); // a run that hangs must not keep the program from ending
       return thread;
     });
     try (RunTable table = new RunTable(directory.resolve("runs.csv"), plan)) {
@@ -62,11 +67,11 @@
     List<List<Future<Report>>> runs = new ArrayList<>();
     for (int repeat = 0; repeat < plan.repeats(); repeat++) {
       long seed = plan.firstSeed() + repeat;
-      List<Future<Report>> pair = new ArrayList<>();
+      List<Future<Report>> runsOfSeed = new ArrayList<>();
       for (Plan.Variant variant : plan.variants()) {
-        pair.add(pool.submit(() -> Emulation.run(variant.scenario().withSeed(seed), factory)));
+        runsOfSeed.add(pool.submit(() -> Emulation.run(variant.scenario().withSeed(seed), factory)));
       }
-      runs.add(pair);
+      runs.add(runsOfSeed);
     }
     for (int repeat = 0; repeat < plan.repeats(); repeat++) {
       long seed = plan.firstSeed() + repeat;
@@ -85,11 +90,11 @@
 
   private Report await(Future<Report> run, String name, Results results) {
     try {
-      return run.get((long) (longestSeconds * 1000), TimeUnit.MILLISECONDS);
+      return run.get((long) (runTimeoutSeconds * 1000), TimeUnit.MILLISECONDS);
     } catch (ExecutionException e) {
       results.fail(name + ": failed: " + e.getCause());
     } catch (TimeoutException e) {
-      results.fail(name + ": not ended after " + longestSeconds + " s");
+      results.fail(name + ": not ended after " + runTimeoutSeconds + " s");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       results.fail(name + ": interrupted");
--- a/src/main/java/beampoint/experiment/Plan.java
+++ b/src/main/java/beampoint/experiment/Plan.java
@@ -9,20 +9,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** What is to be compared: variants of one scenario, over how many seeds, by which figures. */
+/** The plan of an experiment: variants of a scenario that are compared by some figures over several seeds. */
 public record Plan(Path file, Path scenario, int repeats, long firstSeed, List<String> figures,
     List<Variant> variants) {
 
-  /** Fewer values give no interval that is worth the name. */
+  /** Fewer repeats give no meaningful confidence interval. */
   public static final int MIN_REPEATS = 10;
   private static final int VERSION = 1;
   private static final List<String> DEFAULT_FIGURES =
       List.of("service", "all.p50_ms", "all.p99_ms", "fetches", "handshakes", "probes", "cold_multiple");
 
-  /** One variant: what it changes, and the day that comes of it. */
+  /** A variant: the values that it changes, by field path, and the resulting scenario. */
   public record Variant(String name, Map<String, String> changes, Scenario scenario) {}
 
-  /** Reads a plan and all that it names; whatever is wrong is told in one plain sentence. */
+  /** Reads a plan and its scenario; an error is reported in one sentence with its line and field. */
   public static Plan read(Path file) throws InputException {
     Yaml top = Yaml.read(file);
     if (top.whole("version", Double.NaN, -1_000_000, 1_000_000) != VERSION) {
@@ -34,18 +34,18 @@
       throw top.invalid("repeats", repeats + " are too few for an interval, which needs " + MIN_REPEATS);
     }
     long firstSeed = (long) top.number("first_seed", 1, 0, 1e15);
-    String named = top.text("figures", String.join(" ", DEFAULT_FIGURES));
+    String figureNames = top.text("figures", String.join(" ", DEFAULT_FIGURES));
     List<Variant> variants = new ArrayList<>();
     for (Yaml fields : top.list("variants", 2)) {
       String name = fields.text("name", null);
       if (variants.stream().anyMatch(v -> v.name().equals(name))) {
-        throw fields.invalid("name", "stands twice: '" + name + "'");
+        throw fields.invalid("name", "duplicate variant name: '" + name + "'");
       }
       Map<String, String> changes = fields.fields("set").texts();
       fields.rejectUnknownFields();
       variants.add(new Variant(name, changes, Scenario.read(scenario, changes)));
     }
-    List<String> figures = List.of(named.trim().split("[ ,]+"));
+    List<String> figures = List.of(figureNames.trim().split("[ ,]+"));
     for (Variant variant : variants) {
       for (String figure : figures) {
         if (!Report.names(variant.scenario()).contains(figure)) {
--- a/src/main/java/beampoint/experiment/Results.java
+++ b/src/main/java/beampoint/experiment/Results.java
@@ -6,65 +6,68 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What the runs of an experiment gave so far: for each variant a row of figures for each seed, in order. */
+/** The results of an experiment so far: for each variant the figures of each seed, in order. */
 public final class Results {
 
   private final Plan plan;
-  private final Map<String, List<Map<String, Double>>> rows = new TreeMap<>();
-  private final List<String> broken = new ArrayList<>();
+  private final Map<String, List<Map<String, Double>>> figures = new TreeMap<>();
+  private final List<String> brokenRules = new ArrayList<>();
   private final List<String> failures = new ArrayList<>();
   private long brokenRuleCount;
 
   Results(Plan plan) {
     this.plan = plan;
-    plan.variants().forEach(variant -> rows.put(variant.name(), new ArrayList<>()));
+    plan.variants().forEach(variant -> figures.put(variant.name(), new ArrayList<>()));
   }
 
   void add(Plan.Variant variant, Report report) {
-    rows.get(variant.name()).add(report.figures());
+    figures.get(variant.name()).add(report.figures());
     brokenRuleCount += report.brokenRuleCount();
-    report.brokenRules().forEach(rule -> broken.add(variant.name() + ", " + rule));
+    report.brokenRules().forEach(rule -> brokenRules.add(variant.name() + ", " + rule));
   }
 
-  void fail(String what) {
-    failures.add(what);
+  void fail(String reason) {
+    failures.add(reason);
   }
 
-  /** How many seeds all variants have been played on. */
+  /** The number of seeds that all variants have been run on. */
   public int complete() {
-    return rows.values().stream().mapToInt(List::size).min().orElse(0);
+    return figures.values().stream().mapToInt(List::size).min().orElse(0);
   }
 
-  /** True where less was played than was planned. */
+  /** True if not all planned runs have been completed. */
   public boolean isPartial() {
     return complete() < plan.repeats() || !failures.isEmpty();
   }
 
-  /** What went wrong with the experiment itself. */
+  /** The failures of runs, as opposed to broken rules. */
   public List<String> failures() {
     return List.copyOf(failures);
   }
 
   /** The broken rules, each with variant, time and seed. */
   public List<String> brokenRules() {
-    return List.copyOf(broken);
+    return List.copyOf(brokenRules);
   }
 
+  /** How often rules were broken in all runs, including those not listed. */
   public long brokenRuleCount() {
     return brokenRuleCount;
   }
 
-  /** A figure of a variant on the seeds that all variants have been played on. */
+  /** A figure of a variant on the seeds that all variants have been run on. */
   public double[] values(Plan.Variant variant, String figure) {
-    return rows.get(variant.name()).stream().limit(complete()).mapToDouble(row -> row.get(figure)).toArray();
+    return figures.get(variant.name()).stream().limit(complete()).mapToDouble(run -> run.get(figure))
+        .toArray();
   }
 
-  /** The difference to the first variant: what is told of it, in words. */
+  /** The significance of the difference to the first variant: more, less, or no difference shown. */
   public String verdict(Plan.Variant variant, String figure) {
     ConfidenceInterval difference = difference(variant, figure);
     return !difference.excludesZero() ? "no difference shown" : difference.mean() > 0 ? "more" : "less";
   }
 
+  /** The interval of the difference to the first variant, paired by seed. */
   public ConfidenceInterval difference(Plan.Variant variant, String figure) {
     return ConfidenceInterval.ofDifference(values(variant, figure), values(plan.variants().get(0), figure));
   }
--- a/src/main/java/beampoint/experiment/RunTable.java
+++ b/src/main/java/beampoint/experiment/RunTable.java
@@ -12,16 +12,16 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
-/** All figures of all runs as CSV, a row a run, written as the runs end. */
+/** A CSV file with all figures of each run, written as the runs end. */
 final class RunTable implements Closeable {
 
   private final CSVPrinter out;
   private final List<String> names;
 
   RunTable(Path file, Plan plan) throws IOException {
-    TreeSet<String> all = new TreeSet<>();
-    plan.variants().forEach(variant -> all.addAll(Report.names(variant.scenario())));
-    names = List.copyOf(all);
+    TreeSet<String> figures = new TreeSet<>();
+    plan.variants().forEach(variant -> figures.addAll(Report.names(variant.scenario())));
+    names = List.copyOf(figures);
     List<String> header = new ArrayList<>(List.of("variant", "seed"));
     header.addAll(names);
     out = new CSVPrinter(Files.newBufferedWriter(file, StandardCharsets.UTF_8),
@@ -30,8 +30,8 @@
 
   void add(Plan.Variant variant, long seed, Report report) throws IOException {
     List<Object> row = new ArrayList<>(List.of(variant.name(), seed));
-    var figures = report.figures();
-    names.forEach(name -> row.add(figures.getOrDefault(name, Double.NaN)));
+    var values = report.figures();
+    names.forEach(name -> row.add(values.getOrDefault(name, Double.NaN)));
     out.printRecord(row);
     out.flush();
   }
--- a/src/main/java/beampoint/experiment/Summary.java
+++ b/src/main/java/beampoint/experiment/Summary.java
@@ -6,16 +6,18 @@
 import java.nio.file.StandardCopyOption;
 import java.util.Locale;
 
-/** The summary in Markdown: what was broken first, then each figure of each variant with its interval. */
+/**
+ * The summary in Markdown: the broken rules, then each figure of each variant with its confidence interval.
+ */
 final class Summary {
 
   private Summary() {}
 
-  /** Replaces the summary by one of what there is; a reader never sees half of one. */
+  /** Replaces the summary atomically by one of the results so far. */
   static void write(Plan plan, Results results, Path directory) throws IOException {
-    Path next = directory.resolve("summary.md.next");
-    Files.writeString(next, text(plan, results));
-    Files.move(next, directory.resolve("summary.md"), StandardCopyOption.ATOMIC_MOVE,
+    Path newFile = directory.resolve("summary.md.next");
+    Files.writeString(newFile, text(plan, results));
+    Files.move(newFile, directory.resolve("summary.md"), StandardCopyOption.ATOMIC_MOVE,
         StandardCopyOption.REPLACE_EXISTING);
   }
 
@@ -33,9 +35,9 @@
       results.failures().forEach(failure -> text.append("- ").append(failure).append('\n'));
       text.append(results.failures().isEmpty() ? "" : "\n");
     }
-    long last = plan.firstSeed() + plan.repeats() - 1;
+    long lastSeed = plan.firstSeed() + plan.repeats() - 1;
     text.append("Scenario ").append(plan.scenario().getFileName()).append(", seeds ")
-        .append(plan.firstSeed()).append(" to ").append(last).append("; Java ").append(Runtime.version())
+        .append(plan.firstSeed()).append(" to ").append(lastSeed).append("; Java ").append(Runtime.version())
         .append(", ").append(System.getProperty("os.arch")).append(", ")
         .append(Runtime.getRuntime().availableProcessors())
         .append(" processors. Virtual time, simulated.\n\n");
@@ -46,26 +48,26 @@
     }
     text.append("\n| figure | variant | mean | 95% interval | difference to ")
         .append(plan.variants().get(0).name()).append(" | |\n| --- | --- | --- | --- | --- | --- |\n");
-    boolean enough = results.complete() >= Plan.MIN_REPEATS;
+    boolean hasInterval = results.complete() >= Plan.MIN_REPEATS;
     for (String figure : plan.figures()) {
       for (Plan.Variant variant : plan.variants()) {
-        row(text, results, figure, variant, enough, variant == plan.variants().get(0));
+        row(text, results, figure, variant, hasInterval, variant == plan.variants().get(0));
       }
     }
     return text.toString();
   }
 
   private static void row(StringBuilder text, Results results, String figure, Plan.Variant variant,
-      boolean enough, boolean first) {
+      boolean hasInterval, boolean isBase) {
     text.append("| ").append(figure).append(" | ").append(variant.name()).append(" | ");
-    if (!enough) {
+    if (!hasInterval) {
       text.append("- | too few repeats | - | - |\n");
       return;
     }
-    ConfidenceInterval own = ConfidenceInterval.of(results.values(variant, figure));
-    text.append(number(own.mean())).append(" | ").append(number(own.low())).append(" to ")
-        .append(number(own.high())).append(" | ");
-    if (first) {
+    ConfidenceInterval interval = ConfidenceInterval.of(results.values(variant, figure));
+    text.append(number(interval.mean())).append(" | ").append(number(interval.low())).append(" to ")
+        .append(number(interval.high())).append(" | ");
+    if (isBase) {
       text.append("- | - |\n");
       return;
     }
--- a/src/test/java/beampoint/experiment/ExperimentTest.java
+++ b/src/test/java/beampoint/experiment/ExperimentTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Experiments find what is there and nothing where nothing is; what goes wrong is told and loses nothing. */
+/** Experiments: detection of differences, reproducibility, failing runs and invalid plans. */
 @Timeout(120)
 class ExperimentTest {
 
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void aVariantThatIsMadeWorseIsFoundAndTheSameOneIsNot() throws Exception {
+  void aWorseVariantIsDetectedAndAnEqualOneIsNot() throws Exception {
     Plan plan = plan(PLAN + "  - {name: same}\n");
     Results results = run(plan, BalancerPolicy::new);
     assertEquals("less", results.verdict(plan.variants().get(1), "service"));
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void anExperimentCanBeRunAgainToTheLastDigit() throws Exception {
+  void anExperimentIsReproducible() throws Exception {
     run(plan(PLAN), BalancerPolicy::new);
     byte[] first = Files.readAllBytes(directory.resolve("out/runs.csv"));
     String summary = summary();
@@ -92,11 +92,14 @@
     assertEquals(summary, summary());
   }
 
-  /** Two variants that are the same, on other days: the interval holds zero about as often as it says. */
+  /**
+   * For equal variants on different seeds, the 95% interval of the difference contains 0 in about 95% of
+   * cases.
+   */
   @Test
-  void whereNothingDiffersADifferenceIsShownAboutAsSeldomAsStated() throws Exception {
+  void equalVariantsShowADifferenceAsRarelyAsTheIntervalStates() throws Exception {
     Scenario day = Scenario.read(directory.resolve("day.yaml"));
-    int held = 0;
+    int containsZero = 0;
     for (int group = 0; group < 100; group++) {
       double[] one = new double[10];
       double[] other = new double[10];
@@ -104,13 +107,13 @@
         one[i] = Emulation.run(day.withSeed(group * 20L + i), BalancerPolicy::new).service();
         other[i] = Emulation.run(day.withSeed(group * 20L + 10 + i), BalancerPolicy::new).service();
       }
-      held += ConfidenceInterval.ofDifference(one, other).excludesZero() ? 0 : 1;
+      containsZero += ConfidenceInterval.ofDifference(one, other).excludesZero() ? 0 : 1;
     }
-    assertTrue(held >= 88 && held < 100, "held zero: " + held + " of 100");
+    assertTrue(containsZero >= 88 && containsZero < 100, "intervals that contain 0: " + containsZero + " of 100");
   }
 
   @Test
-  void aBrokenRuleIsToldFirstWithVariantSeedAndTime() throws Exception {
+  void aBrokenRuleIsListedFirstWithVariantSeedAndTime() throws Exception {
     Results results = run(plan(PLAN), settings -> settings.limits().maxAttempts() > 1
         ? new BalancerPolicy(settings) : (now, event) -> List.of());
     assertTrue(results.brokenRuleCount() > 0);
@@ -120,7 +123,7 @@
   }
 
   @Test
-  void aVariantThatFailsLeavesWhatWasPlayedAndItIsCalledPartial() throws Exception {
+  void aFailingVariantKeepsTheEarlierResultsWhichAreMarkedPartial() throws Exception {
     Results results = run(plan(PLAN), settings -> {
       if (settings.limits().maxAttempts() == 1 && settings.seed() / 1_000_003 == 4) {
         throw new IllegalStateException("it does not start");
@@ -135,11 +138,11 @@
   }
 
   @Test
-  void aVariantThatHangsIsGivenUp() throws Exception {
-    CountDownLatch never = new CountDownLatch(1);
+  void aVariantThatHangsIsAbandoned() throws Exception {
+    CountDownLatch neverReleased = new CountDownLatch(1);
     Experiment experiment = new Experiment(plan(PLAN), settings -> {
       try {
-        never.await();
+        neverReleased.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -151,35 +154,35 @@
   }
 
   @Test
-  void resultsThatCanNotBeWrittenAreTold() throws Exception {
+  void anUnwritableDirectoryIsAnError() throws Exception {
     Path file = Files.writeString(directory.resolve("file"), "");
     Plan plan = plan(PLAN);
     assertThrows(IOException.class, () -> new Experiment(plan, BalancerPolicy::new, 1, 20).run(file));
   }
 
   @Test
-  void whatIsWrongWithAPlanIsToldWithItsPlace() {
-    String[][] wrong = {
+  void anErrorInAPlanIsReportedWithLineAndField() {
+    String[][] cases = {
         {"repeats: 10", "repeats: 9", "line 3, field 'repeats': 9 are too few for an interval"},
         {"scenario: day.yaml", "scenario: none.yaml", "none.yaml: can't be read"},
         {"fetches", "colour", "no figure of variant 'present': 'colour'"},
-        {"name: other", "name: present", "stands twice: 'present'"},
+        {"name: other", "name: present", "duplicate variant name: 'present'"},
         {"settings.attempts: 1", "settings.attempts: 0", "field 'settings.attempts': 0 is not from 1 to 100"},
         {"settings.attempts: 1", "settings.colour: 1", "field 'settings.colour': unknown"},
         {"settings.attempts: 1", "\"classes[4].aim_ms\": 1",
             "can't set 'classes[4].aim_ms': no such mapping"},
         {"version: 1", "version: 3", "this program reads version 1 only"},
     };
-    for (String[] each : wrong) {
-      String problem = assertThrows(InputException.class, () -> plan(PLAN.replace(each[0], each[1])))
+    for (String[] example : cases) {
+      String problem = assertThrows(InputException.class, () -> plan(PLAN.replace(example[0], example[1])))
           .getMessage();
-      assertTrue(problem.contains(each[2]), problem);
+      assertTrue(problem.contains(example[2]), problem);
     }
   }
 
-  /** A variant may change any place, in a list too, and may add what was not said. */
+  /** A variant may change any field, also in a list, and may set fields that the scenario omits. */
   @Test
-  void aVariantChangesWhatItNamesAndNothingElse() throws Exception {
+  void aVariantChangesOnlyTheFieldsThatItNames() throws Exception {
     Plan plan = plan(PLAN.replace("settings.attempts: 1",
         "\"classes[0].aim_ms\": 250, clients.retries: 0, prices.probe: 0.5"));
     Scenario changed = plan.variants().get(1).scenario();
