--- a/src/test/java/beampoint/emulator/ChaosTest.java
+++ b/src/test/java/beampoint/emulator/ChaosTest.java
@@ -9,21 +9,21 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Troubles drawn at random, several at once, on fleets of several sizes: no rule may break on any day. */
+/** Random scenarios with several overlapping faults on fleets of several sizes: no rule may be broken. */
 class ChaosTest {
 
-  private static final long FIRST = Long.getLong("chaos.first", 1); // a longer hunt names others
-  private static final int DAYS = Integer.getInteger("chaos.days", 25);
+  private static final long FIRST_SEED = Long.getLong("chaos.first", 1); // set for longer searches
+  private static final int RUNS = Integer.getInteger("chaos.days", 25);
   private static final String[] FAULTS = {"crash", "silent", "slow", "refuse", "errors", "roll", "restart",
       "origin-slow", "discovery-down", "surge"};
 
-  /** A day of its own for each number: size, load, rules, and two to five troubles that overlap. */
-  static Scenario day(long number) throws Exception {
-    Random random = new Random(number);
+  /** Draws a scenario from a seed: size, load, rules, and two to five overlapping faults. */
+  static Scenario scenario(long seed) throws Exception {
+    Random random = new Random(seed);
     int caches = 4 + random.nextInt(20);
     int proxies = 1 + random.nextInt(6);
-    double load = caches * (20 + 25 * random.nextDouble()); // requests a second: a third to two thirds of all
-    StringBuilder day = new StringBuilder("version: 1\nseconds: 25\nseed: " + number + "\nzones: "
+    double load = caches * (20 + 25 * random.nextDouble()); // requests a second, 1/3 to 2/3 of capacity
+    StringBuilder scenario = new StringBuilder("version: 1\nseconds: 25\nseed: " + seed + "\nzones: "
         + (1 + random.nextInt(3)) + "\nproxies: " + proxies + "\ndiscovery_ms: "
         + (100 + random.nextInt(1500))
         + "\nsettings: {attempts: " + (1 + random.nextInt(5)) + ", probes: " + random.nextBoolean()
@@ -39,42 +39,44 @@
         + load * 0.4 + "}\nkeys: {count: 8000, zipf: 0.9, drift_per_s: 2}\n"
         + "caches: {count: " + caches + ", memory_keys: 1200}\norigin: {servers: "
         + (4 + (int) (load / 12)) + ", work_ms: 80}\nfaults:\n");
-    int troubles = 2 + random.nextInt(4);
-    for (int i = 0; i < troubles; i++) {
-      String what = FAULTS[random.nextInt(FAULTS.length)];
-      day.append("  - {what: ").append(what).append(", at_s: ").append(3 + 10 * random.nextDouble())
+    int faults = 2 + random.nextInt(4);
+    for (int i = 0; i < faults; i++) {
+      String fault = FAULTS[random.nextInt(FAULTS.length)];
+      scenario.append("  - {what: ").append(fault).append(", at_s: ").append(3 + 10 * random.nextDouble())
           .append(", for_s: ").append(1 + 9 * random.nextDouble()).append(", part: ")
-          .append(0.1 + 0.5 * random.nextDouble()).append(what.equals("surge") ? ", tenant: one" : "")
-          .append(what.equals("errors") ? "" : ", factor: " + (2 + 4 * random.nextDouble())).append("}\n");
+          .append(0.1 + 0.5 * random.nextDouble()).append(fault.equals("surge") ? ", tenant: one" : "")
+          .append(fault.equals("errors") ? "" : ", factor: " + (2 + 4 * random.nextDouble())).append("}\n");
     }
-    return Scenario.parse("day " + number, day.toString());
+    return Scenario.parse("day " + seed, scenario.toString());
   }
 
-  /** Discovery was down as these caches came back cold, and nobody had been told: a fall, and no blame. */
+  /**
+   * On these seeds caches restart cold during an outage of discovery: their falls count but break no rule.
+   */
   @Test
-  void aColdCacheThatFallsUntoldIsCountedAndBreaksNoRule() throws Exception {
+  void theFallOfAColdCacheThatProxiesWereNotNotifiedOfBreaksNoRule() throws Exception {
     double falls = 0;
-    for (long number : new long[] {1176, 1210, 1430}) {
-      Report report = Emulation.run(day(number), BalancerPolicy::new);
+    for (long seed : new long[] {1176, 1210, 1430}) {
+      Report report = Emulation.run(scenario(seed), BalancerPolicy::new);
       assertEquals(List.of(), report.brokenRules());
       falls += report.figures().get("cold_falls");
     }
-    assertTrue(falls > 0, "falls on these days: " + falls);
+    assertTrue(falls > 0, "falls on these seeds: " + falls);
   }
 
   @Test
-  void noRuleBreaksOnDaysOfSeveralTroublesAtOnce() throws Exception {
+  void noRuleIsBrokenUnderSeveralFaultsAtOnce() throws Exception {
     List<String> broken = new ArrayList<>();
-    double served = 0;
+    double service = 0;
     double falls = 0;
-    for (long number = FIRST; number < FIRST + DAYS; number++) {
-      Report report = Emulation.run(day(number), BalancerPolicy::new);
+    for (long seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed++) {
+      Report report = Emulation.run(scenario(seed), BalancerPolicy::new);
       report.brokenRules().stream().limit(2).forEach(broken::add);
-      served += report.service() / DAYS;
+      service += report.service() / RUNS;
       falls += report.figures().get("cold_falls");
     }
     assertEquals(List.of(), broken);
-    assertTrue(falls <= 1 + DAYS / 25.0, "cold caches that fell, told of or not: " + falls);
-    assertTrue(served > 0.5, "the days are no mere refusals: " + served);
+    assertTrue(falls <= 1 + RUNS / 25.0, "cold caches that fell: " + falls);
+    assertTrue(service > 0.5, "mean service: " + service);
   }
 }
--- a/src/test/java/beampoint/emulator/ControlFleetTest.java
+++ b/src/test/java/beampoint/emulator/ControlFleetTest.java
@@ -13,44 +13,47 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** A small fleet under troubles: every change at every proxy once and in order, and nobody wrongly done. */
+/**
+ * A small fleet under faults: each proxy applies every change once and in order, and none is falsely reported
+ * done.
+ */
 class ControlFleetTest {
 
-  private static final long FIRST = Long.getLong("control.first", 1); // a longer hunt names others
+  private static final long FIRST_SEED = Long.getLong("control.first", 1); // set for longer searches
   private static final int SEEDS = Integer.getInteger("control.seeds", 8);
-  /** In ms, before troubles begin: a log whose founding is broken off may need an operator. */
-  private static final int FOUNDING = Integer.getInteger("control.founding", 5_000);
+  /** When faults begin, in ms: a change log whose founding is interrupted may need an operator. */
+  private static final int FAULTS_START_MS = Integer.getInteger("control.founding", 5_000);
 
   private static ControlFleet fleet(long seed) {
-    return new ControlFleet(new FleetLayout(40, 6, 3, 2, 5), shortTails(), 2,
+    return new ControlFleet(new FleetLayout(40, 6, 3, 2, 5), settingsWithShortTails(), 2,
         new ControlNetwork.Delays(0.3, 5, 40, 10), false, seed);
   }
 
-  /** A control machine keeps 19 s of changes, so that who was away for longer needs a snapshot. */
-  private static DistributionTerms shortTails() {
-    DistributionTerms usual = DistributionTerms.usual();
-    return new DistributionTerms(usual.batchDelay(), usual.heartbeatEvery(), usual.reportEvery(),
-        usual.parentSilentAfter(), usual.orphanAfter(), usual.retryParentAfter(), usual.childSilentAfter(),
-        usual.fetchAgainAfter(), usual.lease(), usual.drift(), usual.burst(), usual.window(),
-        usual.batchBytes(), 64, usual.tailBytes(), usual.aheadEntries(), usual.mostChildren(),
-        usual.snapshotGap());
+  /** A control machine keeps 19 s of changes, so that a host that was away for longer needs a snapshot. */
+  private static DistributionTerms settingsWithShortTails() {
+    DistributionTerms defaults = DistributionTerms.usual();
+    return new DistributionTerms(defaults.batchDelay(), defaults.heartbeatEvery(), defaults.reportEvery(),
+        defaults.parentSilentAfter(), defaults.orphanAfter(), defaults.retryParentAfter(),
+        defaults.childSilentAfter(), defaults.fetchAgainAfter(), defaults.lease(), defaults.drift(), defaults.burst(), defaults.window(),
+        defaults.batchBytes(), 64, defaults.tailBytes(), defaults.aheadEntries(), defaults.mostChildren(),
+        defaults.snapshotGap());
   }
 
-  private static void purge(ControlFleet fleet, int number) {
-    fleet.submit(new PurgeChange(1, PurgeScope.KEY, String.format("%016x", number * 0x9e3779b97f4a7c15L),
-        1_764_000_000_000L + number));
+  private static void purge(ControlFleet fleet, int index) {
+    fleet.submit(new PurgeChange(1, PurgeScope.KEY, String.format("%016x", index * 0x9e3779b97f4a7c15L),
+        1_764_000_000_000L + index));
   }
 
-  private static void play(ControlFleet fleet, double seconds, int perSecond) {
+  private static void submitChanges(ControlFleet fleet, double seconds, int perSecond) {
     double end = fleet.now() + 1_000 * seconds;
-    int number = 0;
+    int index = 0;
     while (fleet.now() < end) {
-      purge(fleet, number++);
+      purge(fleet, index++);
       fleet.runTo(Math.min(end, fleet.now() + 1_000.0 / perSecond));
     }
   }
 
-  private static void assertSound(ControlFleet fleet) {
+  private static void assertNoRuleBroken(ControlFleet fleet) {
     ChangeChecks checks = fleet.checks();
     assertEquals(0, checks.twice(), "twice");
     assertEquals(0, checks.outOfOrder(), "out of order");
@@ -67,13 +70,13 @@
   }
 
   @Test
-  void aQuietFleetHasEveryChangeSoonAndTheLeaderKnows() {
+  void withoutFaultsAllChangesArriveSoonAndTheLeaderTracksThem() {
     ControlFleet fleet = fleet(1);
     fleet.runTo(5_000);
     fleet.countFromNow();
-    play(fleet, 20, 27);
+    submitChanges(fleet, 20, 27);
     fleet.runTo(fleet.now() + 3_000);
-    assertSound(fleet);
+    assertNoRuleBroken(fleet);
     assertAllReached(fleet);
     assertTrue(fleet.checks().purgeMax() < 1_200, "longest: " + fleet.checks().purgeMax());
     long last = fleet.checks().log().size();
@@ -87,27 +90,30 @@
     }
   }
 
-  /** Everything at once: loss, repeats, late messages, crashes, pauses, cuts and new leaders. */
-  private static void trouble(ControlFleet fleet, Random random) {
+  /**
+   * Injects a random fault: message loss, duplicates, delays, a crash, a pause, a cut, or a fault of the
+   * leader.
+   */
+  private static void injectFault(ControlFleet fleet, Random random) {
     int host = random.nextInt(fleet.layout().hosts());
     int proxy = fleet.layout().controls() + random.nextInt(40);
     switch (random.nextInt(7)) {
       case 0 -> restart(fleet, proxy, 500 + 8_000 * random.nextDouble());
-      case 1 -> stall(fleet, proxy, 500 + 4_000 * random.nextDouble());
+      case 1 -> pauseFor(fleet, proxy, 500 + 4_000 * random.nextDouble());
       case 2 -> isolate(fleet, fleet.layout().ofRegion(1), 1_000 + 25_000 * random.nextDouble());
       case 3 -> isolate(fleet, List.of(proxy), 1_000 + 25_000 * random.nextDouble());
       case 4 -> cutOneWay(fleet, host, random.nextInt(fleet.layout().hosts()), 5_000 * random.nextDouble());
-      case 5 -> trouble(fleet, fleet.leader(), random);
+      case 5 -> injectFault(fleet, fleet.leader(), random);
       default -> fleet.network().trouble(0.05 * random.nextDouble(), 0.05 * random.nextDouble(),
           0.1 * random.nextDouble(), 3_000);
     }
     fleet.changed(List.of());
   }
 
-  /** The leader stands still or is restarted: another is elected. */
-  private static void trouble(ControlFleet fleet, int leader, Random random) {
+  /** Pauses or restarts the leader, so that another is elected. */
+  private static void injectFault(ControlFleet fleet, int leader, Random random) {
     if (leader >= 0 && random.nextBoolean()) {
-      stall(fleet, leader, 500 + 3_000 * random.nextDouble());
+      pauseFor(fleet, leader, 500 + 3_000 * random.nextDouble());
     } else if (leader >= 0 && allControlsRun(fleet)) {
       restart(fleet, leader, 500 + 2_000 * random.nextDouble());
     }
@@ -128,7 +134,7 @@
     }
   }
 
-  private static void stall(ControlFleet fleet, int proxy, double time) {
+  private static void pauseFor(ControlFleet fleet, int proxy, double time) {
     fleet.pause(proxy);
     fleet.at(fleet.now() + time, () -> fleet.resume(proxy));
   }
@@ -147,7 +153,7 @@
   }
 
   static LongStream seeds() {
-    return LongStream.range(FIRST, FIRST + SEEDS);
+    return LongStream.range(FIRST_SEED, FIRST_SEED + SEEDS);
   }
 
   @ParameterizedTest
@@ -155,22 +161,22 @@
   void underAnyTroublesNothingIsLostTwiceOrWronglyDone(long seed) {
     Random random = new Random(seed);
     ControlFleet fleet = fleet(seed);
-    fleet.runTo(FOUNDING);
+    fleet.runTo(FAULTS_START_MS);
     for (int i = 0; i < 40; i++) {
-      trouble(fleet, random);
-      play(fleet, 3 * random.nextDouble(), 27);
-      assertSound(fleet);
+      injectFault(fleet, random);
+      submitChanges(fleet, 3 * random.nextDouble(), 27);
+      assertNoRuleBroken(fleet);
     }
-    fleet.runTo(fleet.now() + 30_000); // until all troubles are over
+    fleet.runTo(fleet.now() + 30_000); // until all faults have ended
     fleet.mendNetwork();
     fleet.changed(List.of());
     fleet.runTo(fleet.now() + 20_000);
-    assertSound(fleet);
+    assertNoRuleBroken(fleet);
     assertAllReached(fleet);
     assertEquals(0, fleet.log().pending(), "not committed");
     long last = fleet.checks().log().size();
     assertTrue(fleet.node(fleet.leader()).tracker().completion(last, fleet.now()).isDoneEverywhere());
-    assertTrue(fleet.checks().snapshots() > 0, "nobody needed a snapshot");
-    assertTrue(fleet.progressChecks().fencedSeen() > 0, "nobody was fenced");
+    assertTrue(fleet.checks().snapshots() > 0, "no host needed a snapshot");
+    assertTrue(fleet.progressChecks().fencedSeen() > 0, "no host was fenced");
   }
 }
--- a/src/test/java/beampoint/emulator/ControlScenarioTest.java
+++ b/src/test/java/beampoint/emulator/ControlScenarioTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The scenario of a fleet's control: its file, and a small one of its kind played. */
+/** Control scenarios: their files, and runs of a small one. */
 class ControlScenarioTest {
 
-  private static final long FIRST = Long.getLong("control.first", 1); // a longer hunt names others
+  private static final long FIRST_SEED = Long.getLong("control.first", 1); // set for longer searches
   private static final int SEEDS = Integer.getInteger("control.seeds", 5);
   private static final String DAY = """
       version: 1
@@ -44,8 +44,8 @@
   }
 
   @Test
-  void eachFaultOfAFileIsToldWithItsPlace() {
-    String[][] wrong = {
+  void eachErrorInAFileIsReportedWithLineAndField() {
+    String[][] cases = {
         {"proxies: 120", "proxys: 120", "day.yaml, line 1, field 'proxies': missing"},
         {"proxies: 120", "proxies: 0", "day.yaml, line 5, field 'proxies': 0 is not from 1 to 4000"},
         {"sites: 12", "sites: 121", "day.yaml, line 6, field 'sites': 121 is not from 1 to 120"},
@@ -59,24 +59,24 @@
         {"region: 2", "zone: 2", "day.yaml, line 16, field 'faults[1].region': missing"},
         {"for_s: 10", "for_s: 30", "day.yaml, line 16, field 'faults[1].for_s': 30 is not from 0.1 to 28"},
     };
-    for (String[] each : wrong) {
-      String problem = problem(DAY.replace(each[0], each[1]));
-      assertTrue(problem.contains(each[2]), problem);
+    for (String[] example : cases) {
+      String problem = problem(DAY.replace(example[0], example[1]));
+      assertTrue(problem.contains(example[2]), problem);
     }
   }
 
   @Test
-  void theGivenScenarioIsSoundAndOfTheWholeSize() throws InputException {
+  void theDeployedScenarioCanBeReadAndHasTheFullSize() throws InputException {
     Path file = Path.of("deploy/scenarios/fleet-size.yaml");
     assertTrue(ControlScenario.isOne(file));
-    ControlScenario day = ControlScenario.read(file);
-    assertEquals(new ControlScenario.Size(2_300, 180, 31, 8, 13), day.size());
-    assertEquals(27, day.changes().purges());
+    ControlScenario scenario = ControlScenario.read(file);
+    assertEquals(new ControlScenario.Size(2_300, 180, 31, 8, 13), scenario.size());
+    assertEquals(27, scenario.changes().purges());
     assertTrue(!ControlScenario.isOne(Path.of("deploy/scenarios/release-day.yaml")));
   }
 
   static LongStream seeds() {
-    return LongStream.range(FIRST, FIRST + SEEDS);
+    return LongStream.range(FIRST_SEED, FIRST_SEED + SEEDS);
   }
 
   @ParameterizedTest
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void aBrokenLimitIsTold() throws InputException {
+  void aBrokenLimitIsReported() throws InputException {
     String strict = DAY.replace("purge_ms: 2400", "purge_ms: 10");
     ControlReport report = ControlEmulation.run(ControlScenario.parse("day.yaml", strict));
     assertEquals(1, report.broken().stream().filter(b -> b.startsWith("changes.purge_max_ms is ")).count());
@@ -97,11 +97,11 @@
 
   @Test
   void theSameSeedGivesTheSameFigures() throws InputException {
-    ControlScenario day = ControlScenario.parse("day.yaml", DAY.replace("seconds: 40", "seconds: 28"));
-    assertEquals(reproducible(ControlEmulation.run(day)), reproducible(ControlEmulation.run(day)));
+    ControlScenario scenario = ControlScenario.parse("day.yaml", DAY.replace("seconds: 40", "seconds: 28"));
+    assertEquals(reproducible(ControlEmulation.run(scenario)), reproducible(ControlEmulation.run(scenario)));
   }
 
-  /** All figures but those of this process. */
+  /** All figures except those measured on this process. */
   private static List<String> reproducible(ControlReport report) {
     return report.figures().entrySet().stream()
         .filter(e -> !e.getKey().equals("control.cpu_part") && !e.getKey().equals("control.heap_mb"))
--- a/src/test/java/beampoint/emulator/EmulationTest.java
+++ b/src/test/java/beampoint/emulator/EmulationTest.java
@@ -22,7 +22,7 @@
 import java.util.function.BiFunction;
 import org.junit.jupiter.api.Test;
 
-/** The model of a fleet: exact for a seed, sensitive to each fault, and its checks of the rules can fail. */
+/** The fleet model: it is reproducible, reacts to each fault, and its checks detect broken rules. */
 class EmulationTest {
 
   static final String DAY = """
@@ -42,30 +42,30 @@
       origin: {servers: 10, work_ms: 60, queue: 100}
       """;
 
-  private static Scenario day(String... more) throws InputException {
+  private static Scenario scenario(String... more) throws InputException {
     return Scenario.parse("test", DAY + String.join("\n", more));
   }
 
   private static Scenario with(String fault) throws InputException {
-    return day("faults: [" + fault + "]");
+    return scenario("faults: [" + fault + "]");
   }
 
-  private static Report play(Scenario scenario) {
+  private static Report run(Scenario scenario) {
     return Emulation.run(scenario, BalancerPolicy::new);
   }
 
-  /** A module that does what a test says, and so breaks rules on purpose. */
-  private static Report play(Scenario scenario,
-      BiFunction<Balancer.Event, Map<String, Endpoint>, List<Send>> wrong) {
+  /** Runs a scenario with a decision module that sends as the test says, to break rules on purpose. */
+  private static Report run(Scenario scenario,
+      BiFunction<Balancer.Event, Map<String, Endpoint>, List<Send>> module) {
     return Emulation.run(scenario, settings -> new Balancer() {
-      private final Map<String, Endpoint> seen = new TreeMap<>();
+      private final Map<String, Endpoint> endpoints = new TreeMap<>();
 
       @Override
       public List<Action> handle(double now, Event event) {
         if (event instanceof ListReceived e) {
-          e.endpoints().forEach(endpoint -> seen.put(endpoint.id(), endpoint));
+          e.endpoints().forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
         }
-        List<Action> actions = new ArrayList<>(wrong.apply(event, seen));
+        List<Action> actions = new ArrayList<>(module.apply(event, endpoints));
         if (event instanceof AttemptEnded e && !e.done() && actions.isEmpty()) {
           actions.add(new Fail(e.id()));
         }
@@ -74,22 +74,22 @@
     });
   }
 
-  private static void assertTold(Report report, String rule) {
-    assertTrue(report.brokenRules().stream().anyMatch(told -> told.contains(rule)),
+  private static void assertBroken(Report report, String rule) {
+    assertTrue(report.brokenRules().stream().anyMatch(broken -> broken.contains(rule)),
         "" + report.brokenRules());
   }
 
   @Test
-  void oneSeedGivesOneReportToTheLastDigitAndAnotherSeedAnother() throws Exception {
+  void theSameSeedGivesTheSameReportAndAnotherSeedADifferentOne() throws Exception {
     Scenario scenario = with("{what: crash, at_s: 4, for_s: 3, part: 0.3}");
-    Map<String, Double> first = play(scenario).figures();
-    assertEquals(first, play(scenario).figures());
-    assertNotEquals(first, play(scenario.withSeed(2)).figures());
+    Map<String, Double> first = run(scenario).figures();
+    assertEquals(first, run(scenario).figures());
+    assertNotEquals(first, run(scenario.withSeed(2)).figures());
   }
 
   @Test
-  void aCalmDayIsServedAndBreaksNoRule() throws Exception {
-    Report report = play(day());
+  void aScenarioWithoutFaultsIsServedAndBreaksNoRule() throws Exception {
+    Report report = run(scenario());
     assertEquals(List.of(), report.brokenRules());
     assertTrue(report.service() > 0.97, "service: " + report.service());
     Map<String, Double> figures = report.figures();
@@ -97,37 +97,38 @@
     assertTrue(figures.get("all.p50_ms") > 5 && figures.get("all.p50_ms") < 200);
     double ended = figures.get("all.in_time") + figures.get("all.late") + figures.get("all.refused")
         + figures.get("all.failed");
-    assertTrue(figures.get("all.asked") - ended < 30, "only what is open at the end has not ended");
+    assertTrue(figures.get("all.asked") - ended < 30,
+        "only requests that are open at the end have not ended");
   }
 
-  /** Each fault leaves its mark, and none breaks a rule at this size. */
+  /** Each fault affects the results, and none breaks a rule at this size. */
   @Test
-  void eachFaultShows() throws Exception {
-    Report calm = play(day());
-    Map<String, Result> marks = new HashMap<>();
-    marks.put("{what: crash, at_s: 4, for_s: 3, part: 0.3}", Result.CONNECT_FAILED);
-    marks.put("{what: silent, at_s: 4, for_s: 3, part: 0.3}", Result.TIMEOUT);
-    marks.put("{what: errors, at_s: 4, for_s: 3, part: 0.3}", Result.ERROR);
-    marks.put("{what: refuse, at_s: 4, for_s: 3, part: 0.3}", Result.CONNECT_FAILED);
-    for (Map.Entry<String, Result> mark : marks.entrySet()) {
-      Report report = play(with(mark.getKey()));
-      assertEquals(List.of(), report.brokenRules(), mark.getKey());
-      assertTrue(report.count(mark.getValue()) > calm.count(mark.getValue()), mark.getKey());
+  void eachFaultAffectsTheResults() throws Exception {
+    Report calm = run(scenario());
+    Map<String, Result> expectedResults = new HashMap<>();
+    expectedResults.put("{what: crash, at_s: 4, for_s: 3, part: 0.3}", Result.CONNECT_FAILED);
+    expectedResults.put("{what: silent, at_s: 4, for_s: 3, part: 0.3}", Result.TIMEOUT);
+    expectedResults.put("{what: errors, at_s: 4, for_s: 3, part: 0.3}", Result.ERROR);
+    expectedResults.put("{what: refuse, at_s: 4, for_s: 3, part: 0.3}", Result.CONNECT_FAILED);
+    for (Map.Entry<String, Result> expected : expectedResults.entrySet()) {
+      Report report = run(with(expected.getKey()));
+      assertEquals(List.of(), report.brokenRules(), expected.getKey());
+      assertTrue(report.count(expected.getValue()) > calm.count(expected.getValue()), expected.getKey());
     }
     for (String fault : List.of("{what: slow, at_s: 2, for_s: 9, part: 1, factor: 9}",
         "{what: origin-slow, at_s: 2, for_s: 9, factor: 9}", "{what: restart, at_s: 4, for_s: 2, part: 0.5}",
         "{what: surge, at_s: 2, for_s: 9, tenant: one, factor: 8}")) {
-      assertTrue(play(with(fault)).service() < calm.service() - 0.01, fault);
+      assertTrue(run(with(fault)).service() < calm.service() - 0.01, fault);
     }
-    Report roll = play(with("{what: roll, at_s: 2, for_s: 6, part: 1}"));
+    Report roll = run(with("{what: roll, at_s: 2, for_s: 6, part: 1}"));
     assertEquals(List.of(), roll.brokenRules());
-    assertTrue(roll.figures().get("cold_multiple") > 0.1, "successors were sent something");
+    assertTrue(roll.figures().get("cold_multiple") > 0.1, "the replacements get requests");
   }
 
-  /** While discovery is down nobody learns of a death; the module finds out by itself. */
+  /** While discovery is down proxies are not notified of a crash; the module has to detect it itself. */
   @Test
-  void whatDiscoveryDoesNotTellIsToldOnceItIsBack() throws Exception {
-    Report report = play(day("faults:", "  - {what: discovery-down, at_s: 2, for_s: 6}",
+  void crashesDuringAnOutageOfDiscoveryAreDetectedByTheModule() throws Exception {
+    Report report = run(scenario("faults:", "  - {what: discovery-down, at_s: 2, for_s: 6}",
         "  - {what: crash, at_s: 3, for_s: 100, part: 0.3}"));
     assertEquals(List.of(), report.brokenRules());
     assertTrue(report.count(Result.CONNECT_FAILED) > 10);
@@ -139,42 +140,42 @@
   }
 
   @Test
-  void aRequestThatNobodyAnswersIsTold() throws Exception {
-    Report report = play(day(), (event, seen) -> List.of());
-    assertTold(report, "lost");
+  void anUnansweredRequestIsReported() throws Exception {
+    Report report = run(scenario(), (event, endpoints) -> List.of());
+    assertBroken(report, "lost");
     assertTrue(report.brokenRuleCount() > 1000);
   }
 
   @Test
-  void anUnsafeEffectThatRunsTwiceIsTold() throws Exception {
-    Report report = play(day("clients: {retries: 0}"), (event, seen) -> event instanceof RequestReceived e
-        ? List.of(new Send(e.id(), "origin", 30))
+  void anUnsafeEffectThatRunsTwiceIsReported() throws Exception {
+    Report report = run(scenario("clients: {retries: 0}"),
+        (event, endpoints) -> event instanceof RequestReceived e ? List.of(new Send(e.id(), "origin", 30))
         : event instanceof AttemptEnded e && e.result() == Result.TIMEOUT && e.attempt() < 2
             ? List.of(new Send(e.id(), "origin", 0))
         : List.of());
-    assertTold(report, "ran twice");
+    assertBroken(report, "ran twice");
   }
 
   @Test
-  void aSendPastADrainsGraceIsTold() throws Exception {
-    Report report = play(with("{what: roll, at_s: 2, for_s: 1, part: 1}"),
-        (event, seen) -> event instanceof RequestReceived e ? List.of(to(e, "cache-0")) : List.of());
-    assertTold(report, "drain's grace");
+  void anAttemptAfterADrainsGracePeriodIsReported() throws Exception {
+    Report report = run(with("{what: roll, at_s: 2, for_s: 1, part: 1}"),
+        (event, endpoints) -> event instanceof RequestReceived e ? List.of(to(e, "cache-0")) : List.of());
+    assertBroken(report, "drain's grace");
   }
 
   @Test
-  void aColdCacheThatIsPushedOverIsTold() throws Exception {
-    Report report = play(with("{what: crash, at_s: 2, for_s: 1, part: 0.1}"), (event, seen) -> {
-      Endpoint cold = seen.values().stream().filter(n -> n.startedAt() > 0).findFirst().orElse(null);
+  void anOverloadedColdCacheIsReported() throws Exception {
+    Report report = run(with("{what: crash, at_s: 2, for_s: 1, part: 0.1}"), (event, endpoints) -> {
+      Endpoint cold = endpoints.values().stream().filter(n -> n.startedAt() > 0).findFirst().orElse(null);
       String chosen = cold == null || cold.state() != EndpointState.RUNNING ? "origin" : cold.id();
       return event instanceof RequestReceived e ? List.of(to(e, chosen)) : List.of();
     });
-    assertTold(report, "pushed over");
+    assertBroken(report, "pushed over");
   }
 
-  /** Drains told before discovery went down bind a process that starts meanwhile. */
+  /** A process that starts during an outage of discovery has to respect drains announced before. */
   @Test
-  void aDrainToldBeforeARestartIsKeptWhileDiscoveryIsDown() throws Exception {
+  void aDrainAnnouncedBeforeARestartIsRespectedWhileDiscoveryIsDown() throws Exception {
     for (int outage : new int[] {2, 8, 30}) {
       Scenario scenario = Scenario.parse("test", DAY.replace("seconds: 12", "seconds: 45") + """
           faults:
@@ -182,7 +183,7 @@
             - {what: discovery_down, at_s: 3, for_s: %d}
             - {what: restart, at_s: 3.5, for_s: 0.5, part: 1}
           """.formatted(outage));
-      assertEquals(List.of(), play(scenario).brokenRules(), "an outage of " + outage + " s");
+      assertEquals(List.of(), run(scenario).brokenRules(), "an outage of " + outage + " s");
     }
   }
 }
--- a/src/test/java/beampoint/emulator/FleetTopology.java
+++ b/src/test/java/beampoint/emulator/FleetTopology.java
@@ -3,10 +3,10 @@
 import java.util.function.IntPredicate;
 import java.util.stream.IntStream;
 
-/** Where the members of a fleet stand: at sites, in zones of regions, as evenly as their numbers allow. */
+/** The placement of a fleet's members: evenly over sites, which belong to zones and regions. */
 record FleetTopology(int members, int sites, int zones, int regions) {
 
-  /** The coming fleet: 180 sites in 31 zones of 8 regions. */
+  /** The topology of the planned fleet: 180 sites in 31 zones of 8 regions. */
   static FleetTopology of(int members) {
     return new FleetTopology(members, 180, 31, 8);
   }
@@ -23,7 +23,7 @@
     return zone(member) * regions / zones;
   }
 
-  int[] membersOf(IntPredicate place) {
-    return IntStream.range(0, members).filter(place).toArray();
+  int[] membersOf(IntPredicate filter) {
+    return IntStream.range(0, members).filter(filter).toArray();
   }
 }
--- a/src/test/java/beampoint/emulator/LeastSquares.java
+++ b/src/test/java/beampoint/emulator/LeastSquares.java
@@ -1,7 +1,7 @@
 package beampoint.emulator;
 
-/** A line through points by least squares, and how far the worst point lies from it. */
-record LeastSquares(double atZero, double slope, double worstResidual) {
+/** A straight line fitted by least squares, and the largest distance of a point from it. */
+record LeastSquares(double intercept, double slope, double worstResidual) {
 
   static LeastSquares fit(double[] x, double[] y) {
     double meanX = mean(x);
@@ -13,12 +13,12 @@
       squares += (x[i] - meanX) * (x[i] - meanX);
     }
     double slope = squares == 0 ? 0 : products / squares;
-    double atZero = meanY - slope * meanX;
+    double intercept = meanY - slope * meanX;
     double worst = 0;
     for (int i = 0; i < x.length; i++) {
-      worst = Math.max(worst, Math.abs(y[i] - atZero - slope * x[i]));
+      worst = Math.max(worst, Math.abs(y[i] - intercept - slope * x[i]));
     }
-    return new LeastSquares(atZero, slope, worst);
+    return new LeastSquares(intercept, slope, worst);
   }
 
   private static double mean(double[] values) {
--- a/src/test/java/beampoint/emulator/LoopbackTest.java
+++ b/src/test/java/beampoint/emulator/LoopbackTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The same day with real processes: what they do is near what the model says, and none outlives the run. */
+/** Scenarios with real proxy processes: results are close to the model's, and no process outlives the run. */
 @Timeout(90)
 class LoopbackTest {
 
@@ -33,46 +33,48 @@
     return ProcessHandle.current().children().filter(ProcessHandle::isAlive).count();
   }
 
-  /** On a machine that is too busy a run is void, or an answer late: it is played again, a few times. */
-  private Loopback.Outcome play(Scenario day) throws Exception {
-    Loopback.Outcome outcome = Loopback.run(day, command(), directory);
-    for (int i = 0; i < 4 && !isSound(outcome); i++) {
-      outcome = Loopback.run(day, command(), directory);
+  /** Runs a scenario, up to five times, as on a busy machine a run may be void or an answer late. */
+  private Loopback.Outcome run(Scenario scenario) throws Exception {
+    Loopback.Outcome outcome = Loopback.run(scenario, command(), directory);
+    for (int i = 0; i < 4 && !isValid(outcome); i++) {
+      outcome = Loopback.run(scenario, command(), directory);
     }
     assertNotNull(outcome.report(), outcome.failureReason());
     return outcome;
   }
 
-  private static boolean isSound(Loopback.Outcome outcome) {
+  private static boolean isValid(Loopback.Outcome outcome) {
     return outcome.report() != null && outcome.report().brokenRules().isEmpty();
   }
 
   @Test
-  void aDayOfCrashesIsServedAsTheModelSaysAndNoProcessIsLeft() throws Exception {
-    Scenario day = Scenario.parse("test", DAY + "faults: [{what: crash, at_s: 1, for_s: 2, part: 0.3}]\n");
+  void crashesAreServedAsInTheModelAndNoProcessIsLeft() throws Exception {
+    Scenario scenario =
+        Scenario.parse("test", DAY + "faults: [{what: crash, at_s: 1, for_s: 2, part: 0.3}]\n");
     long before = children();
-    Report real = play(day).report();
-    Report model = Emulation.run(day, BalancerPolicy::new);
-    assertEquals(List.of(), real.brokenRules());
-    assertEquals(model.figures().get("all.asked"), real.figures().get("all.asked"), 3, "the same requests");
-    assertEquals(model.service(), real.service(), 0.15);
-    double ended = real.figures().get("ended.ok") + real.figures().get("ended.miss");
-    assertTrue(ended > real.figures().get("all.asked") / 2, "its answers came of the model's nodes");
-    assertTrue(real.figures().get("fetches") > 10);
+    Report actual = run(scenario).report();
+    Report expected = Emulation.run(scenario, BalancerPolicy::new);
+    assertEquals(List.of(), actual.brokenRules());
+    assertEquals(expected.figures().get("all.asked"), actual.figures().get("all.asked"), 3, "requests");
+    assertEquals(expected.service(), actual.service(), 0.15);
+    double ended = actual.figures().get("ended.ok") + actual.figures().get("ended.miss");
+    assertTrue(ended > actual.figures().get("all.asked") / 2, "attempts answered by the model's nodes");
+    assertTrue(actual.figures().get("fetches") > 10);
     assertEquals(before, children());
   }
 
   @Test
-  void aProxyThatIsKilledAndStartsAgainServesOn() throws Exception {
-    Scenario day = Scenario.parse("test", DAY + "faults: [{what: restart, at_s: 1, for_s: 0.5, part: 1}]\n");
-    Report real = play(day).report();
-    assertEquals(List.of(), real.brokenRules());
-    assertTrue(real.service() > 0.3, "service: " + real.service());
-    assertTrue(real.service() < 1, "while none is there nobody is served");
+  void aProxyThatIsKilledAndRestartedServesAgain() throws Exception {
+    Scenario scenario =
+        Scenario.parse("test", DAY + "faults: [{what: restart, at_s: 1, for_s: 0.5, part: 1}]\n");
+    Report actual = run(scenario).report();
+    assertEquals(List.of(), actual.brokenRules());
+    assertTrue(actual.service() > 0.3, "service: " + actual.service());
+    assertTrue(actual.service() < 1, "no request is served while all proxies are down");
   }
 
   @Test
-  void aProxyThatDoesNotStartMakesTheRunVoidAndLeavesNothing() throws Exception {
+  void aProxyThatDoesNotStartMakesTheRunVoidAndLeavesNoProcess() throws Exception {
     long before = children();
     Loopback.Outcome outcome =
         Loopback.run(Scenario.parse("test", DAY), List.of(JAVA, "-cp", "none", "none.Main"), directory);
@@ -81,9 +83,9 @@
     assertEquals(before, children());
   }
 
-  /** Guards against a load maker whose own lag passes for the proxies'. */
+  /** Guards against taking delays of an overloaded load generator for delays of the proxies. */
   @Test
-  void theLoadMakersOwnLatenessIsMeasured() {
+  void theLatenessOfTheLoadGeneratorIsMeasured() {
     WallClock clock = new WallClock();
     double now = clock.now();
     clock.at(now, () -> {
--- a/src/test/java/beampoint/emulator/MemberFaults.java
+++ b/src/test/java/beampoint/emulator/MemberFaults.java
@@ -5,27 +5,28 @@
 import java.util.Random;
 import java.util.function.IntPredicate;
 
-/** Faults of a whole fleet in virtual time, with 1% loss, and what became of its view. */
+/** Faults of a fleet in virtual time with 1% message loss, and their effect on the members' views. */
 final class MemberFaults {
 
   static final int RESTARTS = 26;
   private static final double LOSS = 0.01;
-  private static final double SETTLED_AT = 10_000; // ms
-  private static final double LOOK_EVERY = 100;
-  private static final double GIVE_UP_AFTER = 120_000;
-  private static final double HEARD_WITHIN = 1_000; // of its start, before which a crash is still news
+  private static final double SETTLED_AT_MS = 10_000;
+  private static final double CHECK_INTERVAL_MS = 100;
+  private static final double TIMEOUT_MS = 120_000;
+  /** From a member's start; a death before that is no false positive, as its last crash still spreads. */
+  private static final double ANNOUNCED_AFTER_MS = 1_000;
   private static final double NEVER = Double.POSITIVE_INFINITY;
 
   /**
-   * What a fault led to.
+   * The effect of a fault.
    *
    * @param affected members that were lost, cut off or restarted
-   * @param falsePositives members that ran, could be reached, and became dead in another's view, by pairs
-   * @param deaths members that became dead in another's view, by pairs
-   * @param oneViewAfter ms from the fault, or from its end where it ends, until all see the same members live
-   * @param worstSecond bytes that a member sent in its worst second since the fault
-   * @param worstSecondOfDatagrams the same without whole views
-   * @param meanBytes a member sent a second since the fault
+   * @param falsePositives pairs of a member that was up and reachable and one that declared it dead
+   * @param deaths pairs of a member and one that declared it dead
+   * @param oneViewAfter ms from the fault, or from its end if it ends, until all views agree on who is live
+   * @param worstSecond the most bytes that a member sent in one second since the fault
+   * @param worstSecondOfDatagrams the same without full views
+   * @param meanBytes the mean of the bytes that a member sent per second since the fault
    */
   record Outcome(String fault, int affected, long falsePositives, int deaths, double oneViewAfter,
       long worstSecond, long worstSecondOfDatagrams, double meanBytes) {}
@@ -43,12 +44,12 @@
     fleet.loseEverywhere(LOSS);
   }
 
-  /** All members of a zone are gone at once. */
+  /** Kills all members of a zone at once. */
   Outcome zoneLost(int zone) {
     return lost("a zone gone at once", topology.membersOf(member -> topology.zone(member) == zone));
   }
 
-  /** All members of a site are gone at once. */
+  /** Kills all members of a site at once. */
   Outcome rackLost(int site) {
     return lost("a rack gone at once", topology.membersOf(member -> topology.site(member) == site));
   }
@@ -56,19 +57,19 @@
   private Outcome lost(String fault, int[] lost) {
     begin();
     Arrays.stream(lost).forEach(fleet::kill);
-    double after = untilOneView(topology.members() - lost.length);
+    double after = runUntilOneView(topology.members() - lost.length);
     return outcome(fault, lost.length, after, member -> false);
   }
 
-  /** A region and the others don't reach each other for a time; the outcome is that since it was healed. */
-  Outcome regionCut(int region, double cutFor) {
+  /** Cuts a region off from the others for a time (ms); the outcome covers the time after it has healed. */
+  Outcome regionCut(int region, double cutDuration) {
     IntPredicate inside = member -> topology.region(member) == region;
     begin();
     setLossBetweenSides(inside, 1);
     double cutAt = fleet.now();
     double oneViewOfEachSide = NEVER;
-    while (fleet.now() < cutAt + cutFor) {
-      fleet.runTo(fleet.now() + LOOK_EVERY);
+    while (fleet.now() < cutAt + cutDuration) {
+      fleet.runTo(fleet.now() + CHECK_INTERVAL_MS);
       if (oneViewOfEachSide == NEVER && isSplit(inside)) {
         oneViewOfEachSide = fleet.now() - cutAt;
       }
@@ -77,7 +78,7 @@
         outcome("while it was cut off", topology.membersOf(inside).length, oneViewOfEachSide, inside));
     setLossBetweenSides(inside, LOSS);
     begin();
-    double after = untilOneView(topology.members());
+    double after = runUntilOneView(topology.members());
     return outcome("a region cut off and healed", topology.membersOf(inside).length, after, inside);
   }
 
@@ -90,16 +91,16 @@
         && fleet.isOfOneView(inside) && fleet.isOfOneView(inside.negate());
   }
 
-  private void setLossBetweenSides(IntPredicate inside, double part) {
+  private void setLossBetweenSides(IntPredicate inside, double fraction) {
     for (int from : topology.membersOf(inside)) {
       for (int to : topology.membersOf(inside.negate())) {
-        fleet.lose(from, to, part);
-        fleet.lose(to, from, part);
+        fleet.lose(from, to, fraction);
+        fleet.lose(to, from, fraction);
       }
     }
   }
 
-  /** Members restart in one minute, each down for 0.5 to 8 s; the time counts from the last start. */
+  /** Restarts members within one minute, each down for 0.5 to 8 s; times count from the last start. */
   Outcome restarts() {
     Random random = new Random(seed);
     begin();
@@ -112,31 +113,31 @@
       fleet.runTo(faultAt + (i + 1) * every);
     }
     fleet.runTo(fleet.now() + 8_000);
-    double after = untilOneView(topology.members());
+    double after = runUntilOneView(topology.members());
     return outcome(RESTARTS + " restarts in a minute", RESTARTS, after, member -> false);
   }
 
   private void begin() {
-    if (fleet.now() < SETTLED_AT) {
-      fleet.runTo(SETTLED_AT);
+    if (fleet.now() < SETTLED_AT_MS) {
+      fleet.runTo(SETTLED_AT_MS);
     }
     faultAt = fleet.now();
     fleet.traffic().forgetWorst();
     bytesBefore = fleet.traffic().datagramBytes() + fleet.traffic().viewBytes();
   }
 
-  private double untilOneView(int living) {
+  private double runUntilOneView(int liveMembers) {
     double begin = fleet.now();
-    while (fleet.now() < begin + GIVE_UP_AFTER) {
-      fleet.runTo(fleet.now() + LOOK_EVERY);
-      if (fleet.isOfOneView() && fleet.membership(oneThatRuns()).liveCount() == living) {
+    while (fleet.now() < begin + TIMEOUT_MS) {
+      fleet.runTo(fleet.now() + CHECK_INTERVAL_MS);
+      if (fleet.isOfOneView() && fleet.membership(firstRunning()).liveCount() == liveMembers) {
         return fleet.now() - begin;
       }
     }
     return NEVER;
   }
 
-  private int oneThatRuns() {
+  private int firstRunning() {
     int member = 0;
     while (fleet.membership(member) == null) {
       member++;
@@ -145,7 +146,7 @@
   }
 
   private Outcome outcome(String fault, int affected, double after, IntPredicate cutOff) {
-    long falsePositives = fleet.deaths().stream().filter(death -> death.ranFor() >= HEARD_WITHIN)
+    long falsePositives = fleet.deaths().stream().filter(death -> death.ranFor() >= ANNOUNCED_AFTER_MS)
         .filter(death -> cutOff.test(death.of()) == cutOff.test(death.by())).count();
     long bytes = fleet.traffic().datagramBytes() + fleet.traffic().viewBytes() - bytesBefore;
     double mean = bytes * 1_000.0 / (fleet.now() - faultAt) / topology.members();
--- a/src/test/java/beampoint/emulator/MemberFaultsTest.java
+++ b/src/test/java/beampoint/emulator/MemberFaultsTest.java
@@ -6,12 +6,15 @@
 import beampoint.emulator.MemberFaults.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Faults of whole places, in a smaller fleet of the shape of the coming one (its size: MemberFaultStudy). */
+/**
+ * Faults of zones, sites and regions in a smaller fleet of the planned shape; MemberFaultStudy runs full
+ * size.
+ */
 class MemberFaultsTest {
 
   private static final FleetTopology TOPOLOGY = new FleetTopology(155, 62, 31, 8);
-  private static final double DETECTED_WITHIN = 8_000; // ms
-  private static final double HEALED_WITHIN = 10_000;
+  private static final double MAX_DETECTION_MS = 8_000;
+  private static final double MAX_HEALING_MS = 10_000;
 
   private static void check(Outcome outcome, double within) {
     assertEquals(0, outcome.falsePositives(), outcome::toString);
@@ -19,22 +22,22 @@
   }
 
   @Test
-  void aZoneThatIsGoneAtOnceIsKnownToAllAndTakesNobodyWithIt() {
-    check(new MemberFaults(TOPOLOGY, 1).zoneLost(17), DETECTED_WITHIN);
+  void theLossOfAZoneIsDetectedByAllWithoutFalsePositives() {
+    check(new MemberFaults(TOPOLOGY, 1).zoneLost(17), MAX_DETECTION_MS);
   }
 
   @Test
-  void aRackThatIsGoneAtOnceIsKnownToAllAndTakesNobodyWithIt() {
-    check(new MemberFaults(TOPOLOGY, 2).rackLost(30), DETECTED_WITHIN);
+  void theLossOfASiteIsDetectedByAllWithoutFalsePositives() {
+    check(new MemberFaults(TOPOLOGY, 2).rackLost(30), MAX_DETECTION_MS);
   }
 
   @Test
-  void restartsInARowAreNoFalsePositives() {
-    check(new MemberFaults(TOPOLOGY, 3).restarts(), HEALED_WITHIN);
+  void successiveRestartsCauseNoFalsePositives() {
+    check(new MemberFaults(TOPOLOGY, 3).restarts(), MAX_HEALING_MS);
   }
 
   @Test
-  void aRegionThatWasCutOffIsOfOneViewWithTheOthersAgain() {
-    check(new MemberFaults(TOPOLOGY, 4).regionCut(3, 60_000), HEALED_WITHIN);
+  void aRegionThatWasCutOffAgreesWithTheOthersAgain() {
+    check(new MemberFaults(TOPOLOGY, 4).regionCut(3, 60_000), MAX_HEALING_MS);
   }
 }
--- a/src/test/java/beampoint/emulator/MemberFleetTest.java
+++ b/src/test/java/beampoint/emulator/MemberFleetTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Members of a fleet in virtual time, under faults. */
+/** A fleet of members in virtual time under faults. */
 class MemberFleetTest {
 
   private static MemberFleet fleet(int members, long seed) {
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void aCrashIsKnownToAllWithinFiveSeconds() {
+  void aCrashIsDetectedByAllWithinFiveSeconds() {
     for (int members : new int[] {3, 14, 100}) {
       MemberFleet fleet = fleet(members, members);
       fleet.kill(1);
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void whoStoodStillForThreeSecondsIsNotDeclaredDeadAndDeclaresNobodyDead() {
+  void aMemberPausedForThreeSecondsIsNotDeclaredDeadAndDeclaresNoneDead() {
     for (int members : new int[] {3, 14, 100}) {
       MemberFleet fleet = fleet(members, members);
       for (int i = 0; i < 10; i++) {
@@ -52,22 +52,22 @@
   }
 
   @Test
-  void lossPausesAndOneSidedCutsTogetherKillNobody() {
+  void lossPausesAndOneWayCutsTogetherCauseNoFalsePositives() {
     for (long seed = 1; seed <= 3; seed++) {
       int members = 20;
       MemberFleet fleet = fleet(members, seed);
       Random random = new Random(seed);
       fleet.loseEverywhere(0.05);
-      fleet.delay(1, 60, 0.1); // late, overtaken, repeated
+      fleet.delay(1, 60, 0.1); // delayed, reordered and duplicated messages
       for (int i = 0; i < 60; i++) {
         int one = random.nextInt(members);
         int other = (one + 1 + random.nextInt(members - 1)) % members;
-        int still = random.nextInt(members);
+        int paused = random.nextInt(members);
         double at = fleet.now();
         fleet.lose(one, other, 1);
-        fleet.pause(still);
+        fleet.pause(paused);
         fleet.runTo(at + 500 + random.nextInt(2_500));
-        fleet.resume(still);
+        fleet.resume(paused);
         fleet.runTo(at + 10_000);
         fleet.lose(one, other, 0.05);
       }
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void whoHearsNobodyStaysAliveInTheViewOfTheOthersAndAccusesNobody() {
+  void aMemberThatReceivesNothingStaysAliveAndDeclaresNoneDead() {
     for (int members : new int[] {3, 14, 60}) {
       MemberFleet fleet = fleet(members, members);
       IntStream.range(0, members).forEach(i -> fleet.lose(i, 2, 1));
@@ -89,15 +89,15 @@
     }
   }
 
-  /** Guards against suspicions that ran out while a member doubted itself, and kill as soon as that ends. */
+  /** Guards against suspicions that expire while a member may be isolated and take effect when that ends. */
   @Test
-  void whoHearsAgainAfterItWasDeafGivesThoseItSuspectsTheirWholeTime() {
+  void aMemberThatReceivesAgainGivesSuspectedMembersTheFullTime() {
     for (long seed = 0; seed < 10; seed++) {
       MemberFleet fleet = fleet(3, seed);
-      fleet.lose(1, 0, 1); // n0 suspects n1, and only n2 could help
+      fleet.lose(1, 0, 1); // n0 suspects n1, and only n2 could probe it for n0
       fleet.pause(2);
       fleet.runTo(7_600);
-      fleet.lose(2, 0, 1); // before it hears of a refutation it hears nobody
+      fleet.lose(2, 0, 1); // n0 receives nothing more, so it gets no refutation
       fleet.resume(2);
       fleet.runTo(14_000);
       fleet.lose(2, 0, 0);
@@ -107,11 +107,12 @@
   }
 
   @Test
-  void whoIsHeardByNobodyPoisonsNobodysViewAndReturns() {
+  void aMemberThatCannotSendDoesNotDistortViewsAndReturns() {
     MemberFleet fleet = fleet(14, 9);
     IntStream.range(0, 14).forEach(i -> fleet.lose(2, i, 1));
     fleet.runTo(60_000);
-    assertTrue(fleet.deaths().stream().allMatch(d -> d.of() == 2), "only the mute one is held for dead");
+    assertTrue(fleet.deaths().stream().allMatch(d -> d.of() == 2),
+        "only the member that cannot send is declared dead");
     assertTrue(fleet.membership(2).mayBeIsolated());
     IntStream.range(0, 14).forEach(i -> fleet.lose(2, i, 0));
     fleet.runTo(70_000);
@@ -120,7 +121,7 @@
   }
 
   @Test
-  void aZoneThatWasCutOffForAMinuteIsOfOneViewWithTheOthersWithinTenSeconds() {
+  void aZoneCutOffForAMinuteAgreesWithTheOthersWithinTenSeconds() {
     MemberFleet fleet = fleet(30, 4);
     for (int i = 0; i < 10; i++) {
       for (int j = 10; j < 30; j++) {
@@ -133,15 +134,15 @@
     assertEquals(10, fleet.membership(5).liveCount());
     fleet.loseEverywhere(0);
     double healed = 0;
-    for (double t = 65_100; t <= 75_000 && healed == 0; t += 100) {
-      fleet.runTo(t);
-      healed = fleet.isOfOneView() && fleet.membership(5).liveCount() == 30 ? t - 65_000 : 0;
+    for (double time = 65_100; time <= 75_000 && healed == 0; time += 100) {
+      fleet.runTo(time);
+      healed = fleet.isOfOneView() && fleet.membership(5).liveCount() == 30 ? time - 65_000 : 0;
     }
     assertTrue(healed > 0);
   }
 
   @Test
-  void sevenInTenKilledAtOnceAndBackAgain() {
+  void seventyPercentOfTheMembersCrashAndRestart() {
     MemberFleet fleet = fleet(40, 5);
     IntStream.range(0, 28).forEach(fleet::kill);
     fleet.runTo(20_000);
@@ -154,7 +155,7 @@
   }
 
   @Test
-  void aRestartFasterThanTheDetectionAndAnOrderlyEndAreNoCrashes() {
+  void aRestartFasterThanDetectionAndAGracefulLeaveAreNoCrashes() {
     MemberFleet fleet = fleet(14, 6);
     fleet.kill(3);
     fleet.runTo(5_600);
--- a/src/test/java/beampoint/emulator/MemberScaleStudy.java
+++ b/src/test/java/beampoint/emulator/MemberScaleStudy.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How the cost of a member grows with the fleet, in virtual time; figures of docs/fleet/membership.md:
+ * Measures how the cost of a member grows with the fleet, in virtual time, for docs/fleet/membership.md:
  * {@code mvn -q -B test -Dtest=MemberScaleStudy -DargLine="-Xmx4g -Dstudy.sizes=100,400,1000,2300"}. It takes
- * minutes, and is no part of the build's tests.
+ * minutes and is not run by the build.
  */
 class MemberScaleStudy {
 
@@ -33,23 +33,23 @@
   private static final int SEED = Integer.getInteger("study.seed", 1);
   private static final int MAX_AT_START = Integer.getInteger("study.most.at.start", Integer.MAX_VALUE);
   private static final int WARM_UP_SIZE = 400;
-  private static final MembershipSettings TERMS = MembershipSettings.defaults();
+  private static final MembershipSettings SETTINGS = MembershipSettings.defaults();
   private static final double LOSS = 0.01;
-  private static final double MEASURED_FROM = 10_000; // ms
-  private static final double MEASURED_TO = 700_000; // so that the exchange of each of 2,300 members is in it
+  private static final double MEASUREMENT_START_MS = 10_000;
+  private static final double MEASUREMENT_END_MS = 700_000; // covers a view exchange of each of 2,300 members
   private static final int CRASHES = 2;
-  private static final double AFTER_CRASH = 7_000; // ms
+  private static final double DETECTION_TIME_MS = 7_000; // allowed for the detection of a crash by all
   private static final int REPLAYED_MEMBERS = 8;
-  private static final int REPLAYS = 40; // of each, of which the first half warms up
+  private static final int REPLAYS = 40; // per member; the first half warms up the JIT compiler
   private static final int HEAP_COPIES = 10;
-  private static final int NEWS_OF_A_PART = 1_000; // of a view, for a codec that reads no more at once
+  private static final int STATES_PER_PART = 1_000; // limit of the codec for one message of a view
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
   private final Codec codec = new Codec("emulated");
 
-  private double nanosOfViews; // of the last replay
+  private double viewNanos; // of the last replay
 
-  /** One row of figures for each size, by their names. */
+  /** The figures by name, each with a value per fleet size. */
   private final Map<String, double[]> figures = new LinkedHashMap<>();
 
   @Test
@@ -70,18 +70,18 @@
   }
 
   private void put(String name, int index, double value) {
-    figures.computeIfAbsent(name, n -> nothing())[index] = value;
+    figures.computeIfAbsent(name, n -> missingValues())[index] = value;
   }
 
-  private static double[] nothing() {
+  private static double[] missingValues() {
     double[] values = new double[SIZES.length];
     Arrays.fill(values, Double.NaN);
     return values;
   }
 
-  /** A fleet that has run for long, and then crashes of single members. */
+  /** Measures a fleet in a steady state, and then crashes of single members. */
   private void measureFleet(int index, int members) throws MalformedMessageException {
-    MemberFleet fleet = MemberFleet.settled(members, TERMS, SEED);
+    MemberFleet fleet = MemberFleet.settled(members, SETTINGS, SEED);
     fleet.measureBy(System::nanoTime);
     fleet.loseEverywhere(LOSS);
     Map<Integer, List<TimedEvent>> recorded = new LinkedHashMap<>();
@@ -89,19 +89,19 @@
       int member = i * members / REPLAYED_MEMBERS;
       recorded.put(member, fleet.record(member));
     }
-    fleet.runTo(MEASURED_FROM);
+    fleet.runTo(MEASUREMENT_START_MS);
     fleet.traffic().forgetWorst();
     long datagrams = fleet.traffic().datagramBytes();
     long views = fleet.traffic().viewBytes();
     long messages = fleet.messages();
-    long machine = fleet.machineNanos();
+    long machineNanos = fleet.machineNanos();
     long wall = System.nanoTime();
     long cpu = THREADS.getCurrentThreadCpuTime();
-    fleet.runTo(MEASURED_TO);
+    fleet.runTo(MEASUREMENT_END_MS);
     cpu = THREADS.getCurrentThreadCpuTime() - cpu;
     wall = System.nanoTime() - wall;
-    double machineShare = (fleet.machineNanos() - machine) / (double) wall;
-    double memberSeconds = members * (MEASURED_TO - MEASURED_FROM) / 1_000;
+    double machineShare = (fleet.machineNanos() - machineNanos) / (double) wall;
+    double memberSeconds = members * (MEASUREMENT_END_MS - MEASUREMENT_START_MS) / 1_000;
     replay(index, fleet, recorded);
     put("CPU ms a member a second, machine in the fleet", index, cpu * machineShare / 1e6 / memberSeconds);
     put("CPU ms a member a second, with emulator", index, cpu / 1e6 / memberSeconds);
@@ -117,15 +117,15 @@
     put("false positives", index, falsePositives);
   }
 
-  /** All members start at once, and each is news to all others. */
+  /** Measures the start of all members at once, when the state of each is new to all others. */
   private void massStart(int index, int members) {
-    MemberFleet fleet = new MemberFleet(members, TERMS, SEED);
+    MemberFleet fleet = new MemberFleet(members, SETTINGS, SEED);
     fleet.loseEverywhere(LOSS);
-    fleet.runTo(MEASURED_FROM);
+    fleet.runTo(MEASUREMENT_START_MS);
     long datagrams = fleet.traffic().datagramBytes();
     long cpu = THREADS.getCurrentThreadCpuTime();
-    fleet.runTo(2 * MEASURED_FROM);
-    double memberSeconds = members * MEASURED_FROM / 1_000;
+    fleet.runTo(2 * MEASUREMENT_START_MS);
+    double memberSeconds = members * MEASUREMENT_START_MS / 1_000;
     put("all start at once: CPU ms, with emulator", index,
         (THREADS.getCurrentThreadCpuTime() - cpu) / 1e6 / memberSeconds);
     put("all start at once: datagram bytes a second", index,
@@ -133,7 +133,10 @@
     put("all start at once: bytes in worst second", index, fleet.traffic().worstSecond());
   }
 
-  /** What a member that joins exchanges: the view's length, and the time to write, read and merge it. */
+  /**
+   * Measures the full view that a joining member exchanges: its length and the CPU time to write, read and
+   * merge it.
+   */
   private void wholeView(int index, List<MemberState> known) throws MalformedMessageException {
     double[] written = new double[REPLAYS];
     double[] readAndMerged = new double[REPLAYS];
@@ -141,7 +144,7 @@
       long begin = THREADS.getCurrentThreadCpuTime();
       List<byte[]> parts = write(new MemberEvent.ViewReceived(known));
       long middle = THREADS.getCurrentThreadCpuTime();
-      Membership joining = new Membership(TERMS, known.get(0).member(), known.get(0).address(), List.of(),
+      Membership joining = new Membership(SETTINGS, known.get(0).member(), known.get(0).address(), List.of(),
           RandomSource.XO_SHI_RO_256_PP.create(i), 0);
       joining.handle(0, read(new MemberEvent.ViewReceived(known), parts));
       written[i] = (middle - begin) / 1e6;
@@ -159,34 +162,34 @@
       int others = members - 1 - i;
       double at = fleet.now();
       fleet.kill(victim);
-      fleet.runTo(at + AFTER_CRASH);
+      fleet.runTo(at + DETECTION_TIME_MS);
       List<Death> known = fleet.deaths().stream().filter(d -> d.of() == victim).toList();
-      long knowing = known.stream().map(Death::by).distinct().count();
+      long detections = known.stream().map(Death::by).distinct().count();
       double last = known.stream().mapToDouble(Death::at).max().orElse(0) - at;
-      worst = Math.max(worst, knowing < others ? Double.POSITIVE_INFINITY : last);
+      worst = Math.max(worst, detections < others ? Double.POSITIVE_INFINITY : last);
     }
     return worst;
   }
 
-  /** CPU of one member's events, in ns: all, of that whole views, and with its codec. */
-  private record Replayed(double all, double ofViews, double withCodec) {}
+  /** CPU time of one member's events in ns: all, only full views, and all including the codec. */
+  private record Replayed(double all, double viewsOnly, double withCodec) {}
 
-  /** Plays the events of some members again, each alone, as a process of its own would meet them. */
+  /** Replays the events of some members, each alone, as in a process of its own. */
   private void replay(int index, MemberFleet fleet, Map<Integer, List<TimedEvent>> recorded)
       throws MalformedMessageException {
     double all = 0;
-    double ofViews = 0;
+    double viewsOnly = 0;
     double withCodec = 0;
     for (Map.Entry<Integer, List<TimedEvent>> member : recorded.entrySet()) {
       Replayed replayed = replay(fleet, member.getKey(), List.copyOf(member.getValue()));
       all += replayed.all();
-      ofViews += replayed.ofViews();
+      viewsOnly += replayed.viewsOnly();
       withCodec += replayed.withCodec();
     }
-    double perSecond = 1e6 * REPLAYED_MEMBERS * (MEASURED_TO - MEASURED_FROM) / 1_000;
+    double perSecond = 1e6 * REPLAYED_MEMBERS * (MEASUREMENT_END_MS - MEASUREMENT_START_MS) / 1_000;
     put("CPU ms a member a second, machine alone", index, all / perSecond);
-    put("CPU ms a member a second, of that views", index, ofViews / perSecond);
-    put("CPU ms a member a second, machine without views", index, (all - ofViews) / perSecond);
+    put("CPU ms a member a second, of that views", index, viewsOnly / perSecond);
+    put("CPU ms a member a second, machine without views", index, (all - viewsOnly) / perSecond);
     put("CPU ms a member a second, machine and codec", index, withCodec / perSecond);
   }
 
@@ -197,35 +200,35 @@
       written.add(write(event.event()));
     }
     double[] all = new double[REPLAYS];
-    double[] ofViews = new double[REPLAYS];
+    double[] viewsOnly = new double[REPLAYS];
     double[] withCodec = new double[REPLAYS];
     for (int i = 0; i < REPLAYS; i++) {
       all[i] = replayOnce(fleet.asAtItsStart(member), recorded, null);
-      ofViews[i] = nanosOfViews;
+      viewsOnly[i] = viewNanos;
       withCodec[i] = replayOnce(fleet.asAtItsStart(member), recorded, written);
     }
-    return new Replayed(median(all), median(ofViews), median(withCodec));
+    return new Replayed(median(all), median(viewsOnly), median(withCodec));
   }
 
   private double replayOnce(Membership membership, List<TimedEvent> recorded, List<List<byte[]>> written)
       throws MalformedMessageException {
-    int next = 0;
-    while (next < recorded.size() && recorded.get(next).at() < MEASURED_FROM) {
-      membership.handle(recorded.get(next).at(), recorded.get(next).event());
-      next++;
+    int index = 0;
+    while (index < recorded.size() && recorded.get(index).at() < MEASUREMENT_START_MS) {
+      membership.handle(recorded.get(index).at(), recorded.get(index).event());
+      index++;
     }
-    nanosOfViews = 0;
+    viewNanos = 0;
     long begin = THREADS.getCurrentThreadCpuTime();
-    for (; next < recorded.size() && recorded.get(next).at() <= MEASURED_TO; next++) {
-      TimedEvent event = recorded.get(next);
+    for (; index < recorded.size() && recorded.get(index).at() <= MEASUREMENT_END_MS; index++) {
+      TimedEvent event = recorded.get(index);
       boolean isView = event.event() instanceof MemberEvent.ViewReceived;
       long at = isView ? System.nanoTime() : 0;
-      MemberEvent came = written == null ? event.event() : read(event.event(), written.get(next));
-      List<MemberAction> actions = membership.handle(event.at(), came);
+      MemberEvent input = written == null ? event.event() : read(event.event(), written.get(index));
+      List<MemberAction> actions = membership.handle(event.at(), input);
       if (isView) {
-        writeView(membership, written != null); // it is sent as well, before or after
+        writeView(membership, written != null); // an exchange also writes the own view
       }
-      nanosOfViews += isView ? System.nanoTime() - at : 0;
+      viewNanos += isView ? System.nanoTime() - at : 0;
       if (written != null) {
         actions.forEach(this::write);
       }
@@ -251,8 +254,8 @@
     if (event instanceof MemberEvent.Received e) {
       written.add(codec.write(e.message()));
     } else if (event instanceof MemberEvent.ViewReceived e) {
-      for (int i = 0; i < e.view().size(); i += NEWS_OF_A_PART) {
-        written.add(codec.writeView(e.view().subList(i, Math.min(e.view().size(), i + NEWS_OF_A_PART))));
+      for (int i = 0; i < e.view().size(); i += STATES_PER_PART) {
+        written.add(codec.writeView(e.view().subList(i, Math.min(e.view().size(), i + STATES_PER_PART))));
       }
     }
     return written;
@@ -273,28 +276,28 @@
     return event;
   }
 
-  /** What a member holds that has read a whole view, each entry with texts of its own. */
+  /** The heap use of a member that has read a full view, with separate string instances in each entry. */
   private double heapOfOne(List<MemberState> known) throws MalformedMessageException {
     Membership[] copies = new Membership[HEAP_COPIES];
     long before = heap();
     for (int i = 0; i < HEAP_COPIES; i++) {
       List<MemberState> read = ((MemberEvent.ViewReceived) read(new MemberEvent.ViewReceived(known),
           write(new MemberEvent.ViewReceived(known)))).view();
-      copies[i] = new Membership(TERMS, "n0000", "10.0.0.0:7946", List.of(),
+      copies[i] = new Membership(SETTINGS, "n0000", "10.0.0.0:7946", List.of(),
           RandomSource.XO_SHI_RO_256_PP.create(i), 0);
       copies[i].handle(0, new MemberEvent.ViewReceived(read));
-      for (double time = TERMS.tickInterval(); time < 400 * TERMS.tickInterval(); time +=
-          TERMS.tickInterval()) {
-        copies[i].handle(time, new MemberEvent.Tick()); // until all rumours have been told
+      for (double time = SETTINGS.tickInterval(); time < 400 * SETTINGS.tickInterval(); time +=
+          SETTINGS.tickInterval()) {
+        copies[i].handle(time, new MemberEvent.Tick()); // until all queued updates have been sent
         copies[i].handle(time, new MemberEvent.Received(
             new Message(Message.Kind.GOSSIP, 0, read.get(1), "", List.of())));
       }
     }
-    double used = heap() - before;
-    long living = Arrays.stream(copies).mapToLong(m -> m.view().stream()
+    double usedBytes = heap() - before;
+    long liveCount = Arrays.stream(copies).mapToLong(m -> m.view().stream()
         .filter(n -> n.status() == Status.ALIVE || n.status() == Status.SUSPECT).count()).sum();
-    System.out.println("heap of " + living + " entries that live: " + (long) used);
-    return used / HEAP_COPIES;
+    System.out.println("heap of " + liveCount + " entries that live: " + (long) usedBytes);
+    return usedBytes / HEAP_COPIES;
   }
 
   private static long heap() {
@@ -304,7 +307,7 @@
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
 
-  /** Of the second half, in which all is compiled. */
+  /** The median of the second half, which runs compiled code. */
   private static double median(double[] values) {
     double[] last = Arrays.copyOfRange(values, values.length / 2, values.length);
     Arrays.sort(last);
@@ -325,7 +328,7 @@
   }
 
   private static String text(LeastSquares line, String unit) {
-    return String.format("%.4g + %.4g %s, worst residual %.2g", line.atZero(), line.slope(), unit,
+    return String.format("%.4g + %.4g %s, worst residual %.2g", line.intercept(), line.slope(), unit,
         line.worstResidual());
   }
 }
--- a/src/test/java/beampoint/emulator/MemberStudy.java
+++ b/src/test/java/beampoint/emulator/MemberStudy.java
@@ -11,13 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The figures of docs/fleet/membership.md: mvn test -Dtest=MemberStudy -DargLine="-Dstudy.runs=1000". It
- * takes minutes, and is no part of the build's tests.
+ * Measures detection and traffic of the membership protocol, for docs/fleet/membership.md:
+ * {@code mvn test -Dtest=MemberStudy -DargLine="-Dstudy.runs=1000"}. It takes minutes and is not run by the
+ * build.
  */
 class MemberStudy {
 
   private static final int RUNS = Integer.getInteger("study.runs", 100);
-  private static final MembershipSettings USUAL = MembershipSettings.defaults();
+  private static final MembershipSettings DEFAULTS = MembershipSettings.defaults();
 
   private static String quantiles(List<Double> values) {
     Collections.sort(values);
@@ -25,32 +26,33 @@
         values.get((int) Math.ceil(values.size() * 0.99) - 1), values.get(values.size() - 1), values.size());
   }
 
-  /** From a crash until the last member knows it. */
+  /** Measures the time from a crash until the last member has detected it. */
   @Test
   void crashes() {
     for (int members : new int[] {3, 14, 100, 400}) {
-      for (MembershipSettings terms : List.of(USUAL, USUAL.withoutSuspicion())) {
+      for (MembershipSettings settings : List.of(DEFAULTS, DEFAULTS.withoutSuspicion())) {
         List<Double> all = new ArrayList<>(IntStream.range(0, Math.min(RUNS, 40_000 / members)).parallel()
             .mapToObj(seed -> {
-              MemberFleet fleet = new MemberFleet(members, terms, seed);
+              MemberFleet fleet = new MemberFleet(members, settings, seed);
               fleet.loseEverywhere(0.01);
               fleet.runTo(5_000 + 37.0 * seed);
               double at = fleet.now();
               fleet.kill(seed % members);
               fleet.runTo(at + 20_000);
-              long knowing = fleet.deaths().stream().filter(d -> d.of() == seed % members).map(Death::by)
+              long detections = fleet.deaths().stream().filter(d -> d.of() == seed % members).map(Death::by)
                   .distinct().count();
-              return knowing < members - 1 ? 99_999.0 : fleet.deaths().stream()
+              return detections < members - 1 ? 99_999.0 : fleet.deaths().stream()
                   .filter(d -> d.of() == seed % members).mapToDouble(Death::at).max().orElse(0) - at;
             }).toList());
-        System.out.println("crash " + members + (terms == USUAL ? " usual " : " plain ") + quantiles(all));
+        System.out.println("crash " + members + (settings == DEFAULTS ? " usual " : " plain ")
+            + quantiles(all));
       }
     }
   }
 
-  /** Ten minutes of 5% loss with bursts, pauses of up to 3 s and one-sided cuts, all at once. */
-  private static MemberFleet troubles(int members, MembershipSettings terms, long seed) {
-    MemberFleet fleet = new MemberFleet(members, terms, seed);
+  /** Runs a fleet for ten minutes under 5% loss with bursts, pauses of up to 3 s and one-way cuts at once. */
+  private static MemberFleet runWithFaults(int members, MembershipSettings settings, long seed) {
+    MemberFleet fleet = new MemberFleet(members, settings, seed);
     Random random = new Random(seed);
     fleet.loseEverywhere(0.05);
     fleet.runTo(5_000);
@@ -58,9 +60,9 @@
       double at = fleet.now();
       int one = random.nextInt(members);
       int other = (one + 1 + random.nextInt(members - 1)) % members;
-      int still = random.nextInt(members);
+      int paused = random.nextInt(members);
       fleet.lose(one, other, 1);
-      fleet.pause(still);
+      fleet.pause(paused);
       if (i % 6 == 0) {
         fleet.loseEverywhere(0.3); // a burst
         fleet.runTo(at + 500);
@@ -68,7 +70,7 @@
         fleet.lose(one, other, 1);
       }
       fleet.runTo(at + 500 + random.nextInt(2_500));
-      fleet.resume(still);
+      fleet.resume(paused);
       fleet.runTo(at + 10_000);
       fleet.lose(one, other, 0.05);
     }
@@ -78,12 +80,13 @@
   @Test
   void falsePositives() {
     for (int members : new int[] {3, 14}) {
-      for (MembershipSettings terms : List.of(USUAL, USUAL.withoutSuspicion())) {
-        int runs = terms == USUAL ? RUNS : Math.min(RUNS, 20);
+      for (MembershipSettings settings : List.of(DEFAULTS, DEFAULTS.withoutSuspicion())) {
+        int runs = settings == DEFAULTS ? RUNS : Math.min(RUNS, 20);
         long falsePositives = IntStream.range(0, runs).parallel()
-            .mapToLong(seed -> troubles(members, terms, seed).deaths().stream().filter(Death::lived).count())
+            .mapToLong(seed -> runWithFaults(members, settings, seed).deaths().stream().filter(Death::lived)
+                .count())
             .sum();
-        System.out.println("false positives " + members + (terms == USUAL ? " usual " : " plain ")
+        System.out.println("false positives " + members + (settings == DEFAULTS ? " usual " : " plain ")
             + falsePositives + " in " + runs + " runs");
       }
     }
@@ -94,7 +97,7 @@
     for (int members : new int[] {3, 14, 100, 400}) {
       List<Double> all = new ArrayList<>(IntStream.range(0, Math.min(RUNS, 8_000 / members)).parallel()
           .mapToObj(seed -> {
-            MemberFleet fleet = new MemberFleet(members, USUAL, seed);
+            MemberFleet fleet = new MemberFleet(members, DEFAULTS, seed);
             for (int i = 0; i < members / 3; i++) {
               for (int j = members / 3; j < members; j++) {
                 fleet.lose(i, j, 1);
@@ -115,37 +118,41 @@
     }
   }
 
-  /** The plain way: each tells all others twice a second that it lives; who is not heard for 4 s is dead. */
-  private static final class Heartbeats {
+  /**
+   * Plain heartbeats for comparison: each member sends a heartbeat to all others twice a second, and one
+   * whose heartbeats are missing for 4 s is declared dead.
+   */
+  private static final class HeartbeatFleet {
     final Clock clock = new Clock(0);
     final Random random;
     final double[][] heardAt;
     final double[][] losses;
-    final boolean[] still;
+    final boolean[] paused;
     final boolean[][] dead;
     long messages;
     int wrong;
     double lastDeathAt;
 
-    Heartbeats(int members, long seed) {
+    HeartbeatFleet(int members, long seed) {
       random = new Random(seed);
       heardAt = new double[members][members];
       losses = new double[members][members];
-      still = new boolean[members];
+      paused = new boolean[members];
       dead = new boolean[members][members];
       for (int i = 0; i < members; i++) {
         int self = i;
-        clock.after(500 * random.nextDouble(), () -> beat(self));
+        clock.after(500 * random.nextDouble(), () -> sendHeartbeats(self));
       }
     }
 
-    private void beat(int self) {
-      for (int to = 0; !still[self] && to < heardAt.length; to++) {
+    private void sendHeartbeats(int self) {
+      for (int to = 0; !paused[self] && to < heardAt.length; to++) {
         messages += to == self ? 0 : 1;
         boolean lost = random.nextDouble() < losses[self][to];
         int other = to;
         clock.after(2 * random.nextDouble(), () -> {
-          heardAt[other][self] = lost ? heardAt[other][self] : clock.now(); // what waits is read first
+          // A paused member also records heartbeats: it reads the queued ones before it checks for deaths.
+          heardAt[other][self] = lost ? heardAt[other][self] : clock.now();
           dead[other][self] &= lost;
         });
         if (!dead[self][to] && to != self && clock.now() - heardAt[self][to] > 4_000) {
@@ -154,36 +161,36 @@
           lastDeathAt = clock.now();
         }
       }
-      clock.after(500, () -> beat(self));
+      clock.after(500, () -> sendHeartbeats(self));
     }
   }
 
   @Test
   void heartbeats() {
     for (int members : new int[] {3, 14, 100, 400}) {
-      Heartbeats fleet = new Heartbeats(members, 1);
+      HeartbeatFleet fleet = new HeartbeatFleet(members, 1);
       fleet.clock.runTo(20_000);
       System.out.printf("heartbeats %d: %.0f messages a member a second", members,
           fleet.messages / 20.0 / members);
-      fleet.still[0] = true; // for good
+      fleet.paused[0] = true; // does not resume
       fleet.clock.runTo(30_000);
       System.out.printf(", a crash known to all after %.0f ms%n", fleet.lastDeathAt - 20_000);
     }
     for (int members : new int[] {3, 14}) {
       long wrong = 0;
       for (int seed = 0; seed < 20; seed++) {
-        Heartbeats fleet = new Heartbeats(members, seed);
+        HeartbeatFleet fleet = new HeartbeatFleet(members, seed);
         for (double[] row : fleet.losses) {
           Arrays.fill(row, 0.05);
         }
         for (int i = 0; i < 60; i++) {
           int one = fleet.random.nextInt(members);
           int other = (one + 1 + fleet.random.nextInt(members - 1)) % members;
-          int still = fleet.random.nextInt(members);
+          int paused = fleet.random.nextInt(members);
           fleet.losses[one][other] = 1;
-          fleet.still[still] = true;
+          fleet.paused[paused] = true;
           fleet.clock.runTo(10_000.0 * i + 500 + fleet.random.nextInt(2_500));
-          fleet.still[still] = false;
+          fleet.paused[paused] = false;
           fleet.clock.runTo(10_000.0 * (i + 1));
           fleet.losses[one][other] = 0.05;
         }
@@ -196,7 +203,7 @@
   @Test
   void traffic() {
     for (int members : new int[] {3, 14, 100, 400}) {
-      MemberFleet fleet = new MemberFleet(members, USUAL, 1);
+      MemberFleet fleet = new MemberFleet(members, DEFAULTS, 1);
       fleet.loseEverywhere(0.01);
       fleet.runTo(60_000);
       long messages = fleet.messages();
--- a/src/test/java/beampoint/emulator/ReservedPortTest.java
+++ b/src/test/java/beampoint/emulator/ReservedPortTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Guards against two runs beside each other that are given the same port. */
+/** Guards against two concurrent runs getting the same port. */
 @Timeout(30)
 class ReservedPortTest {
 
@@ -29,31 +29,31 @@
   }
 
   @Test
-  void noOtherListenerAndNoClientGetsAHeldPort() throws IOException {
+  void noOtherListenerOrClientGetsAReservedPort() throws IOException {
     try (ReservedPort port = new ReservedPort(); ServerSocketChannel other = ServerSocketChannel.open()) {
       assertThrows(BindException.class, () -> other.bind(address(port)));
     }
-    List<ReservedPort> held = new ArrayList<>();
+    List<ReservedPort> reserved = new ArrayList<>();
     Set<Integer> numbers = new HashSet<>();
     for (int i = 0; i < PORTS; i++) {
-      held.add(new ReservedPort());
-      numbers.add(held.get(i).number());
+      reserved.add(new ReservedPort());
+      numbers.add(reserved.get(i).number());
     }
-    assertEquals(PORTS, numbers.size(), "held twice");
+    assertEquals(PORTS, numbers.size(), "distinct reserved ports");
     for (int i = 0; i < 20 * PORTS; i++) {
       String free = Stub.nobody();
       assertTrue(!numbers.contains(Integer.parseInt(free.substring(free.indexOf(':') + 1))),
-          free + " is held");
+          free + " is reserved");
     }
-    for (ReservedPort port : held) {
+    for (ReservedPort port : reserved) {
       port.close();
     }
   }
 
   @Test
-  void aListenerThatSharesItsAddressTakesTheClientsOfAHeldPort() throws IOException {
+  void aListenerWithAddressReuseAcceptsTheClientsOfAReservedPort() throws IOException {
     try (ReservedPort port = new ReservedPort()) {
-      for (int start = 0; start < 2; start++) { // the second as after a restart
+      for (int start = 0; start < 2; start++) { // the second time as after a restart
         try (ServerSocketChannel listener = ServerSocketChannel.open()) {
           listener.setOption(StandardSocketOptions.SO_REUSEPORT, true);
           listener.bind(address(port));
--- a/src/test/java/beampoint/emulator/ScenarioTest.java
+++ b/src/test/java/beampoint/emulator/ScenarioTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is wrong with a scenario is told by file, line and field, in one sentence; nothing is begun. */
+/** Scenario files: defaults, and errors that name file, line and field in one sentence. */
 class ScenarioTest {
 
   private static final String DAY = """
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void whatIsNotSaidHasAUsualValue() throws Exception {
+  void omittedFieldsHaveDefaults() throws Exception {
     Scenario scenario = Scenario.parse("day.yaml", DAY);
     assertEquals(10_000, scenario.length());
     assertEquals(1200, scenario.kinds().get(0).rules().aim());
@@ -40,9 +40,9 @@
   }
 
   @Test
-  void eachFaultOfAFileIsToldWithItsPlace() {
+  void eachErrorInAFileIsReportedWithLineAndField() {
     String caches = "caches: {count: 6}";
-    String[][] wrong = {
+    String[][] cases = {
         {"proxies: 2", "proxys: 2", "day.yaml, line 1, field 'proxies': missing"},
         {"seconds: 10", "seconds: -1", "day.yaml, line 2, field 'seconds': -1 is not from 1 to 86400"},
         {"seconds: 10", "seconds: soon", "day.yaml, line 2, field 'seconds': not a number: 'soon'"},
@@ -59,49 +59,48 @@
         {caches, caches + "\nfaults: [{what: surge, at_s: 1, tenant: none}]", "no tenant of this scenario"},
         {"tenants: [{name: one, quota_per_s: 100}]", "tenants: []", "'tenants': fewer than 1 entries"},
     };
-    for (String[] each : wrong) {
-      String problem = problem(DAY.replace(each[0], each[1]));
-      assertTrue(problem.contains(each[2]), problem);
+    for (String[] example : cases) {
+      String problem = problem(DAY.replace(example[0], example[1]));
+      assertTrue(problem.contains(example[2]), problem);
     }
   }
 
-  /** Guards against limits that a fleet of the size planned meets: 2,300 proxies, 610 caches, 180 zones. */
+  /** Guards against limits below the size of the planned fleet: 2,300 proxies, 610 caches, 180 zones. */
   @Test
-  void aFleetMayBeAsLargeAsPlannedAndNearlyTwiceThat() throws Exception {
+  void aFleetMayBeNearlyTwiceAsLargeAsPlanned() throws Exception {
     String[][] largest = {{"proxies: 2", "proxies: %d", "4096"}, {"count: 6", "count: %d", "4096"},
         {"proxies: 2", "proxies: 2\nzones: %d", "1024"}};
-    for (String[] each : largest) {
-      int limit = Integer.parseInt(each[2]);
-      Scenario.parse("day.yaml", DAY.replace(each[0], each[1].formatted(limit - 1)));
-      Scenario.parse("day.yaml", DAY.replace(each[0], each[1].formatted(limit)));
-      String problem = problem(DAY.replace(each[0], each[1].formatted(limit + 1)));
+    for (String[] example : largest) {
+      int limit = Integer.parseInt(example[2]);
+      Scenario.parse("day.yaml", DAY.replace(example[0], example[1].formatted(limit - 1)));
+      Scenario.parse("day.yaml", DAY.replace(example[0], example[1].formatted(limit)));
+      String problem = problem(DAY.replace(example[0], example[1].formatted(limit + 1)));
       assertTrue(problem.contains((limit + 1) + " is not from 1 to " + limit), problem);
     }
   }
 
-  /** A file that was cut off anywhere is told, or lacks at its end only what had a usual value. */
+  /** A file truncated anywhere is rejected, or lacks only fields at its end that have defaults. */
   @Test
-  void aTruncatedFileIsNeverHalfRead() {
-    int told = 0;
+  void aTruncatedFileIsRejectedUnlessOnlyDefaultsAreMissing() {
+    int rejected = 0;
     for (int length = 0; length < DAY.length(); length++) {
       try {
         Scenario.parse("day.yaml", DAY.substring(0, length));
       } catch (InputException e) {
-        told++;
+        rejected++;
         assertEquals(1, e.getMessage().lines().count(), e.getMessage());
       }
     }
-    assertTrue(told > DAY.length() - 12, "told: " + told + " of " + DAY.length());
+    assertTrue(rejected > DAY.length() - 12, "rejected: " + rejected + " of " + DAY.length());
   }
 
   @Test
-  void aFileThatIsNotThereIsTold(@TempDir Path directory) {
+  void aMissingFileIsRejected(@TempDir Path directory) {
     assertThrows(InputException.class, () -> Scenario.read(directory.resolve("none.yaml")));
   }
 
-  /** The scenarios that operators are given can be read. */
   @Test
-  void theGivenScenariosAreSound() throws Exception {
+  void theDeployedScenariosCanBeRead() throws Exception {
     try (Stream<Path> files = Files.list(Path.of("deploy/scenarios"))) {
       List<Path> given = files.filter(file -> file.toString().endsWith("-day.yaml")).toList();
       assertTrue(!given.isEmpty());
--- a/src/test/java/beampoint/experiment/ConfidenceIntervalTest.java
+++ b/src/test/java/beampoint/experiment/ConfidenceIntervalTest.java
@@ -26,7 +26,8 @@
       double[] values = random.doubles(10).map(x -> random.nextGaussian()).toArray();
       containsMean += ConfidenceInterval.of(values).excludesZero() ? 0 : 1;
     }
-    assertTrue(containsMean > 0.94 * 4000 && containsMean < 0.96 * 4000, "intervals that contain the mean: " + containsMean);
+    assertTrue(containsMean > 0.94 * 4000 && containsMean < 0.96 * 4000,
+        "intervals that contain the mean: " + containsMean);
   }
 
   /** Seeds differ far more than variants do: only the paired differences show a small effect. */
--- a/src/test/java/beampoint/experiment/ExperimentTest.java
+++ b/src/test/java/beampoint/experiment/ExperimentTest.java
@@ -109,7 +109,8 @@
       }
       containsZero += ConfidenceInterval.ofDifference(one, other).excludesZero() ? 0 : 1;
     }
-    assertTrue(containsZero >= 88 && containsZero < 100, "intervals that contain 0: " + containsZero + " of 100");
+    assertTrue(containsZero >= 88 && containsZero < 100,
+        "intervals that contain 0: " + containsZero + " of 100");
   }
 
   @Test
