--- a/src/main/java/beampoint/emulator/Emulation.java
+++ b/src/main/java/beampoint/emulator/Emulation.java
@@ -14,6 +14,6 @@
   /** Runs a scenario with proxies that are instances of a decision module. */
   public static Report run(Scenario scenario, Function<Settings, Balancer> factory) {
     return new World(scenario, new Clock(START),
-        (world, number, zone) -> new ModuleInstance(world, number, zone, factory)).play();
+        (world, number, zone) -> new ModuleInstance(world, number, zone, factory)).run();
   }
 }
--- a/src/main/java/beampoint/emulator/Loopback.java
+++ b/src/main/java/beampoint/emulator/Loopback.java
@@ -24,7 +24,7 @@
     try (ProcessFleet fleet = new ProcessFleet(scenario, command, directory)) {
       Thread end = new Thread(() -> close(fleet), "end");
       Runtime.getRuntime().addShutdownHook(end); // ends the processes of an interrupted run
-      Report report = fleet.play(MAX_START_MS);
+      Report report = fleet.run(MAX_START_MS);
       Runtime.getRuntime().removeShutdownHook(end);
       double lateness = fleet.lateness();
       if (report == null) {
--- a/src/main/java/beampoint/emulator/ProcessFleet.java
+++ b/src/main/java/beampoint/emulator/ProcessFleet.java
@@ -58,7 +58,7 @@
   /**
    * Runs the scenario once all proxies are ready; null, without a run, if one is not within the limit (ms).
    */
-  Report play(double maxStartTime) throws IOException {
+  Report run(double maxStartTime) throws IOException {
     for (CacheNode node : world.caches()) {
       listenerOf(node);
     }
@@ -75,7 +75,7 @@
     }
     updateNodeListeners();
     sendHeartbeats();
-    return world.playStarted();
+    return world.runStarted();
   }
 
   /** True if a proxy has ended without being killed. */
--- a/src/main/java/beampoint/emulator/World.java
+++ b/src/main/java/beampoint/emulator/World.java
@@ -103,14 +103,14 @@
   }
 
   /** Starts the proxies and runs the scenario. */
-  Report play() {
+  Report run() {
     proxies.forEach(proxy -> proxy.start(remembered));
     proxies.forEach(discovery::subscribe);
-    return playStarted();
+    return runStarted();
   }
 
   /** Runs the scenario with proxies that have been started. */
-  Report playStarted() {
+  Report runStarted() {
     start = clock.now();
     report.start(start);
     new Faults(this, stream(5)).schedule();
--- a/src/main/java/beampoint/experiment/Experiment.java
+++ b/src/main/java/beampoint/experiment/Experiment.java
@@ -51,7 +51,7 @@
       return thread;
     });
     try (RunTable table = new RunTable(directory.resolve("runs.csv"), plan)) {
-      play(results, table, pool, directory);
+      runAll(results, table, pool, directory);
     } finally {
       pool.shutdownNow();
     }
@@ -62,7 +62,7 @@
     return results;
   }
 
-  private void play(Results results, RunTable table, ExecutorService pool, Path directory)
+  private void runAll(Results results, RunTable table, ExecutorService pool, Path directory)
       throws IOException {
     List<List<Future<Report>>> runs = new ArrayList<>();
     for (int repeat = 0; repeat < plan.repeats(); repeat++) {
--- a/src/test/java/beampoint/emulator/ControlFleetTest.java
+++ b/src/test/java/beampoint/emulator/ControlFleetTest.java
@@ -34,9 +34,9 @@
     DistributionTerms defaults = DistributionTerms.usual();
     return new DistributionTerms(defaults.batchDelay(), defaults.heartbeatEvery(), defaults.reportEvery(),
         defaults.parentSilentAfter(), defaults.orphanAfter(), defaults.retryParentAfter(),
-        defaults.childSilentAfter(), defaults.fetchAgainAfter(), defaults.lease(), defaults.drift(), defaults.burst(), defaults.window(),
-        defaults.batchBytes(), 64, defaults.tailBytes(), defaults.aheadEntries(), defaults.mostChildren(),
-        defaults.snapshotGap());
+        defaults.childSilentAfter(), defaults.fetchAgainAfter(), defaults.lease(), defaults.drift(),
+        defaults.burst(), defaults.window(), defaults.batchBytes(), 64, defaults.tailBytes(),
+        defaults.aheadEntries(), defaults.mostChildren(), defaults.snapshotGap());
   }
 
   private static void purge(ControlFleet fleet, int index) {
