--- a/src/main/java/beampoint/emulator/WallClock.java
+++ b/src/main/java/beampoint/emulator/WallClock.java
@@ -60,7 +60,7 @@
       return executed;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IllegalStateException("interrupted while running the clock", e);
+      throw new IllegalStateException("interrupted", e);
     }
   }
 }
