--- a/src/main/java/beampoint/emulator/ProcessFleet.java
+++ b/src/main/java/beampoint/emulator/ProcessFleet.java
@@ -44,12 +44,12 @@
   ProcessFleet(Scenario scenario, List<String> command, Path directory) throws IOException {
     this.command = command;
     this.directory = directory;
-    this.world = new World(scenario, clock, this::make);
+    this.world = new World(scenario, clock, this::create);
   }
 
-  private Instance make(World made, int number, int zone) {
+  private Instance create(World created, int number, int zone) {
     try {
-      return new ProcessInstance(made, number, zone, this);
+      return new ProcessInstance(created, number, zone, this);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -92,7 +92,7 @@
   }
 
   private void sendHeartbeats() {
-    proxies().forEach(ProcessInstance::sendHeartbeats);
+    proxies().forEach(ProcessInstance::sendHeartbeat);
     clock.after(HEARTBEAT_INTERVAL_MS, this::sendHeartbeats);
   }
 
