--- a/src/test/java/beampoint/emulator/EmulationTest.java
+++ b/src/test/java/beampoint/emulator/EmulationTest.java
@@ -150,9 +150,9 @@
   void anUnsafeEffectThatRunsTwiceIsReported() throws Exception {
     Report report = run(scenario("clients: {retries: 0}"),
         (event, endpoints) -> event instanceof RequestReceived e ? List.of(new Send(e.id(), "origin", 30))
-        : event instanceof AttemptEnded e && e.result() == Result.TIMEOUT && e.attempt() < 2
-            ? List.of(new Send(e.id(), "origin", 0))
-        : List.of());
+            : event instanceof AttemptEnded e && e.result() == Result.TIMEOUT && e.attempt() < 2
+                ? List.of(new Send(e.id(), "origin", 0))
+            : List.of());
     assertBroken(report, "ran twice");
   }
 
