--- a/src/main/java/beampoint/emulator/ControlLog.java
+++ b/src/main/java/beampoint/emulator/ControlLog.java
@@ -3,7 +3,6 @@
 import beampoint.fleet.changes.Change;
 import beampoint.fleet.changes.ChangeCodec;
 import beampoint.fleet.changes.ChangeEntry;
-import beampoint.fleet.changes.ChangeFormException;
 import beampoint.fleet.changes.ChangeId;
 import beampoint.fleet.changes.ControlNode;
 import beampoint.fleet.changes.LogAction;
@@ -13,7 +12,8 @@
 import beampoint.fleet.changes.LogAction.Send;
 import beampoint.fleet.changes.LogLimits;
 import beampoint.fleet.changes.LogMessage;
-import beampoint.fleet.changes.LogTerms;
+import beampoint.fleet.changes.LogSettings;
+import beampoint.fleet.changes.MalformedChangeException;
 import beampoint.fleet.changes.ReplicaState;
 import beampoint.fleet.changes.Snapshot;
 import beampoint.fleet.changes.SubmitOutcome.Committed;
@@ -58,7 +58,7 @@
   private final BiConsumer<ControlHost, DistributionEvent> deliver;
   private final Consumer<ControlHost> leaderChanged;
   private final ChangeCodec codec = new ChangeCodec("emulated");
-  private final LogTerms terms;
+  private final LogSettings terms;
   private final LeaseSettings leaseTerms;
   private final Map<ChangeId, Pending> pending = new HashMap<>();
   private long submitted;
@@ -79,7 +79,7 @@
     for (int i = 0; i < layout.controls(); i++) {
       voters.add(layout.place(i).name());
     }
-    this.terms = new LogTerms(voters, RETRY, LogLimits.USUAL);
+    this.terms = new LogSettings(voters, RETRY, LogLimits.DEFAULTS);
     this.leaseTerms = new LeaseSettings(voters, LEASE, DRIFT);
   }
 
@@ -224,7 +224,7 @@
   private LogMessage read(byte[] bytes) {
     try {
       return codec.read(bytes);
-    } catch (ChangeFormException e) {
+    } catch (MalformedChangeException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/src/main/java/beampoint/fleet/changes/ChangeCodec.java
+++ b/src/main/java/beampoint/fleet/changes/ChangeCodec.java
@@ -31,7 +31,7 @@
 /**
  * What control machines say about the change log, in CBOR (RFC 8949): one array that begins with the
  * cluster's name, the version of the form and the kind of message. Any bytes may come: what can't be read is
- * a {@link ChangeFormException} and nothing else.
+ * a {@link MalformedChangeException} and nothing else.
  */
 public final class ChangeCodec {
 
@@ -184,30 +184,30 @@
   }
 
   /** Reads a message of this cluster. */
-  public LogMessage read(byte[] bytes) throws ChangeFormException {
+  public LogMessage read(byte[] bytes) throws MalformedChangeException {
     if (bytes.length > MAX_BYTES) {
-      throw new ChangeFormException("longer than a message may be: " + bytes.length);
+      throw new MalformedChangeException("longer than a message may be: " + bytes.length);
     }
     try (JsonParser parser = FORM.createParser(bytes)) {
       FormReader in = new FormReader(parser);
       in.begin();
       if (!in.name().equals(cluster)) {
-        throw new ChangeFormException("of another cluster");
+        throw new MalformedChangeException("of another cluster");
       }
       long version = in.number();
       if (version != VERSION) {
-        throw new ChangeFormException("of an unknown version: " + version);
+        throw new MalformedChangeException("of an unknown version: " + version);
       }
       LogMessage message = read(in, Kind.values()[(int) in.within(0, Kind.values().length - 1)]);
       in.end();
       in.over();
       return message;
     } catch (IOException | RuntimeException e) {
-      throw new ChangeFormException("no message: " + e.getMessage());
+      throw new MalformedChangeException("no message: " + e.getMessage());
     }
   }
 
-  private static LogMessage read(FormReader in, Kind kind) throws IOException, ChangeFormException {
+  private static LogMessage read(FormReader in, Kind kind) throws IOException, MalformedChangeException {
     return switch (kind) {
       case LEASE_ASK -> new OfLease(new Request(in.epoch(), in.index()));
       case LEASE_PROMISE -> new OfLease(new Promise(in.epoch(), in.index()));
@@ -227,26 +227,26 @@
     };
   }
 
-  private static Recovered recovered(FormReader in) throws IOException, ChangeFormException {
+  private static Recovered recovered(FormReader in) throws IOException, MalformedChangeException {
     Recovered message = new Recovered(in.epoch(), in.epoch(), in.number(), in.flag(), in.epoch(), in.index(),
         EntryForm.readWithoutGaps(in));
     if (!message.tail().isEmpty() && message.tail().get(0).index() != message.commit() + 1) {
-      throw new ChangeFormException("with a tail that does not follow");
+      throw new MalformedChangeException("with a tail that does not follow");
     }
     return message;
   }
 
-  private static Append append(FormReader in) throws IOException, ChangeFormException {
+  private static Append append(FormReader in) throws IOException, MalformedChangeException {
     return new Append(in.epoch(), in.epoch(), in.number(), in.flag(), in.index(), in.index(), in.index(),
         EntryForm.readWithoutGaps(in));
   }
 
-  private static RejoinAnswer rejoinAnswer(FormReader in) throws IOException, ChangeFormException {
+  private static RejoinAnswer rejoinAnswer(FormReader in) throws IOException, MalformedChangeException {
     Epoch identity = in.epoch();
     return new RejoinAnswer(in.number(), identity, in.flag(), in.epoch());
   }
 
-  private static SnapshotPart snapshotPart(FormReader in) throws IOException, ChangeFormException {
+  private static SnapshotPart snapshotPart(FormReader in) throws IOException, MalformedChangeException {
     Epoch identity = in.epoch();
     long index = in.index();
     long completeFrom = in.within(0, index);
@@ -254,17 +254,17 @@
     int parts = (int) in.within(part + 1L, MAX_PARTS);
     List<ChangeEntry> entries = EntryForm.read(in);
     if (!entries.isEmpty() && entries.get(entries.size() - 1).index() > index) {
-      throw new ChangeFormException("with entries that a snapshot can't have");
+      throw new MalformedChangeException("with entries that a snapshot can't have");
     }
     return new SnapshotPart(identity, index, completeFrom, part, parts, entries, floors(in));
   }
 
-  private static SortedMap<String, Long> floors(FormReader in) throws IOException, ChangeFormException {
+  private static SortedMap<String, Long> floors(FormReader in) throws IOException, MalformedChangeException {
     SortedMap<String, Long> floors = new TreeMap<>();
     for (long left = in.within(0, MAX_ORIGINS); left > 0; left--) {
       ChangeId last = new ChangeId(in.text(), in.number());
       if (floors.put(last.origin(), last.number()) != null) {
-        throw new ChangeFormException("with a submitter twice");
+        throw new MalformedChangeException("with a submitter twice");
       }
     }
     return Collections.unmodifiableSortedMap(floors);
--- a/src/main/java/beampoint/fleet/changes/ControlNode.java
+++ b/src/main/java/beampoint/fleet/changes/ControlNode.java
@@ -56,7 +56,7 @@
    * @param life drawn at the start of the process; the lease and its epochs tell lives apart by it
    * @param kept what outlived the process, or {@link ReplicaState#started} where nothing did
    */
-  public ControlNode(LogTerms terms, LeaseSettings leaseTerms, String self, long life, ReplicaState kept,
+  public ControlNode(LogSettings terms, LeaseSettings leaseTerms, String self, long life, ReplicaState kept,
       double now, RandomGenerator random) {
     if (!terms.voters().equals(leaseTerms.voters())) {
       throw new IllegalArgumentException("the log and the lease have other voters");
--- a/src/main/java/beampoint/fleet/changes/EntryForm.java
+++ b/src/main/java/beampoint/fleet/changes/EntryForm.java
@@ -52,17 +52,17 @@
   }
 
   /** Reads entries whose indexes rise. */
-  static List<ChangeEntry> read(FormReader in) throws IOException, ChangeFormException {
+  static List<ChangeEntry> read(FormReader in) throws IOException, MalformedChangeException {
     List<ChangeEntry> entries = new ArrayList<>();
     long before = 0;
     in.begin();
     while (in.another()) {
       if (entries.size() == MAX_ENTRIES) {
-        throw new ChangeFormException("with more entries than there may be");
+        throw new MalformedChangeException("with more entries than there may be");
       }
       ChangeEntry entry = entry(in);
       if (entry.index() <= before || entry.epoch().number() == 0) {
-        throw new ChangeFormException("with entries out of order, or of nobody");
+        throw new MalformedChangeException("with entries out of order, or of nobody");
       }
       before = entry.index();
       entries.add(entry);
@@ -71,16 +71,16 @@
   }
 
   /** Reads entries without gaps. */
-  static List<ChangeEntry> readWithoutGaps(FormReader in) throws IOException, ChangeFormException {
+  static List<ChangeEntry> readWithoutGaps(FormReader in) throws IOException, MalformedChangeException {
     List<ChangeEntry> entries = read(in);
     if (!entries.isEmpty()
         && entries.get(entries.size() - 1).index() - entries.get(0).index() != entries.size() - 1) {
-      throw new ChangeFormException("with a gap between entries");
+      throw new MalformedChangeException("with a gap between entries");
     }
     return entries;
   }
 
-  private static ChangeEntry entry(FormReader in) throws IOException, ChangeFormException {
+  private static ChangeEntry entry(FormReader in) throws IOException, MalformedChangeException {
     long index = in.index();
     Epoch epoch = in.epoch();
     ChangeId id = new ChangeId(in.text(), in.number());
@@ -89,7 +89,7 @@
     return entry;
   }
 
-  private static Change change(FormReader in) throws IOException, ChangeFormException {
+  private static Change change(FormReader in) throws IOException, MalformedChangeException {
     long kind = in.within(CONFIGURATION, PURGE);
     int version = (int) in.within(1, Integer.MAX_VALUE);
     if (kind == CONFIGURATION) {
--- a/src/main/java/beampoint/fleet/changes/FormReader.java
+++ b/src/main/java/beampoint/fleet/changes/FormReader.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 
-/** Reads a message token by token; whatever is not as it should be is a {@link ChangeFormException}. */
+/** Reads a message token by token; whatever is not as it should be is a {@link MalformedChangeException}. */
 final class FormReader {
 
   /** The most characters of a control machine's name. */
@@ -20,80 +20,80 @@
     this.in = in;
   }
 
-  void begin() throws IOException, ChangeFormException {
+  void begin() throws IOException, MalformedChangeException {
     expect(JsonToken.START_ARRAY);
   }
 
-  void end() throws IOException, ChangeFormException {
+  void end() throws IOException, MalformedChangeException {
     expect(JsonToken.END_ARRAY);
   }
 
   /** True where another array begins, false where this one ends. */
-  boolean another() throws IOException, ChangeFormException {
+  boolean another() throws IOException, MalformedChangeException {
     JsonToken token = in.nextToken();
     if (token != JsonToken.START_ARRAY && token != JsonToken.END_ARRAY) {
-      throw new ChangeFormException("cut off, or of another form");
+      throw new MalformedChangeException("cut off, or of another form");
     }
     return token == JsonToken.START_ARRAY;
   }
 
   /** Nothing may follow. */
-  void over() throws IOException, ChangeFormException {
+  void over() throws IOException, MalformedChangeException {
     if (in.nextToken() != null) {
-      throw new ChangeFormException("with more than there may be");
+      throw new MalformedChangeException("with more than there may be");
     }
   }
 
-  String text() throws IOException, ChangeFormException {
+  String text() throws IOException, MalformedChangeException {
     expect(JsonToken.VALUE_STRING);
     return in.getText();
   }
 
-  String name() throws IOException, ChangeFormException {
+  String name() throws IOException, MalformedChangeException {
     String name = text();
     if (name.length() > MAX_NAME || !name.chars().allMatch(c -> c >= ' ' && c <= '~')) {
-      throw new ChangeFormException("with a text that is no name");
+      throw new MalformedChangeException("with a text that is no name");
     }
     return name;
   }
 
-  long number() throws IOException, ChangeFormException {
+  long number() throws IOException, MalformedChangeException {
     expect(JsonToken.VALUE_NUMBER_INT);
     return in.getLongValue();
   }
 
-  long within(long least, long most) throws IOException, ChangeFormException {
+  long within(long least, long most) throws IOException, MalformedChangeException {
     long number = number();
     if (number < least || number > most) {
-      throw new ChangeFormException("with a number out of bounds: " + number);
+      throw new MalformedChangeException("with a number out of bounds: " + number);
     }
     return number;
   }
 
-  long index() throws IOException, ChangeFormException {
+  long index() throws IOException, MalformedChangeException {
     return within(0, MAX_INDEX);
   }
 
-  boolean flag() throws IOException, ChangeFormException {
+  boolean flag() throws IOException, MalformedChangeException {
     JsonToken token = in.nextToken();
     if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
-      throw new ChangeFormException("cut off, or of another form");
+      throw new MalformedChangeException("cut off, or of another form");
     }
     return token == JsonToken.VALUE_TRUE;
   }
 
-  Epoch epoch() throws IOException, ChangeFormException {
+  Epoch epoch() throws IOException, MalformedChangeException {
     Epoch epoch = new Epoch(index(), name(), number());
     boolean nobodys = epoch.number() == 0;
     if (nobodys != epoch.holder().isEmpty() || nobodys && epoch.life() != 0) {
-      throw new ChangeFormException("with an odd epoch");
+      throw new MalformedChangeException("with an odd epoch");
     }
     return epoch;
   }
 
-  private void expect(JsonToken token) throws IOException, ChangeFormException {
+  private void expect(JsonToken token) throws IOException, MalformedChangeException {
     if (in.nextToken() != token) {
-      throw new ChangeFormException("cut off, or of another form");
+      throw new MalformedChangeException("cut off, or of another form");
     }
   }
 }
--- a/src/main/java/beampoint/fleet/changes/LogLimits.java
+++ b/src/main/java/beampoint/fleet/changes/LogLimits.java
@@ -17,7 +17,7 @@
     int keptEntries, int keptPurges, int keptBytes, int origins) {
 
   /** Ten minutes of 27 purges a second in a snapshot, 19 s of them as entries. */
-  public static final LogLimits USUAL = new LogLimits(256, 512 << 10, 1_024, 2 << 20, 512, 16_384, 8 << 20,
+  public static final LogLimits DEFAULTS = new LogLimits(256, 512 << 10, 1_024, 2 << 20, 512, 16_384, 8 << 20,
       1_024);
 
   /** So that what is in flight, and the submitters of a snapshot beside it, fit one message. */
--- a/src/main/java/beampoint/fleet/changes/LogTerms.java
+++ b/src/main/java/beampoint/fleet/changes/LogSettings.java
@@ -9,11 +9,11 @@
  * @param retryAfter after how many ms without an answer a message is sent again; also the pace of heartbeats
  * @param limits what may be held and sent
  */
-public record LogTerms(SortedSet<String> voters, double retryAfter, LogLimits limits) {
+public record LogSettings(SortedSet<String> voters, double retryAfter, LogLimits limits) {
 
   private static final int FEWEST_VOTERS = 3;
 
-  public LogTerms {
+  public LogSettings {
     if (voters.size() < FEWEST_VOTERS || !(retryAfter > 0)) {
       throw new IllegalArgumentException("no terms of a log: " + voters + ", " + retryAfter);
     }
--- a/src/main/java/beampoint/fleet/changes/Replica.java
+++ b/src/main/java/beampoint/fleet/changes/Replica.java
@@ -30,10 +30,10 @@
   /** What becomes of an event. */
   public record Step(ReplicaState state, List<LogAction> actions) {}
 
-  private final LogTerms terms;
+  private final LogSettings terms;
   private final String self;
 
-  public Replica(LogTerms terms, String self) {
+  public Replica(LogSettings terms, String self) {
     if (!terms.voters().contains(self)) {
       throw new IllegalArgumentException(self + " is no voter");
     }
--- a/src/main/java/beampoint/fleet/changes/Turn.java
+++ b/src/main/java/beampoint/fleet/changes/Turn.java
@@ -10,7 +10,7 @@
 /** One step of a replica while it is being made: its state so far, and what is to be done. */
 final class Turn {
 
-  final LogTerms terms;
+  final LogSettings terms;
   final String self;
   final double now;
   final List<LogAction> actions = new ArrayList<>();
@@ -21,7 +21,7 @@
   Epoch leader;
   boolean mayFound;
 
-  Turn(LogTerms terms, String self, double now, ReplicaState state) {
+  Turn(LogSettings terms, String self, double now, ReplicaState state) {
     this.terms = terms;
     this.self = self;
     this.now = now;
--- a/src/test/java/beampoint/fleet/changes/ChangeCodecTest.java
+++ b/src/test/java/beampoint/fleet/changes/ChangeCodecTest.java
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void eachMessageIsReadAsItWasWritten() throws ChangeFormException {
+  void eachMessageIsReadAsItWasWritten() throws MalformedChangeException {
     for (LogMessage message : oneOfEach()) {
       assertEquals(message, CODEC.read(CODEC.write(message)));
     }
@@ -81,7 +81,7 @@
   @Property(tries = 300, seed = "17")
   void entriesAreReadAsTheyWereWritten(@ForAll @Size(max = 20) List<PurgeScope> scopes,
       @ForAll @LongRange(min = 0, max = 1L << 52) long commit, @ForAll long number,
-      @ForAll String text) throws ChangeFormException {
+      @ForAll String text) throws MalformedChangeException {
     String value = Texts.bytes(text) < 1 || Texts.bytes(text) > PurgeChange.MAX_VALUE_BYTES ? "k" : text;
     List<ChangeEntry> entries = new ArrayList<>();
     for (PurgeScope scope : scopes) {
@@ -92,7 +92,7 @@
   }
 
   private static void assertRefused(byte[] bytes, String why) {
-    assertThrows(ChangeFormException.class, () -> CODEC.read(bytes), why);
+    assertThrows(MalformedChangeException.class, () -> CODEC.read(bytes), why);
   }
 
   @Test
@@ -103,7 +103,7 @@
         assertRefused(Arrays.copyOf(bytes, length), "cut to " + length);
       }
       assertRefused(Arrays.copyOf(bytes, bytes.length + 1), "with a byte more");
-      assertThrows(ChangeFormException.class, () -> new ChangeCodec("south").read(bytes));
+      assertThrows(MalformedChangeException.class, () -> new ChangeCodec("south").read(bytes));
     }
   }
 
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void onlyKnownVersionsAndKindsAreRead() throws ChangeFormException {
+  void onlyKnownVersionsAndKindsAreRead() throws MalformedChangeException {
     Body rejoin = out -> {
       out.writeNumber(12);
       out.writeNumber(5);
@@ -139,7 +139,7 @@
     assertRefused(form(1, out -> out.writeNumber(14)), "kind 14");
   }
 
-  private static void assertRead(LogMessage message) throws ChangeFormException {
+  private static void assertRead(LogMessage message) throws MalformedChangeException {
     assertEquals(message, CODEC.read(CODEC.write(message)));
   }
 
@@ -148,7 +148,7 @@
   }
 
   @Test
-  void boundsOfTextsHold() throws ChangeFormException {
+  void boundsOfTextsHold() throws MalformedChangeException {
     for (int bytes : new int[] {1, PurgeChange.MAX_VALUE_BYTES - 1, PurgeChange.MAX_VALUE_BYTES}) {
       assertRead(new Committed(EPOCH, purges(1, 1, "x".repeat(bytes))));
     }
@@ -195,7 +195,7 @@
   }
 
   @Test
-  void boundsOfTextsHoldAgainstWhoWritesOthers() throws ChangeFormException {
+  void boundsOfTextsHoldAgainstWhoWritesOthers() throws MalformedChangeException {
     assertEquals(1, ((Committed) CODEC.read(hostileEntry(2, 1, 0, "x".repeat(1_024)))).entries().size());
     assertRefused(hostileEntry(2, 1, 0, "x".repeat(1_025)), "a long value");
     assertRefused(hostileEntry(2, 1, 0, ""), "no value");
@@ -207,7 +207,7 @@
   }
 
   @Test
-  void boundsOfNumbersHold() throws ChangeFormException {
+  void boundsOfNumbersHold() throws MalformedChangeException {
     long most = 1L << 53;
     for (long number : new long[] {1, most - 1, most}) {
       assertRead(new Recover(new Epoch(number, "a", 0)));
@@ -231,7 +231,7 @@
   }
 
   @Test
-  void boundsOfListsHold() throws ChangeFormException {
+  void boundsOfListsHold() throws MalformedChangeException {
     for (int count : new int[] {0, EntryForm.MAX_ENTRIES - 1, EntryForm.MAX_ENTRIES}) {
       assertRead(new Committed(EPOCH, purges(1, count, "x")));
     }
@@ -253,7 +253,7 @@
 
   /** The longest messages that the limits of a log allow fit; what is longer is not even parsed. */
   @Test
-  void theLongestMessagesFit() throws ChangeFormException {
+  void theLongestMessagesFit() throws MalformedChangeException {
     String longest = "v".repeat(PurgeChange.MAX_VALUE_BYTES);
     List<ChangeEntry> entries = Batches.first(purges(1, 2_000, longest),
         new LogLimits(1_024, 512 << 10, 0, 0, 0, 0, 0, 1));
@@ -281,7 +281,7 @@
     }
   }
 
-  /** Hostile bytes cost themselves: nothing but a ChangeFormException comes of any of them. */
+  /** Hostile bytes cost themselves: nothing but a MalformedChangeException comes of any of them. */
   @Test
   void twoHundredThousandOddMessagesAreReadOrRefused() {
     Random random = new Random(17);
@@ -300,7 +300,7 @@
         LogMessage read = CODEC.read(Arrays.copyOf(odd, odd.length - random.nextInt(2) * (odd.length / 3)));
         byte[] again = CODEC.write(read);
         assertArrayEquals(again, CODEC.write(CODEC.read(again)));
-      } catch (ChangeFormException e) {
+      } catch (MalformedChangeException e) {
         refused++;
       }
     }
--- a/src/test/java/beampoint/fleet/changes/LogSearchTest.java
+++ b/src/test/java/beampoint/fleet/changes/LogSearchTest.java
@@ -36,10 +36,10 @@
   /** Whatever is committed goes into the snapshot at once. */
   private static final Rules COMPACTING = new Rules() {
 
-    private final LogTerms compacted = LogWorld.terms(0);
+    private final LogSettings compacted = LogWorld.terms(0);
 
     @Override
-    public LogTerms terms() {
+    public LogSettings terms() {
       return compacted;
     }
   };
--- a/src/test/java/beampoint/fleet/changes/LogSimulationTest.java
+++ b/src/test/java/beampoint/fleet/changes/LogSimulationTest.java
@@ -54,7 +54,7 @@
   @ParameterizedTest
   @CsvSource({"3, 1", "5, 2", "13, 3"})
   void onACalmNetworkAllIsCommittedSoon(int voters, long seed) {
-    SimulatedCluster cluster = new SimulatedCluster(voters, LogLimits.USUAL, seed);
+    SimulatedCluster cluster = new SimulatedCluster(voters, LogLimits.DEFAULTS, seed);
     cluster.runTo(START);
     submit(cluster, 27, START + 30 * SECOND);
     cluster.runTo(cluster.now + 2 * SECOND);
@@ -68,7 +68,7 @@
   @ParameterizedTest
   @CsvSource({"3, 41", "5, 42", "13, 43"})
   void withATwentiethOfAllMessagesLostCommitsGoOn(int voters, long seed) {
-    SimulatedCluster cluster = new SimulatedCluster(voters, LogLimits.USUAL, seed);
+    SimulatedCluster cluster = new SimulatedCluster(voters, LogLimits.DEFAULTS, seed);
     cluster.runTo(START);
     cluster.loss = 0.05;
     cluster.repeats = 0.05;
@@ -149,7 +149,7 @@
 
   @Test
   void aLeaderThatStopsIsFollowedByAnotherWithinThreeLeases() {
-    SimulatedCluster cluster = new SimulatedCluster(13, LogLimits.USUAL, 7);
+    SimulatedCluster cluster = new SimulatedCluster(13, LogLimits.DEFAULTS, 7);
     cluster.runTo(START);
     for (int i = 0; i < 10; i++) {
       String leader = cluster.leader();
--- a/src/test/java/beampoint/fleet/changes/LogWorld.java
+++ b/src/test/java/beampoint/fleet/changes/LogWorld.java
@@ -32,8 +32,8 @@
   private static final int ENOUGH = 8;
 
   /** Terms under which so many committed entries stay beside the snapshot. */
-  static LogTerms terms(int keptEntries) {
-    return new LogTerms(new TreeSet<>(NAMES), 1,
+  static LogSettings terms(int keptEntries) {
+    return new LogSettings(new TreeSet<>(NAMES), 1,
         new LogLimits(4, 10_000, 4, 10_000, keptEntries, ENOUGH, 10_000, 4));
   }
 
@@ -49,9 +49,9 @@
   /** A replica's step, and what is left of it after its memory was lost: the real ones, or mistaken ones. */
   interface Rules {
 
-    LogTerms NEVER_COMPACTED = LogWorld.terms(ENOUGH);
+    LogSettings NEVER_COMPACTED = LogWorld.terms(ENOUGH);
 
-    default LogTerms terms() {
+    default LogSettings terms() {
       return NEVER_COMPACTED;
     }
 
--- a/src/test/java/beampoint/fleet/changes/SimulatedCluster.java
+++ b/src/test/java/beampoint/fleet/changes/SimulatedCluster.java
@@ -64,7 +64,7 @@
     private boolean done;
   }
 
-  final LogTerms terms;
+  final LogSettings terms;
   final List<String> names = new ArrayList<>();
   final SortedMap<Long, ChangeEntry> ledger = new TreeMap<>();
   final List<Double> latencies = new ArrayList<>();
@@ -95,7 +95,7 @@
       names.add("c" + (i < 10 ? "0" : "") + i);
     }
     SortedSet<String> all = new TreeSet<>(names);
-    terms = new LogTerms(all, 400, limits);
+    terms = new LogSettings(all, 400, limits);
     leaseTerms = new LeaseSettings(all, LEASE, 2 * DRIFT);
     for (String name : names) {
       Machine machine = new Machine();
@@ -190,7 +190,7 @@
     byte[] form = CODEC.write(send.message());
     try {
       assertEquals(send.message(), CODEC.read(form));
-    } catch (ChangeFormException e) {
+    } catch (MalformedChangeException e) {
       throw new AssertionError("a message that can't be read: " + send.message(), e);
     }
     messages++;
--- a/src/test/java/beampoint/fleet/changes/SubmissionsTest.java
+++ b/src/test/java/beampoint/fleet/changes/SubmissionsTest.java
@@ -24,12 +24,12 @@
   private static final int IN_FLIGHT = 4;
   private static final int QUEUED = 3;
 
-  private LogTerms terms = terms(new LogLimits(IN_FLIGHT, 100_000, QUEUED, 100_000, 2, 5, 100_000, 3));
+  private LogSettings terms = terms(new LogLimits(IN_FLIGHT, 100_000, QUEUED, 100_000, 2, 5, 100_000, 3));
   private Replica replica = new Replica(terms, "a");
   private ReplicaState state = leader();
 
-  private static LogTerms terms(LogLimits limits) {
-    return new LogTerms(new TreeSet<>(LogWorld.NAMES), 1, limits);
+  private static LogSettings terms(LogLimits limits) {
+    return new LogSettings(new TreeSet<>(LogWorld.NAMES), 1, limits);
   }
 
   private static ReplicaState leader() {
@@ -183,7 +183,7 @@
         () -> new LogLimits(1, 1_000, 0, 0, 0, ChangeCodec.MAX_PARTS - 1, 0, 1));
     assertThrows(IllegalArgumentException.class, () -> new LogLimits(0, 1, 0, 0, 0, 0, 0, 1));
     assertThrows(IllegalArgumentException.class, () -> new LogLimits(1, 1, -1, 0, 0, 0, 0, 1));
-    assertThrows(IllegalArgumentException.class, () -> new LogTerms(new TreeSet<>(List.of("a", "b")), 1,
-        LogLimits.USUAL));
+    assertThrows(IllegalArgumentException.class, () -> new LogSettings(new TreeSet<>(List.of("a", "b")), 1,
+        LogLimits.DEFAULTS));
   }
 }
