--- a/src/main/java/beampoint/fleet/changes/Batches.java
+++ b/src/main/java/beampoint/fleet/changes/Batches.java
@@ -23,14 +23,14 @@
   }
 
   /** All entries in pieces; one empty piece where there are none. */
-  static List<List<ChangeEntry>> all(List<ChangeEntry> entries, LogLimits limits) {
-    List<List<ChangeEntry>> pieces = new ArrayList<>();
+  static List<List<ChangeEntry>> split(List<ChangeEntry> entries, LogLimits limits) {
+    List<List<ChangeEntry>> batches = new ArrayList<>();
     int from = 0;
     do {
-      List<ChangeEntry> piece = first(entries.subList(from, entries.size()), limits);
-      pieces.add(List.copyOf(piece));
-      from += piece.size();
+      List<ChangeEntry> batch = first(entries.subList(from, entries.size()), limits);
+      batches.add(List.copyOf(batch));
+      from += batch.size();
     } while (from < entries.size());
-    return pieces;
+    return batches;
   }
 }
--- a/src/main/java/beampoint/fleet/changes/ChangeCodec.java
+++ b/src/main/java/beampoint/fleet/changes/ChangeCodec.java
@@ -4,7 +4,7 @@
 import beampoint.fleet.changes.LogMessage.Append;
 import beampoint.fleet.changes.LogMessage.Committed;
 import beampoint.fleet.changes.LogMessage.Fetch;
-import beampoint.fleet.changes.LogMessage.OfLease;
+import beampoint.fleet.changes.LogMessage.LeaseEnvelope;
 import beampoint.fleet.changes.LogMessage.Recover;
 import beampoint.fleet.changes.LogMessage.Recovered;
 import beampoint.fleet.changes.LogMessage.Refused;
@@ -47,14 +47,14 @@
   private static final int VERSION = 1;
   private static final int MAX_DEPTH = 4;
   private static final int MAX_DIGITS = 20;
-  private static final CBORFactory FORM = CBORFactory.builder()
+  private static final CBORFactory CBOR = CBORFactory.builder()
       .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH)
           .maxStringLength(ConfigurationChange.MAX_DOCUMENT_BYTES).maxNumberLength(MAX_DIGITS).build())
       .build();
 
   /** The kinds of messages; their order is their number on the wire, so that new ones come last. */
   private enum Kind {
-    LEASE_ASK, LEASE_PROMISE, LEASE_DENIAL, LEASE_RELEASE, RECOVER, RECOVERED, APPEND, ACCEPTED, REFUSED,
+    LEASE_REQUEST, LEASE_PROMISE, LEASE_DENIAL, LEASE_RELEASE, RECOVER, RECOVERED, APPEND, ACCEPTED, REFUSED,
     FETCH, COMMITTED, SNAPSHOT_PART, REJOIN, REJOIN_ANSWER
   }
 
@@ -68,7 +68,7 @@
   /** The bytes of a message. */
   public byte[] write(LogMessage message) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    try (JsonGenerator out = FORM.createGenerator(bytes)) {
+    try (JsonGenerator out = CBOR.createGenerator(bytes)) {
       out.writeStartArray();
       out.writeString(cluster);
       out.writeNumber(VERSION);
@@ -83,99 +83,99 @@
     return bytes.toByteArray();
   }
 
-  private static void begin(JsonGenerator out, Kind kind) throws IOException {
+  private static void writeKind(JsonGenerator out, Kind kind) throws IOException {
     out.writeNumber(kind.ordinal());
   }
 
-  private static void begin(JsonGenerator out, Kind kind, Epoch epoch) throws IOException {
-    begin(out, kind);
-    EntryForm.write(out, epoch);
+  private static void writeKind(JsonGenerator out, Kind kind, Epoch epoch) throws IOException {
+    writeKind(out, kind);
+    EntryCodec.write(out, epoch);
   }
 
   private static void write(JsonGenerator out, LogMessage message) throws IOException {
-    if (message instanceof OfLease m) {
-      writeOfLease(out, m);
+    if (message instanceof LeaseEnvelope m) {
+      writeLease(out, m);
     } else if (message instanceof Recover m) {
-      begin(out, Kind.RECOVER, m.epoch());
+      writeKind(out, Kind.RECOVER, m.epoch());
     } else if (message instanceof Recovered m) {
-      begin(out, Kind.RECOVERED, m.epoch());
-      EntryForm.write(out, m.identity());
+      writeKind(out, Kind.RECOVERED, m.epoch());
+      EntryCodec.write(out, m.identity());
       out.writeNumber(m.life());
       out.writeBoolean(m.voter());
-      EntryForm.write(out, m.accepted());
+      EntryCodec.write(out, m.accepted());
       out.writeNumber(m.commit());
-      EntryForm.write(out, m.tail());
+      EntryCodec.write(out, m.tail());
     } else if (message instanceof Append m) {
       writeAppend(out, m);
     } else if (message instanceof Accepted m) {
-      begin(out, Kind.ACCEPTED, m.epoch());
+      writeKind(out, Kind.ACCEPTED, m.epoch());
       out.writeNumber(m.life());
-      out.writeBoolean(m.inStep());
+      out.writeBoolean(m.inSync());
       out.writeBoolean(m.voter());
       out.writeNumber(m.last());
       out.writeNumber(m.commit());
     } else if (message instanceof Refused m) {
-      begin(out, Kind.REFUSED, m.fence());
+      writeKind(out, Kind.REFUSED, m.fence());
     } else {
-      writeOfCatchingUp(out, message);
+      writeCatchUp(out, message);
     }
   }
 
-  private static void writeOfLease(JsonGenerator out, OfLease message) throws IOException {
+  private static void writeLease(JsonGenerator out, LeaseEnvelope message) throws IOException {
     if (message.message() instanceof Request m) {
-      begin(out, Kind.LEASE_ASK, m.epoch());
+      writeKind(out, Kind.LEASE_REQUEST, m.epoch());
       out.writeNumber(m.round());
     } else if (message.message() instanceof Promise m) {
-      begin(out, Kind.LEASE_PROMISE, m.epoch());
+      writeKind(out, Kind.LEASE_PROMISE, m.epoch());
       out.writeNumber(m.round());
     } else if (message.message() instanceof Denial m) {
-      begin(out, Kind.LEASE_DENIAL);
+      writeKind(out, Kind.LEASE_DENIAL);
       out.writeNumber(m.known());
     } else if (message.message() instanceof Release m) {
-      begin(out, Kind.LEASE_RELEASE, m.epoch());
+      writeKind(out, Kind.LEASE_RELEASE, m.epoch());
     }
   }
 
   private static void writeAppend(JsonGenerator out, Append m) throws IOException {
-    begin(out, Kind.APPEND, m.epoch());
-    EntryForm.write(out, m.identity());
+    writeKind(out, Kind.APPEND, m.epoch());
+    EntryCodec.write(out, m.identity());
     out.writeNumber(m.life());
     out.writeBoolean(m.founder());
     out.writeNumber(m.start());
     out.writeNumber(m.commit());
     out.writeNumber(m.last());
-    EntryForm.write(out, m.entries());
+    EntryCodec.write(out, m.entries());
   }
 
-  private static void writeOfCatchingUp(JsonGenerator out, LogMessage message) throws IOException {
+  private static void writeCatchUp(JsonGenerator out, LogMessage message) throws IOException {
     if (message instanceof Fetch m) {
-      begin(out, Kind.FETCH, m.identity());
+      writeKind(out, Kind.FETCH, m.identity());
       out.writeNumber(m.from());
       out.writeNumber(m.snapshotIndex());
       out.writeNumber(m.part());
     } else if (message instanceof Committed m) {
-      begin(out, Kind.COMMITTED, m.identity());
-      EntryForm.write(out, m.entries());
+      writeKind(out, Kind.COMMITTED, m.identity());
+      EntryCodec.write(out, m.entries());
     } else if (message instanceof SnapshotPart m) {
       writeSnapshotPart(out, m);
     } else if (message instanceof Rejoin m) {
-      begin(out, Kind.REJOIN);
+      writeKind(out, Kind.REJOIN);
       out.writeNumber(m.life());
     } else if (message instanceof RejoinAnswer m) {
-      begin(out, Kind.REJOIN_ANSWER, m.identity());
+      writeKind(out, Kind.REJOIN_ANSWER, m.identity());
       out.writeNumber(m.life());
       out.writeBoolean(m.voter());
-      EntryForm.write(out, m.fence());
+      EntryCodec.write(out, m.fence());
     }
   }
 
   private static void writeSnapshotPart(JsonGenerator out, SnapshotPart m) throws IOException {
-    begin(out, Kind.SNAPSHOT_PART, m.identity());
+    writeKind(out, Kind.SNAPSHOT_PART, m.identity());
     out.writeNumber(m.index());
     out.writeNumber(m.completeFrom());
     out.writeNumber(m.part());
     out.writeNumber(m.parts());
-    EntryForm.write(out, m.entries());
+    EntryCodec.write(out, m.entries());
     out.writeNumber(m.floors().size());
     for (Map.Entry<String, Long> floor : m.floors().entrySet()) {
       out.writeString(floor.getKey());
@@ -188,9 +188,9 @@
     if (bytes.length > MAX_BYTES) {
       throw new MalformedChangeException("longer than a message may be: " + bytes.length);
     }
-    try (JsonParser parser = FORM.createParser(bytes)) {
-      FormReader in = new FormReader(parser);
-      in.begin();
+    try (JsonParser parser = CBOR.createParser(bytes)) {
+      MessageReader in = new MessageReader(parser);
+      in.beginArray();
       if (!in.name().equals(cluster)) {
         throw new MalformedChangeException("of another cluster");
       }
@@ -198,72 +198,73 @@
       if (version != VERSION) {
         throw new MalformedChangeException("of an unknown version: " + version);
       }
-      LogMessage message = read(in, Kind.values()[(int) in.within(0, Kind.values().length - 1)]);
-      in.end();
-      in.over();
+      LogMessage message = read(in, Kind.values()[(int) in.numberBetween(0, Kind.values().length - 1)]);
+      in.endArray();
+      in.endOfMessage();
       return message;
     } catch (IOException | RuntimeException e) {
       throw new MalformedChangeException("no message: " + e.getMessage());
     }
   }
 
-  private static LogMessage read(FormReader in, Kind kind) throws IOException, MalformedChangeException {
+  private static LogMessage read(MessageReader in, Kind kind) throws IOException, MalformedChangeException {
     return switch (kind) {
-      case LEASE_ASK -> new OfLease(new Request(in.epoch(), in.index()));
-      case LEASE_PROMISE -> new OfLease(new Promise(in.epoch(), in.index()));
-      case LEASE_DENIAL -> new OfLease(new Denial(in.index()));
-      case LEASE_RELEASE -> new OfLease(new Release(in.epoch()));
+      case LEASE_REQUEST -> new LeaseEnvelope(new Request(in.epoch(), in.index()));
+      case LEASE_PROMISE -> new LeaseEnvelope(new Promise(in.epoch(), in.index()));
+      case LEASE_DENIAL -> new LeaseEnvelope(new Denial(in.index()));
+      case LEASE_RELEASE -> new LeaseEnvelope(new Release(in.epoch()));
       case RECOVER -> new Recover(in.epoch());
       case RECOVERED -> recovered(in);
       case APPEND -> append(in);
       case ACCEPTED ->
-        new Accepted(in.epoch(), in.number(), in.flag(), in.flag(), in.index(), in.index());
+        new Accepted(in.epoch(), in.number(), in.bool(), in.bool(), in.index(), in.index());
       case REFUSED -> new Refused(in.epoch());
-      case FETCH -> new Fetch(in.epoch(), in.index(), in.index(), (int) in.within(0, MAX_PARTS - 1));
-      case COMMITTED -> new Committed(in.epoch(), EntryForm.readWithoutGaps(in));
+      case FETCH -> new Fetch(in.epoch(), in.index(), in.index(), (int) in.numberBetween(0, MAX_PARTS - 1));
+      case COMMITTED -> new Committed(in.epoch(), EntryCodec.readWithoutGaps(in));
       case SNAPSHOT_PART -> snapshotPart(in);
       case REJOIN -> new Rejoin(in.number());
       case REJOIN_ANSWER -> rejoinAnswer(in);
     };
   }
 
-  private static Recovered recovered(FormReader in) throws IOException, MalformedChangeException {
-    Recovered message = new Recovered(in.epoch(), in.epoch(), in.number(), in.flag(), in.epoch(), in.index(),
-        EntryForm.readWithoutGaps(in));
+  private static Recovered recovered(MessageReader in) throws IOException, MalformedChangeException {
+    Recovered message = new Recovered(in.epoch(), in.epoch(), in.number(), in.bool(), in.epoch(), in.index(),
+        EntryCodec.readWithoutGaps(in));
     if (!message.tail().isEmpty() && message.tail().get(0).index() != message.commit() + 1) {
       throw new MalformedChangeException("with a tail that does not follow");
     }
     return message;
   }
 
-  private static Append append(FormReader in) throws IOException, MalformedChangeException {
-    return new Append(in.epoch(), in.epoch(), in.number(), in.flag(), in.index(), in.index(), in.index(),
-        EntryForm.readWithoutGaps(in));
+  private static Append append(MessageReader in) throws IOException, MalformedChangeException {
+    return new Append(in.epoch(), in.epoch(), in.number(), in.bool(), in.index(), in.index(), in.index(),
+        EntryCodec.readWithoutGaps(in));
   }
 
-  private static RejoinAnswer rejoinAnswer(FormReader in) throws IOException, MalformedChangeException {
+  private static RejoinAnswer rejoinAnswer(MessageReader in) throws IOException, MalformedChangeException {
     Epoch identity = in.epoch();
-    return new RejoinAnswer(in.number(), identity, in.flag(), in.epoch());
+    return new RejoinAnswer(in.number(), identity, in.bool(), in.epoch());
   }
 
-  private static SnapshotPart snapshotPart(FormReader in) throws IOException, MalformedChangeException {
+  private static SnapshotPart snapshotPart(MessageReader in) throws IOException, MalformedChangeException {
     Epoch identity = in.epoch();
     long index = in.index();
-    long completeFrom = in.within(0, index);
-    int part = (int) in.within(0, MAX_PARTS - 1);
-    int parts = (int) in.within(part + 1L, MAX_PARTS);
-    List<ChangeEntry> entries = EntryForm.read(in);
+    long completeFrom = in.numberBetween(0, index);
+    int part = (int) in.numberBetween(0, MAX_PARTS - 1);
+    int parts = (int) in.numberBetween(part + 1L, MAX_PARTS);
+    List<ChangeEntry> entries = EntryCodec.read(in);
     if (!entries.isEmpty() && entries.get(entries.size() - 1).index() > index) {
       throw new MalformedChangeException("with entries that a snapshot can't have");
     }
     return new SnapshotPart(identity, index, completeFrom, part, parts, entries, floors(in));
   }
 
-  private static SortedMap<String, Long> floors(FormReader in) throws IOException, MalformedChangeException {
+  private static SortedMap<String, Long> floors(MessageReader in)
+      throws IOException, MalformedChangeException {
     SortedMap<String, Long> floors = new TreeMap<>();
-    for (long left = in.within(0, MAX_ORIGINS); left > 0; left--) {
-      ChangeId last = new ChangeId(in.text(), in.number());
-      if (floors.put(last.origin(), last.number()) != null) {
+    for (long remaining = in.numberBetween(0, MAX_ORIGINS); remaining > 0; remaining--) {
+      ChangeId floor = new ChangeId(in.text(), in.number());
+      if (floors.put(floor.origin(), floor.number()) != null) {
         throw new MalformedChangeException("with a submitter twice");
       }
     }
--- a/src/main/java/beampoint/fleet/changes/ChangeEntry.java
+++ b/src/main/java/beampoint/fleet/changes/ChangeEntry.java
@@ -20,6 +20,7 @@
 
   /** About how many bytes the entry takes, in memory and in a message. */
   int weight() {
-    return FIXED_WEIGHT + Texts.bytes(epoch.holder()) + Texts.bytes(id.origin()) + change.weight();
+    return FIXED_WEIGHT + TextLimits.utf8Length(epoch.holder()) + TextLimits.utf8Length(id.origin())
+        + change.weight();
   }
 }
--- a/src/main/java/beampoint/fleet/changes/ChangeId.java
+++ b/src/main/java/beampoint/fleet/changes/ChangeId.java
@@ -13,7 +13,7 @@
   public static final int MAX_ORIGIN_BYTES = 100;
 
   public ChangeId {
-    Texts.check("origin", origin, 1, MAX_ORIGIN_BYTES);
+    TextLimits.checkLength("origin", origin, 1, MAX_ORIGIN_BYTES);
     if (number < 0) {
       throw new IllegalArgumentException("a change's number is negative: " + number);
     }
--- a/src/main/java/beampoint/fleet/changes/ConfigurationChange.java
+++ b/src/main/java/beampoint/fleet/changes/ConfigurationChange.java
@@ -11,12 +11,12 @@
   public static final int MAX_DOCUMENT_BYTES = 64 * 1024;
 
   public ConfigurationChange {
-    Texts.checkVersion(formatVersion);
-    Texts.check("document", document, 0, MAX_DOCUMENT_BYTES);
+    TextLimits.checkVersion(formatVersion);
+    TextLimits.checkLength("document", document, 0, MAX_DOCUMENT_BYTES);
   }
 
   @Override
   public int weight() {
-    return Texts.bytes(document);
+    return TextLimits.utf8Length(document);
   }
 }
--- a/src/main/java/beampoint/fleet/changes/ControlNode.java
+++ b/src/main/java/beampoint/fleet/changes/ControlNode.java
@@ -1,17 +1,17 @@
 package beampoint.fleet.changes;
 
-import beampoint.fleet.changes.LogAction.GiveUp;
 import beampoint.fleet.changes.LogAction.Problem;
+import beampoint.fleet.changes.LogAction.RelinquishLease;
 import beampoint.fleet.changes.LogAction.Send;
+import beampoint.fleet.changes.LogEvent.AllowNewLog;
 import beampoint.fleet.changes.LogEvent.Elected;
-import beampoint.fleet.changes.LogEvent.FoundAnew;
 import beampoint.fleet.changes.LogEvent.LeaseEnded;
 import beampoint.fleet.changes.LogEvent.Promised;
 import beampoint.fleet.changes.LogEvent.Received;
 import beampoint.fleet.changes.LogEvent.Submit;
 import beampoint.fleet.changes.LogEvent.Tick;
 import beampoint.fleet.changes.LogMessage.Append;
-import beampoint.fleet.changes.LogMessage.OfLease;
+import beampoint.fleet.changes.LogMessage.LeaseEnvelope;
 import beampoint.fleet.changes.LogMessage.RejoinAnswer;
 import beampoint.fleet.lease.Lease;
 import beampoint.fleet.lease.LeaseEvent;
@@ -30,44 +30,44 @@
 public final class ControlNode {
 
   /** A lease is renewed this many times in its length. */
-  private static final int RENEWALS = 4;
+  private static final int RENEWALS_PER_LEASE = 4;
 
   /** A candidate that gets no majority gives up after this part of a lease: others' promises end with it. */
-  private static final double PATIENCE = 0.5;
+  private static final double CANDIDACY_PART = 0.5;
 
   /** Candidates scatter over this part of a lease. */
-  private static final double SCATTER = 0.4;
+  private static final double JITTER_PART = 0.4;
 
-  private final LeaseSettings leaseTerms;
+  private final LeaseSettings leaseSettings;
   private final Lease lease;
   private final Replica replica;
   private final RandomGenerator random;
   private LeaseState leaseState;
   private ReplicaState state;
   private boolean candidate;
-  private double wantAt;
-  private double giveUpAt;
+  private double nextAttemptAt;
+  private double electionDeadline;
   private Problem lastProblem;
-  private double leaderHeardAt = Double.NEGATIVE_INFINITY;
+  private double lastAppendAt = Double.NEGATIVE_INFINITY;
 
   /**
    * Starts.
    *
    * @param life drawn at the start of the process; the lease and its epochs tell lives apart by it
-   * @param kept what outlived the process, or {@link ReplicaState#started} where nothing did
+   * @param initialState what outlived the process, or {@link ReplicaState#started} where nothing did
    */
-  public ControlNode(LogSettings terms, LeaseSettings leaseTerms, String self, long life, ReplicaState kept,
-      double now, RandomGenerator random) {
-    if (!terms.voters().equals(leaseTerms.voters())) {
+  public ControlNode(LogSettings settings, LeaseSettings leaseSettings, String self, long life,
+      ReplicaState initialState, double now, RandomGenerator random) {
+    if (!settings.voters().equals(leaseSettings.voters())) {
       throw new IllegalArgumentException("the log and the lease have other voters");
     }
-    this.leaseTerms = leaseTerms;
-    this.lease = new Lease(leaseTerms, self, life);
-    this.replica = new Replica(terms, self);
+    this.leaseSettings = leaseSettings;
+    this.lease = new Lease(leaseSettings, self, life);
+    this.replica = new Replica(settings, self);
     this.random = random;
-    this.state = kept;
-    this.leaseState = LeaseState.started(leaseTerms, now, kept.log().fence());
-    this.wantAt = now + leaseTerms.length() + scatter();
+    this.state = initialState;
+    this.leaseState = LeaseState.started(leaseSettings, now, initialState.log().fence());
+    this.nextAttemptAt = now + leaseSettings.length() + jitter();
   }
 
   /** What its replica knows. */
@@ -83,18 +83,18 @@
   /** What keeps the log from going on, as far as this machine knows: an operator has to know of it. */
   public Optional<Problem> problem() {
     Rejoining rejoining = state.rejoining();
-    long forgetful = rejoining == null ? 0
+    long nonVoters = rejoining == null ? 0
         : 1 + rejoining.answers().values().stream().filter(a -> !a.voter()).count();
-    boolean lost = leaseTerms.voters().size() - forgetful < leaseTerms.majority();
-    return lost || lastProblem == Problem.MAJORITY_LOST ? Optional.of(Problem.MAJORITY_LOST)
+    boolean isMajorityLost = leaseSettings.voters().size() - nonVoters < leaseSettings.majority();
+    return isMajorityLost || lastProblem == Problem.MAJORITY_LOST ? Optional.of(Problem.MAJORITY_LOST)
         : Optional.empty();
   }
 
   /** To be called every 10 ms or so: that is how long entries wait to be sent together. */
   public List<LogAction> tick(double now) {
     List<LogAction> actions = new ArrayList<>();
-    endWithLease(now, actions);
-    renewOrWant(now, actions);
+    stepDownIfLeaseLost(now, actions);
+    renewOrCampaign(now, actions);
     step(now, new Tick(), actions);
     return actions;
   }
@@ -102,13 +102,13 @@
   /** A message has come from another control machine. */
   public List<LogAction> received(double now, String from, LogMessage message) {
     List<LogAction> actions = new ArrayList<>();
-    endWithLease(now, actions);
-    if (message instanceof OfLease m) {
+    stepDownIfLeaseLost(now, actions);
+    if (message instanceof LeaseEnvelope m) {
       leaseStep(now, new LeaseEvent.Received(from, m.message()), actions);
     } else {
       step(now, new Received(from, message), actions);
       if (message instanceof Append append && append.epoch().equals(state.leader())) {
-        leaderHeardAt = now;
+        lastAppendAt = now;
         lastProblem = null;
       }
     }
@@ -118,60 +118,63 @@
   /** Somebody submits a change; the answer is an action of now or later, here or at none. */
   public List<LogAction> submit(double now, ChangeId id, Change change) {
     List<LogAction> actions = new ArrayList<>();
-    endWithLease(now, actions);
+    stepDownIfLeaseLost(now, actions);
     step(now, new Submit(id, change), actions);
     return actions;
   }
 
   /** An operator accepts that committed entries may be lost: it founds a new log when it is elected next. */
-  public List<LogAction> foundAnew(double now) {
+  public List<LogAction> allowNewLog(double now) {
     List<LogAction> actions = new ArrayList<>();
-    step(now, new FoundAnew(), actions);
+    step(now, new AllowNewLog(), actions);
     return actions;
   }
 
   /** Guards against a leader that goes on after a pause. */
-  private void endWithLease(double now, List<LogAction> actions) {
-    boolean led = state.leadership() != null;
-    if (led && !(leaseState.isHolder(now) && leaseState.requested().equals(state.leadership().epoch()))) {
+  private void stepDownIfLeaseLost(double now, List<LogAction> actions) {
+    boolean hasLeadership = state.leadership() != null;
+    if (hasLeadership
+        && !(leaseState.isHolder(now) && leaseState.requested().equals(state.leadership().epoch()))) {
       step(now, new LeaseEnded(), actions);
     }
   }
 
-  private void renewOrWant(double now, List<LogAction> actions) {
+  private void renewOrCampaign(double now, List<LogAction> actions) {
     if (leaseState.isHolder(now)) {
-      if (!state.leads() && now >= giveUpAt) {
-        giveBack(now, actions);
+      if (!state.leads() && now >= electionDeadline) {
+        relinquishLease(now, actions);
         lastProblem = Problem.NO_QUORUM;
-        actions.add(new GiveUp(lastProblem));
-      } else if (now >= wantAt) {
-        wantAt = now + leaseTerms.length() / RENEWALS;
+        actions.add(new RelinquishLease(lastProblem));
+      } else if (now >= nextAttemptAt) {
+        nextAttemptAt = now + leaseSettings.length() / RENEWALS_PER_LEASE;
         leaseStep(now, new LeaseEvent.Acquire(), actions);
       }
-    } else if (candidate && now >= giveUpAt) {
-      giveBack(now, actions);
+    } else if (candidate && now >= electionDeadline) {
+      relinquishLease(now, actions);
     } else if (now < leaseState.promisedUntil()) {
-      wantAt = wantAt < leaseState.promisedUntil() ? leaseState.promisedUntil() + scatter() : wantAt;
-    } else if (!candidate && now >= wantAt && now >= leaderHeardAt + leaseTerms.length() && mayLead()) {
+      nextAttemptAt = nextAttemptAt < leaseState.promisedUntil() ? leaseState.promisedUntil() + jitter()
+          : nextAttemptAt;
+    } else if (!candidate && now >= nextAttemptAt && now >= lastAppendAt + leaseSettings.length()
+        && isEligible()) {
       candidate = true;
-      giveUpAt = now + PATIENCE * leaseTerms.length();
+      electionDeadline = now + CANDIDACY_PART * leaseSettings.length();
       leaseStep(now, new LeaseEvent.Acquire(), actions);
     }
   }
 
   /** True where it holds the log, or knows of nobody who does. */
-  private boolean mayLead() {
-    return state.log().voter() || state.mayFound()
+  private boolean isEligible() {
+    return state.log().voter() || state.newLogAllowed()
         || state.rejoining().answers().values().stream().noneMatch(RejoinAnswer::voter);
   }
 
-  private double scatter() {
-    return random.nextDouble() * SCATTER * leaseTerms.length();
+  private double jitter() {
+    return random.nextDouble() * JITTER_PART * leaseSettings.length();
   }
 
-  private void giveBack(double now, List<LogAction> actions) {
+  private void relinquishLease(double now, List<LogAction> actions) {
     candidate = false;
-    wantAt = now + scatter();
+    nextAttemptAt = now + jitter();
     step(now, new LeaseEnded(), actions);
     leaseStep(now, new LeaseEvent.Relinquish(), actions);
   }
@@ -179,14 +182,15 @@
   private void leaseStep(double now, LeaseEvent event, List<LogAction> actions) {
     Lease.Step step = lease.step(leaseState, now, event);
     leaseState = step.state();
-    step.messages().forEach(say -> actions.add(new Send(say.to(), new OfLease(say.message()))));
+    step.messages()
+        .forEach(outgoing -> actions.add(new Send(outgoing.to(), new LeaseEnvelope(outgoing.message()))));
     if (leaseState.fence().compareTo(state.log().fence()) > 0) {
       step(now, new Promised(leaseState.fence()), actions);
     }
     if (candidate && leaseState.isHolder(now)) {
       candidate = false;
-      giveUpAt = now + leaseTerms.length();
-      wantAt = now + leaseTerms.length() / RENEWALS;
+      electionDeadline = now + leaseSettings.length();
+      nextAttemptAt = now + leaseSettings.length() / RENEWALS_PER_LEASE;
       lastProblem = null;
       step(now, new Elected(leaseState.requested()), actions);
     }
@@ -197,10 +201,11 @@
     state = step.state();
     actions.addAll(step.actions());
     for (LogAction action : step.actions()) {
-      if (action instanceof GiveUp giveUp) {
+      if (action instanceof RelinquishLease relinquish) {
         candidate = false;
-        lastProblem = giveUp.problem();
-        wantAt = now + scatter() + (giveUp.problem() == Problem.FENCED ? 0 : leaseTerms.length());
+        lastProblem = relinquish.problem();
+        nextAttemptAt = now + jitter()
+            + (relinquish.problem() == Problem.FENCED ? 0 : leaseSettings.length());
         leaseStep(now, new LeaseEvent.Relinquish(), actions);
       }
     }
--- a/src/main/java/beampoint/fleet/changes/Election.java
+++ b/src/main/java/beampoint/fleet/changes/Election.java
@@ -22,60 +22,60 @@
 
   private Election() {}
 
-  static void won(Turn turn, Epoch epoch) {
-    if (epoch.compareTo(turn.log.fence()) < 0) {
-      turn.actions.add(new LogAction.GiveUp(Problem.FENCED));
+  static void start(StepContext step, Epoch epoch) {
+    if (epoch.compareTo(step.log.fence()) < 0) {
+      step.actions.add(new LogAction.RelinquishLease(Problem.FENCED));
       return;
     }
-    Leader.stepDown(turn, null);
-    turn.log = turn.log.fencedBy(epoch);
+    Leader.stepDown(step, null);
+    step.log = step.log.withFence(epoch);
     SortedMap<String, Progress> followers = new TreeMap<>();
-    turn.terms.voters().forEach(voter -> followers.put(voter, Progress.ofLife(0, turn.now)));
-    followers.remove(turn.self);
-    turn.leadership = Leadership.asking(epoch, followers, turn.now);
-    turn.sendToOthers(new Recover(epoch));
-    recovered(turn, turn.self, Follower.held(turn.log, epoch));
+    step.settings.voters().forEach(voter -> followers.put(voter, Progress.initial(0, step.now)));
+    followers.remove(step.self);
+    step.leadership = Leadership.collecting(epoch, followers, step.now);
+    step.sendToOthers(new Recover(epoch));
+    receiveRecovered(step, step.self, Follower.recoveredMessage(step.log, epoch));
   }
 
-  static void recovered(Turn turn, String from, Recovered answer) {
-    Leadership leadership = turn.leadership;
-    if (leadership == null || leadership.phase() != Phase.ASKING
+  static void receiveRecovered(StepContext step, String from, Recovered answer) {
+    Leadership leadership = step.leadership;
+    if (leadership == null || leadership.phase() != Phase.COLLECTING
         || !answer.epoch().equals(leadership.epoch())) {
       return;
     }
-    turn.leadership = leadership.answered(from, answer);
-    if (!from.equals(turn.self)) {
-      turn.leadership = turn.leadership.with(from, Progress.ofLife(answer.life(), turn.now));
+    step.leadership = leadership.withAnswer(from, answer);
+    if (!from.equals(step.self)) {
+      step.leadership = step.leadership.withFollower(from, Progress.initial(answer.life(), step.now));
     }
-    decide(turn);
+    decide(step);
   }
 
-  private static void decide(Turn turn) {
-    Epoch identity = turn.log.identity();
-    Collection<Recovered> answers = turn.leadership.answers().values();
+  private static void decide(StepContext step) {
+    Epoch identity = step.log.identity();
+    Collection<Recovered> answers = step.leadership.answers().values();
     List<Recovered> votes = answers.stream().filter(a -> a.voter() && a.identity().equals(identity)).toList();
-    boolean nobodyRemembers = answers.size() == turn.terms.voters().size()
+    boolean noVoterLeft = answers.size() == step.settings.voters().size()
         && answers.stream().noneMatch(Recovered::voter);
-    boolean allowed = turn.mayFound && answers.size() >= turn.terms.majority();
-    if (nobodyRemembers) {
-      found(turn);
+    boolean foundingAllowed = step.newLogAllowed && answers.size() >= step.settings.majority();
+    if (noVoterLeft) {
+      foundLog(step);
     } else if (answers.stream().anyMatch(a -> a.identity().compareTo(identity) > 0
-        && (a.voter() || turn.log.voter()))) {
-      Leader.stepDown(turn, Problem.OTHER_LOG);
-    } else if (turn.log.voter() && votes.size() >= turn.terms.majority()) {
-      goOnWith(turn, best(votes));
-    } else if (allowed) {
-      found(turn);
+        && (a.voter() || step.log.voter()))) {
+      Leader.stepDown(step, Problem.OTHER_LOG);
+    } else if (step.log.voter() && votes.size() >= step.settings.majority()) {
+      adopt(step, best(votes));
+    } else if (foundingAllowed) {
+      foundLog(step);
     } else if (answers.stream().anyMatch(Recovered::voter)
-        && isMajorityLost(turn, answers.size() - votes.size())) {
-      Leader.stepDown(turn, Problem.MAJORITY_LOST);
+        && isMajorityLost(step, answers.size() - votes.size())) {
+      Leader.stepDown(step, Problem.MAJORITY_LOST);
     }
   }
 
   /** True where too few can be left that remember; a log that nobody has founded yet is none that is lost. */
-  private static boolean isMajorityLost(Turn turn, int without) {
-    return !turn.mayFound && !turn.log.identity().equals(Epoch.NONE)
-        && turn.terms.voters().size() - without < turn.terms.majority();
+  private static boolean isMajorityLost(StepContext step, int nonVotes) {
+    return !step.newLogAllowed && !step.log.identity().equals(Epoch.NONE)
+        && step.settings.voters().size() - nonVotes < step.settings.majority();
   }
 
   /** The log of the highest epoch, and of these the longest: it has every entry that may be committed. */
@@ -84,56 +84,57 @@
         .thenComparing(Recovered::last)).orElseThrow();
   }
 
-  private static void goOnWith(Turn turn, Recovered best) {
-    String source = turn.leadership.answers().entrySet().stream()
+  private static void adopt(StepContext step, Recovered best) {
+    String source = step.leadership.answers().entrySet().stream()
         .filter(e -> e.getValue().equals(best)).map(Map.Entry::getKey).findFirst().orElseThrow();
-    turn.leadership = turn.leadership.fetching(best);
-    CatchUp.wanted(turn, source, best.commit());
-    beginIfComplete(turn);
+    step.leadership = step.leadership.fetchingFrom(best);
+    CatchUp.start(step, source, best.commit());
+    leadIfComplete(step);
   }
 
   /** Leads as soon as all of the chosen log is here. */
-  static void beginIfComplete(Turn turn) {
-    if (turn.leadership == null || turn.leadership.phase() != Phase.FETCHING
-        || turn.log.commit() < turn.leadership.chosen().commit()) {
+  static void leadIfComplete(StepContext step) {
+    if (step.leadership == null || step.leadership.phase() != Phase.FETCHING
+        || step.log.commit() < step.leadership.chosen().commit()) {
       return;
     }
-    Recovered best = turn.leadership.chosen();
-    if (best.last() < turn.log.commit()) {
-      Leader.stepDown(turn, Problem.CONTRADICTION);
+    Recovered best = step.leadership.chosen();
+    if (best.last() < step.log.commit()) {
+      Leader.stepDown(step, Problem.CONTRADICTION);
       return;
     }
-    Epoch epoch = turn.leadership.epoch();
-    turn.log = turn.log.withTail(best.tail()).accepting(epoch);
-    lead(turn, Collections.emptySortedMap());
+    Epoch epoch = step.leadership.epoch();
+    step.log = step.log.withTail(best.tail()).withAccepted(epoch);
+    startLeading(step, Collections.emptySortedMap());
   }
 
   /**
    * Begins a log, with all who have answered. Where none of all remembers, or an operator has said so: else a
    * log that a minority still remembers would be passed over.
    */
-  private static void found(Turn turn) {
+  private static void foundLog(StepContext step) {
     SortedMap<String, Long> lives = new TreeMap<>();
-    turn.leadership.answers().forEach((voter, answer) -> lives.put(voter, answer.life()));
-    turn.log = turn.log.founding(turn.leadership.epoch());
-    turn.rejoining = null;
-    lead(turn, lives);
+    step.leadership.answers().forEach((voter, answer) -> lives.put(voter, answer.life()));
+    step.log = step.log.asFounder(step.leadership.epoch());
+    step.rejoining = null;
+    startLeading(step, lives);
   }
 
-  private static void lead(Turn turn, SortedMap<String, Long> founderLives) {
-    turn.mayFound = false;
-    turn.leader = turn.leadership.epoch();
-    turn.leadership = turn.leadership.leading(turn.log.last(), founderLives);
-    Leader.sendToAll(turn);
+  private static void startLeading(StepContext step, SortedMap<String, Long> founderLives) {
+    step.newLogAllowed = false;
+    step.leader = step.leadership.epoch();
+    step.leadership = step.leadership.leading(step.log.last(), founderLives);
+    Leader.sendToAll(step);
   }
 
   /** Asks again those who have not answered. */
-  static void tick(Turn turn) {
-    Leadership leadership = turn.leadership;
-    if (leadership.phase() == Phase.ASKING && turn.now >= leadership.askedAt() + turn.terms.retryAfter()) {
-      turn.leadership = leadership.askedAgain(turn.now);
+  static void tick(StepContext step) {
+    Leadership leadership = step.leadership;
+    if (leadership.phase() == Phase.COLLECTING
+        && step.now >= leadership.requestedAt() + step.settings.retryInterval()) {
+      step.leadership = leadership.withRequestsRepeated(step.now);
       leadership.followers().keySet().stream().filter(v -> !leadership.answers().containsKey(v))
-          .forEach(voter -> turn.send(voter, new Recover(leadership.epoch())));
+          .forEach(voter -> step.send(voter, new Recover(leadership.epoch())));
     }
   }
 }
--- a/src/main/java/beampoint/fleet/changes/EntryForm.java
+++ b/src/main/java/beampoint/fleet/changes/EntryCodec.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** The form of entries in bytes: an array of arrays. */
-final class EntryForm {
+final class EntryCodec {
 
   /** The most entries of one message. */
   static final int MAX_ENTRIES = 1_024;
@@ -15,7 +15,7 @@
   private static final int CONFIGURATION = 1;
   private static final int PURGE = 2;
 
-  private EntryForm() {}
+  private EntryCodec() {}
 
   static void write(JsonGenerator out, Epoch epoch) throws IOException {
     out.writeNumber(epoch.number());
@@ -52,26 +52,26 @@
   }
 
   /** Reads entries whose indexes rise. */
-  static List<ChangeEntry> read(FormReader in) throws IOException, MalformedChangeException {
+  static List<ChangeEntry> read(MessageReader in) throws IOException, MalformedChangeException {
     List<ChangeEntry> entries = new ArrayList<>();
-    long before = 0;
-    in.begin();
-    while (in.another()) {
+    long previousIndex = 0;
+    in.beginArray();
+    while (in.nextArray()) {
       if (entries.size() == MAX_ENTRIES) {
         throw new MalformedChangeException("with more entries than there may be");
       }
       ChangeEntry entry = entry(in);
-      if (entry.index() <= before || entry.epoch().number() == 0) {
+      if (entry.index() <= previousIndex || entry.epoch().number() == 0) {
         throw new MalformedChangeException("with entries out of order, or of nobody");
       }
-      before = entry.index();
+      previousIndex = entry.index();
       entries.add(entry);
     }
     return List.copyOf(entries);
   }
 
   /** Reads entries without gaps. */
-  static List<ChangeEntry> readWithoutGaps(FormReader in) throws IOException, MalformedChangeException {
+  static List<ChangeEntry> readWithoutGaps(MessageReader in) throws IOException, MalformedChangeException {
     List<ChangeEntry> entries = read(in);
     if (!entries.isEmpty()
         && entries.get(entries.size() - 1).index() - entries.get(0).index() != entries.size() - 1) {
@@ -80,22 +80,22 @@
     return entries;
   }
 
-  private static ChangeEntry entry(FormReader in) throws IOException, MalformedChangeException {
+  private static ChangeEntry entry(MessageReader in) throws IOException, MalformedChangeException {
     long index = in.index();
     Epoch epoch = in.epoch();
     ChangeId id = new ChangeId(in.text(), in.number());
     ChangeEntry entry = new ChangeEntry(index, epoch, id, change(in));
-    in.end();
+    in.endArray();
     return entry;
   }
 
-  private static Change change(FormReader in) throws IOException, MalformedChangeException {
-    long kind = in.within(CONFIGURATION, PURGE);
-    int version = (int) in.within(1, Integer.MAX_VALUE);
+  private static Change change(MessageReader in) throws IOException, MalformedChangeException {
+    long kind = in.numberBetween(CONFIGURATION, PURGE);
+    int version = (int) in.numberBetween(1, Integer.MAX_VALUE);
     if (kind == CONFIGURATION) {
       return new ConfigurationChange(version, in.text());
     }
-    PurgeScope scope = PurgeScope.values()[(int) in.within(0, PurgeScope.values().length - 1)];
+    PurgeScope scope = PurgeScope.values()[(int) in.numberBetween(0, PurgeScope.values().length - 1)];
     return new PurgeChange(version, scope, in.text(), in.number());
   }
 }
--- a/src/main/java/beampoint/fleet/changes/Leader.java
+++ b/src/main/java/beampoint/fleet/changes/Leader.java
@@ -3,8 +3,8 @@
 import beampoint.fleet.changes.Leadership.Phase;
 import beampoint.fleet.changes.Leadership.Progress;
 import beampoint.fleet.changes.LogAction.Answer;
-import beampoint.fleet.changes.LogAction.GiveUp;
 import beampoint.fleet.changes.LogAction.Problem;
+import beampoint.fleet.changes.LogAction.RelinquishLease;
 import beampoint.fleet.changes.LogEvent.Submit;
 import beampoint.fleet.changes.LogMessage.Accepted;
 import beampoint.fleet.changes.LogMessage.Append;
@@ -20,125 +20,126 @@
 final class Leader {
 
   /** A follower is quiet after so many times without an answer. */
-  private static final int UNANSWERED = 2;
+  private static final int MAX_MISSED_RESPONSES = 2;
 
   private Leader() {}
 
-  static boolean leads(Turn turn) {
-    return turn.leadership != null && turn.leadership.phase() == Phase.LEADING;
+  static boolean isLeading(StepContext step) {
+    return step.leadership != null && step.leadership.phase() == Phase.LEADING;
   }
 
   /** No longer leads: whoever waits for an answer has to ask the next one. */
-  static void stepDown(Turn turn, Problem problem) {
-    if (turn.leadership == null) {
+  static void stepDown(StepContext step, Problem problem) {
+    if (step.leadership == null) {
       return;
     }
-    if (leads(turn)) {
-      Stream<ChangeId> waiting = Stream.concat(turn.log.tail().stream().map(ChangeEntry::id),
-          turn.leadership.queue().stream().map(Submit::id));
-      waiting.forEach(id -> turn.actions.add(new Answer(id, new NotLeader(Epoch.NONE))));
+    if (isLeading(step)) {
+      Stream<ChangeId> unanswered = Stream.concat(step.log.tail().stream().map(ChangeEntry::id),
+          step.leadership.queue().stream().map(Submit::id));
+      unanswered.forEach(id -> step.actions.add(new Answer(id, new NotLeader(Epoch.NONE))));
     }
-    turn.leadership = null;
+    step.leadership = null;
     if (problem != null) {
-      turn.actions.add(new GiveUp(problem));
+      step.actions.add(new RelinquishLease(problem));
     }
   }
 
   /** A follower lives another life than the one known: nothing of the one before is known of it. */
-  static void heardOf(Turn turn, String follower, long life) {
-    if (leads(turn) && turn.leadership.followers().get(follower).life() != life) {
-      turn.leadership = turn.leadership.with(follower, Progress.ofLife(life, turn.now));
+  static void resetIfRestarted(StepContext step, String follower, long life) {
+    if (isLeading(step) && step.leadership.followers().get(follower).life() != life) {
+      step.leadership = step.leadership.withFollower(follower, Progress.initial(life, step.now));
     }
   }
 
-  static void accepted(Turn turn, String from, Accepted message) {
-    if (!leads(turn) || !message.epoch().equals(turn.leadership.epoch())) {
+  static void receiveAccepted(StepContext step, String from, Accepted message) {
+    if (!isLeading(step) || !message.epoch().equals(step.leadership.epoch())) {
       return;
     }
-    heardOf(turn, from, message.life());
-    Progress progress = turn.leadership.followers().get(from);
-    if (!message.inStep()) {
-      turn.leadership = turn.leadership.with(from, progress.heard(turn.now));
+    resetIfRestarted(step, from, message.life());
+    Progress progress = step.leadership.followers().get(from);
+    if (!message.inSync()) {
+      step.leadership = step.leadership.withFollower(from, progress.withResponse(step.now));
       return;
     }
-    turn.leadership = turn.leadership.with(from,
-        progress.acknowledging(message.voter(), message.last(), turn.now));
-    commit(turn);
-    Submissions.fromQueue(turn);
-    if (mayBeSentMore(turn, turn.leadership.followers().get(from))) {
-      send(turn, from);
+    step.leadership = step.leadership.withFollower(from,
+        progress.withAcknowledged(message.voter(), message.last(), step.now));
+    commit(step);
+    Submissions.appendQueued(step);
+    if (canSendMore(step, step.leadership.followers().get(from))) {
+      send(step, from);
     }
   }
 
   /** True where a follower lacks entries, and not too many are on their way to it. */
-  private static boolean mayBeSentMore(Turn turn, Progress progress) {
-    return progress.inStep() && progress.sent() < turn.log.last()
-        && progress.sent() - progress.acknowledged() < turn.terms.limits().entriesInFlight();
+  private static boolean canSendMore(StepContext step, Progress progress) {
+    return progress.inSync() && progress.sent() < step.log.last()
+        && progress.sent() - progress.acknowledged() < step.settings.limits().entriesInFlight();
   }
 
   /** True where a follower has not answered for so long that it is only asked for a sign of life. */
-  private static boolean isQuiet(Turn turn, Progress progress) {
-    return turn.now >= progress.heardAt() + UNANSWERED * turn.terms.retryAfter();
+  private static boolean isUnresponsive(StepContext step, Progress progress) {
+    return step.now >= progress.lastResponseAt() + MAX_MISSED_RESPONSES * step.settings.retryInterval();
   }
 
   /** Commits what a majority of voters holds under this epoch, the leader among them. */
-  private static void commit(Turn turn) {
-    List<Long> held = Stream.concat(Stream.of(turn.log.last()),
-        turn.leadership.followers().values().stream().filter(p -> p.inStep() && p.voter())
+  private static void commit(StepContext step) {
+    List<Long> acknowledgedIndexes = Stream.concat(Stream.of(step.log.last()),
+        step.leadership.followers().values().stream().filter(p -> p.inSync() && p.voter())
             .map(Progress::acknowledged))
         .sorted(Comparator.reverseOrder()).toList();
-    if (held.size() < turn.terms.majority()) {
+    if (acknowledgedIndexes.size() < step.settings.majority()) {
       return;
     }
-    long index = Math.min(held.get(turn.terms.majority() - 1), turn.log.last());
-    if (index > turn.log.commit()) {
-      List<ChangeEntry> committed = turn.log.between(turn.log.commit() + 1, index);
-      turn.advance(turn.log.committedTo(index));
-      committed.forEach(e -> turn.actions.add(new Answer(e.id(), new Committed(e.index()))));
+    long index = Math.min(acknowledgedIndexes.get(step.settings.majority() - 1), step.log.last());
+    if (index > step.log.commit()) {
+      List<ChangeEntry> committed = step.log.between(step.log.commit() + 1, index);
+      step.advance(step.log.committedTo(index));
+      committed.forEach(e -> step.actions.add(new Answer(e.id(), new Committed(e.index()))));
     }
   }
 
   /** Sends what lacks, tells commit indexes, repeats what was not answered. */
-  static void tick(Turn turn) {
-    double retryAfter = turn.terms.retryAfter();
-    for (Map.Entry<String, Progress> follower : turn.leadership.followers().entrySet()) {
+  static void tick(StepContext step) {
+    double retryInterval = step.settings.retryInterval();
+    for (Map.Entry<String, Progress> follower : step.leadership.followers().entrySet()) {
       Progress progress = follower.getValue();
-      if (progress.sent() > progress.acknowledged() && turn.now >= progress.movedAt() + retryAfter) {
-        progress = progress.lost(turn.now);
-        turn.leadership = turn.leadership.with(follower.getKey(), progress);
+      if (progress.sent() > progress.acknowledged()
+          && step.now >= progress.lastProgressAt() + retryInterval) {
+        progress = progress.withInFlightLost(step.now);
+        step.leadership = step.leadership.withFollower(follower.getKey(), progress);
       }
-      boolean tellsCommit = progress.inStep() && progress.toldCommit() < turn.log.commit();
-      boolean lacks = !isQuiet(turn, progress) && (tellsCommit || mayBeSentMore(turn, progress));
-      if (lacks || turn.now >= progress.sentAt() + retryAfter) {
-        send(turn, follower.getKey());
+      boolean hasNewCommit = progress.inSync() && progress.lastSentCommit() < step.log.commit();
+      boolean needsAppend = !isUnresponsive(step, progress) && (hasNewCommit || canSendMore(step, progress));
+      if (needsAppend || step.now >= progress.lastSentAt() + retryInterval) {
+        send(step, follower.getKey());
       }
     }
   }
 
-  static void sendToAll(Turn turn) {
-    turn.leadership.followers().keySet().forEach(follower -> send(turn, follower));
+  static void sendToAll(StepContext step) {
+    step.leadership.followers().keySet().forEach(follower -> send(step, follower));
   }
 
   /** To a follower in step what it lacks, to another one all that is not committed. */
-  static void send(Turn turn, String follower) {
-    LogState log = turn.log;
-    Leadership leadership = turn.leadership;
+  static void send(StepContext step, String follower) {
+    LogState log = step.log;
+    Leadership leadership = step.leadership;
     Progress progress = leadership.followers().get(follower);
-    List<ChangeEntry> entries = isQuiet(turn, progress) ? List.of() : toSend(turn, progress);
+    List<ChangeEntry> entries = isUnresponsive(step, progress) ? List.of() : entriesToSend(step, progress);
     boolean founder = Long.valueOf(progress.life()).equals(leadership.founderLives().get(follower));
-    turn.send(follower, new Append(leadership.epoch(), log.identity(), progress.life(), founder,
+    step.send(follower, new Append(leadership.epoch(), log.identity(), progress.life(), founder,
         leadership.start(), log.commit(), log.last(), entries));
     long sent = entries.isEmpty() ? progress.sent() : entries.get(entries.size() - 1).index();
-    turn.leadership = leadership.with(follower, progress.sending(sent, log.commit(), turn.now));
+    step.leadership = leadership.withFollower(follower, progress.withSent(sent, log.commit(), step.now));
   }
 
-  private static List<ChangeEntry> toSend(Turn turn, Progress progress) {
-    LogState log = turn.log;
-    if (!progress.inStep()) {
+  private static List<ChangeEntry> entriesToSend(StepContext step, Progress progress) {
+    LogState log = step.log;
+    if (!progress.inSync()) {
       return log.tail();
     }
     boolean compacted = progress.sent() < log.snapshot().index(); // it will fetch, up to the commit index
     long from = compacted ? log.commit() + 1 : progress.sent() + 1;
-    return List.copyOf(Batches.first(log.between(from, log.last()), turn.terms.limits()));
+    return List.copyOf(Batches.first(log.between(from, log.last()), step.settings.limits()));
   }
 }
--- a/src/main/java/beampoint/fleet/changes/Leadership.java
+++ b/src/main/java/beampoint/fleet/changes/Leadership.java
@@ -17,16 +17,16 @@
  * @param start the last index with which it began
  * @param founderLives if it founded the log: the replicas that took part, with their lives
  * @param queue changes that wait for room
- * @param askedAt when it last asked for logs
+ * @param requestedAt when it last asked for logs
  */
 record Leadership(Epoch epoch, Phase phase, SortedMap<String, Recovered> answers, Recovered chosen,
     long start, SortedMap<String, Long> founderLives, SortedMap<String, Progress> followers,
-    List<Submit> queue, double askedAt) {
+    List<Submit> queue, double requestedAt) {
 
   /** How far a leader is. */
   enum Phase {
     /** Asks a quorum for its logs. */
-    ASKING,
+    COLLECTING,
     /** Knows which log to go on with, and fetches committed entries that it lacks. */
     FETCHING,
     /** Takes changes. */
@@ -36,72 +36,75 @@
   /**
    * How far a follower is.
    *
-   * @param inStep its log equals the leader's up to {@code acknowledged}
+   * @param inSync its log equals the leader's up to {@code acknowledged}
    * @param voter it counts towards a majority
    * @param sent the last index that is on its way
-   * @param toldCommit the commit index last sent
-   * @param heardAt when it last answered
-   * @param movedAt since when what is on its way has not been acknowledged further
+   * @param lastSentCommit the commit index last sent
+   * @param lastResponseAt when it last answered
+   * @param lastProgressAt since when what is on its way has not been acknowledged further
    */
-  record Progress(long life, boolean inStep, boolean voter, long acknowledged, long sent, long toldCommit,
-      double sentAt, double heardAt, double movedAt) {
+  record Progress(long life, boolean inSync, boolean voter, long acknowledged, long sent, long lastSentCommit,
+      double lastSentAt, double lastResponseAt, double lastProgressAt) {
 
-    static Progress ofLife(long life, double now) {
+    static Progress initial(long life, double now) {
       return new Progress(life, false, false, 0, 0, -1, Double.NEGATIVE_INFINITY, now, now);
     }
 
-    Progress heard(double now) {
-      return new Progress(life, inStep, voter, acknowledged, sent, toldCommit, sentAt, now, movedAt);
+    Progress withResponse(double now) {
+      return new Progress(life, inSync, voter, acknowledged, sent, lastSentCommit, lastSentAt, now,
+          lastProgressAt);
     }
 
-    Progress acknowledging(boolean counts, long index, double now) {
-      return new Progress(life, true, voter || counts, Math.max(acknowledged, index),
-          Math.max(sent, index), toldCommit, sentAt, now, index > acknowledged ? now : movedAt);
+    Progress withAcknowledged(boolean isVoter, long index, double now) {
+      return new Progress(life, true, voter || isVoter, Math.max(acknowledged, index),
+          Math.max(sent, index), lastSentCommit, lastSentAt, now,
+          index > acknowledged ? now : lastProgressAt);
     }
 
-    Progress sending(long index, long commit, double now) {
-      return new Progress(life, inStep, voter, acknowledged, index, commit, now, heardAt,
-          sent == acknowledged ? now : movedAt);
+    Progress withSent(long index, long commit, double now) {
+      return new Progress(life, inSync, voter, acknowledged, index, commit, now, lastResponseAt,
+          sent == acknowledged ? now : lastProgressAt);
     }
 
     /** What is on its way counts as lost. */
-    Progress lost(double now) {
-      return new Progress(life, inStep, voter, acknowledged, acknowledged, toldCommit, sentAt, heardAt, now);
+    Progress withInFlightLost(double now) {
+      return new Progress(life, inSync, voter, acknowledged, acknowledged, lastSentCommit, lastSentAt,
+          lastResponseAt, now);
     }
   }
 
-  static Leadership asking(Epoch epoch, SortedMap<String, Progress> followers, double now) {
-    return new Leadership(epoch, Phase.ASKING, Collections.emptySortedMap(), null, 0,
+  static Leadership collecting(Epoch epoch, SortedMap<String, Progress> followers, double now) {
+    return new Leadership(epoch, Phase.COLLECTING, Collections.emptySortedMap(), null, 0,
         Collections.emptySortedMap(), followers, List.of(), now);
   }
 
-  Leadership answered(String from, Recovered answer) {
+  Leadership withAnswer(String from, Recovered answer) {
     SortedMap<String, Recovered> all = new TreeMap<>(answers);
     all.put(from, answer);
-    return new Leadership(epoch, phase, all, chosen, start, founderLives, followers, queue, askedAt);
+    return new Leadership(epoch, phase, all, chosen, start, founderLives, followers, queue, requestedAt);
   }
 
-  Leadership askedAgain(double now) {
+  Leadership withRequestsRepeated(double now) {
     return new Leadership(epoch, phase, answers, chosen, start, founderLives, followers, queue, now);
   }
 
-  Leadership fetching(Recovered best) {
+  Leadership fetchingFrom(Recovered best) {
     return new Leadership(epoch, Phase.FETCHING, Collections.emptySortedMap(), best, start, founderLives,
-        followers, queue, askedAt);
+        followers, queue, requestedAt);
   }
 
   Leadership leading(long last, SortedMap<String, Long> lives) {
     return new Leadership(epoch, Phase.LEADING, Collections.emptySortedMap(), null, last, lives, followers,
-        queue, askedAt);
+        queue, requestedAt);
   }
 
-  Leadership with(String follower, Progress progress) {
+  Leadership withFollower(String follower, Progress progress) {
     SortedMap<String, Progress> all = new TreeMap<>(followers);
     all.put(follower, progress);
-    return new Leadership(epoch, phase, answers, chosen, start, founderLives, all, queue, askedAt);
+    return new Leadership(epoch, phase, answers, chosen, start, founderLives, all, queue, requestedAt);
   }
 
-  Leadership queued(Submit change) {
+  Leadership withQueued(Submit change) {
     List<Submit> all = new ArrayList<>(queue);
     all.add(change);
     return withQueue(all);
@@ -109,6 +112,6 @@
 
   Leadership withQueue(List<Submit> waiting) {
     return new Leadership(epoch, phase, answers, chosen, start, founderLives, followers,
-        List.copyOf(waiting), askedAt);
+        List.copyOf(waiting), requestedAt);
   }
 }
--- a/src/main/java/beampoint/fleet/changes/LogAction.java
+++ b/src/main/java/beampoint/fleet/changes/LogAction.java
@@ -19,7 +19,7 @@
   record Install(Epoch identity, Snapshot snapshot) implements LogAction {}
 
   /** Give the lease back: this replica can't lead. */
-  record GiveUp(Problem problem) implements LogAction {}
+  record RelinquishLease(Problem problem) implements LogAction {}
 
   /** Why a leader gives up. */
   enum Problem {
--- a/src/main/java/beampoint/fleet/changes/LogEvent.java
+++ b/src/main/java/beampoint/fleet/changes/LogEvent.java
@@ -27,5 +27,5 @@
    * An operator, who accepts that entries may be lost, lets the replica found a new log with what it holds.
    * It counts while the replica asks the others, as an elected leader.
    */
-  record FoundAnew() implements LogEvent {}
+  record AllowNewLog() implements LogEvent {}
 }
--- a/src/main/java/beampoint/fleet/changes/LogLimits.java
+++ b/src/main/java/beampoint/fleet/changes/LogLimits.java
@@ -24,19 +24,19 @@
   private static final int MAX_BYTES_IN_FLIGHT = ChangeCodec.MAX_BYTES / 2;
 
   public LogLimits {
-    boolean isSome = entriesInFlight >= 1 && bytesInFlight >= 1 && origins >= 1;
-    boolean fits = entriesInFlight <= EntryForm.MAX_ENTRIES && bytesInFlight <= MAX_BYTES_IN_FLIGHT
+    boolean hasRequired = entriesInFlight >= 1 && bytesInFlight >= 1 && origins >= 1;
+    boolean fitsMessage = entriesInFlight <= EntryCodec.MAX_ENTRIES && bytesInFlight <= MAX_BYTES_IN_FLIGHT
         && origins <= ChangeCodec.MAX_ORIGINS;
-    boolean isNegative = queuedChanges < 0 || queuedBytes < 0 || keptEntries < 0 || keptPurges < 0
+    boolean hasNegative = queuedChanges < 0 || queuedBytes < 0 || keptEntries < 0 || keptPurges < 0
         || keptBytes < 0;
-    if (!isSome || !fits || isNegative
-        || !mayBeSentInParts(entriesInFlight, bytesInFlight, keptPurges, keptBytes)) {
+    if (!hasRequired || !fitsMessage || hasNegative
+        || !fitsSnapshotParts(entriesInFlight, bytesInFlight, keptPurges, keptBytes)) {
       throw new IllegalArgumentException("no limits of a log");
     }
   }
 
   /** A part ends with the number of entries, or where one more would make it too long. */
-  private static boolean mayBeSentInParts(int entries, int bytes, int purges, int purgeBytes) {
+  private static boolean fitsSnapshotParts(int entries, int bytes, int purges, int purgeBytes) {
     return 2L + purges / entries + 2L * purgeBytes / bytes <= ChangeCodec.MAX_PARTS;
   }
 }
--- a/src/main/java/beampoint/fleet/changes/LogMessage.java
+++ b/src/main/java/beampoint/fleet/changes/LogMessage.java
@@ -9,7 +9,7 @@
 public sealed interface LogMessage {
 
   /** About who leads. */
-  record OfLease(LeaseMessage message) implements LogMessage {}
+  record LeaseEnvelope(LeaseMessage message) implements LogMessage {}
 
   /** A new leader asks for what a replica holds, which from then on accepts nothing from older epochs. */
   record Recover(Epoch epoch) implements LogMessage {}
@@ -46,10 +46,10 @@
   /**
    * The answer.
    *
-   * @param inStep true where the replica's log equals the leader's up to {@code last}
+   * @param inSync true where the replica's log equals the leader's up to {@code last}
    * @param voter true where this counts towards a majority
    */
-  record Accepted(Epoch epoch, long life, boolean inStep, boolean voter, long last, long commit)
+  record Accepted(Epoch epoch, long life, boolean inSync, boolean voter, long last, long commit)
       implements LogMessage {}
 
   /** Accepts nothing, as it has promised a higher epoch. */
--- a/src/main/java/beampoint/fleet/changes/LogState.java
+++ b/src/main/java/beampoint/fleet/changes/LogState.java
@@ -33,7 +33,7 @@
   }
 
   /** The entry at an index behind the snapshot and up to the last. */
-  public ChangeEntry at(long index) {
+  public ChangeEntry entryAt(long index) {
     return entries.get((int) (index - snapshot.index() - 1));
   }
 
@@ -57,31 +57,31 @@
   /** True where an entry of this index is held and is another one. */
   boolean conflictsWith(ChangeEntry entry) {
     return entry.index() > snapshot.index() && entry.index() <= last()
-        && !at(entry.index()).isSameAs(entry);
+        && !entryAt(entry.index()).isSameAs(entry);
   }
 
-  LogState fencedBy(Epoch epoch) {
+  LogState withFence(Epoch epoch) {
     return epoch.compareTo(fence) <= 0 ? this
         : new LogState(identity, life, voter, epoch, accepted, snapshot, entries, commit);
   }
 
-  LogState voting() {
+  LogState asVoter() {
     return new LogState(identity, life, true, fence, accepted, snapshot, entries, commit);
   }
 
   /** Equal to the log of the leader of an epoch, as far as it goes. */
-  LogState accepting(Epoch epoch) {
+  LogState withAccepted(Epoch epoch) {
     return new LogState(identity, life, voter, fence.max(epoch), epoch, snapshot, entries, commit);
   }
 
   /** A member of another log, of which it holds nothing. */
-  LogState ofLog(Epoch founded) {
-    return new LogState(founded, life, false, fence, Epoch.NONE, Snapshot.EMPTY, List.of(), 0);
+  LogState asMemberOf(Epoch logIdentity) {
+    return new LogState(logIdentity, life, false, fence, Epoch.NONE, Snapshot.EMPTY, List.of(), 0);
   }
 
   /** The founder of a log, which begins with all that it holds. */
-  LogState founding(Epoch founded) {
-    return new LogState(founded, life, true, fence, founded, snapshot, entries, commit);
+  LogState asFounder(Epoch logIdentity) {
+    return new LogState(logIdentity, life, true, fence, logIdentity, snapshot, entries, commit);
   }
 
   LogState committedTo(long index) {
@@ -90,10 +90,10 @@
   }
 
   /** With a tail of others in place of its own; what is committed stays. */
-  LogState withTail(Collection<ChangeEntry> others) {
+  LogState withTail(Collection<ChangeEntry> replacements) {
     List<ChangeEntry> all = new ArrayList<>(between(snapshot.index() + 1, commit));
     long next = commit + 1;
-    for (ChangeEntry entry : others) {
+    for (ChangeEntry entry : replacements) {
       if (entry.index() == next) {
         all.add(entry);
         next++;
@@ -103,9 +103,9 @@
   }
 
   /** With those of the entries that follow on its last one without a gap. */
-  LogState appended(Collection<ChangeEntry> others) {
+  LogState appended(Collection<ChangeEntry> additions) {
     List<ChangeEntry> all = new ArrayList<>(entries);
-    for (ChangeEntry entry : others) {
+    for (ChangeEntry entry : additions) {
       if (entry.index() == snapshot.index() + all.size() + 1) {
         all.add(entry);
       }
@@ -117,27 +117,27 @@
    * With entries that are known to be committed, as far as they follow on its own committed ones. An entry of
    * its tail that stands in their place was never committed, and neither was any after it.
    */
-  LogState learned(Collection<ChangeEntry> committed) {
+  LogState withCommitted(Collection<ChangeEntry> committed) {
     List<ChangeEntry> all = new ArrayList<>(entries);
-    long known = commit;
+    long committedUpTo = commit;
     for (ChangeEntry entry : committed) {
-      if (entry.index() != known + 1) {
+      if (entry.index() != committedUpTo + 1) {
         continue;
       }
-      int place = (int) (known - snapshot.index());
-      if (place < all.size() && !all.get(place).isSameAs(entry)) {
-        all.subList(place, all.size()).clear();
+      int position = (int) (committedUpTo - snapshot.index());
+      if (position < all.size() && !all.get(position).isSameAs(entry)) {
+        all.subList(position, all.size()).clear();
       }
-      if (place == all.size()) {
+      if (position == all.size()) {
         all.add(entry);
       }
-      known++;
+      committedUpTo++;
     }
-    return known == commit ? this : withEntries(all).committedTo(known);
+    return committedUpTo == commit ? this : withEntries(all).committedTo(committedUpTo);
   }
 
   /** With a snapshot in place of what it covers. */
-  LogState installed(Snapshot newer) {
+  LogState withSnapshot(Snapshot newer) {
     List<ChangeEntry> rest = newer.index() >= last() ? List.of() : between(newer.index() + 1, last());
     return new LogState(identity, life, voter, fence, accepted, newer, rest,
         Math.max(commit, newer.index()));
@@ -145,12 +145,12 @@
 
   /** Compacted where more committed entries are kept than need be. */
   LogState compacted(LogLimits limits) {
-    long kept = commit - snapshot.index();
-    if (kept <= 2L * limits.keptEntries()) {
+    long keptCount = commit - snapshot.index();
+    if (keptCount <= 2L * limits.keptEntries()) {
       return this;
     }
-    long until = commit - limits.keptEntries();
-    return installed(snapshot.after(between(snapshot.index() + 1, until), limits));
+    long compactUpTo = commit - limits.keptEntries();
+    return withSnapshot(snapshot.extendedBy(between(snapshot.index() + 1, compactUpTo), limits));
   }
 
   private LogState withEntries(List<ChangeEntry> all) {
--- a/src/main/java/beampoint/fleet/changes/FormReader.java
+++ b/src/main/java/beampoint/fleet/changes/MessageReader.java
@@ -6,30 +6,30 @@
 import java.io.IOException;
 
 /** Reads a message token by token; whatever is not as it should be is a {@link MalformedChangeException}. */
-final class FormReader {
+final class MessageReader {
 
   /** The most characters of a control machine's name. */
-  static final int MAX_NAME = 200;
+  static final int MAX_NAME_LENGTH = 200;
 
   /** The highest index and number of an epoch: so far below the end of a long that sums stay within it. */
   static final long MAX_INDEX = 1L << 53;
 
   private final JsonParser in;
 
-  FormReader(JsonParser in) {
+  MessageReader(JsonParser in) {
     this.in = in;
   }
 
-  void begin() throws IOException, MalformedChangeException {
+  void beginArray() throws IOException, MalformedChangeException {
     expect(JsonToken.START_ARRAY);
   }
 
-  void end() throws IOException, MalformedChangeException {
+  void endArray() throws IOException, MalformedChangeException {
     expect(JsonToken.END_ARRAY);
   }
 
   /** True where another array begins, false where this one ends. */
-  boolean another() throws IOException, MalformedChangeException {
+  boolean nextArray() throws IOException, MalformedChangeException {
     JsonToken token = in.nextToken();
     if (token != JsonToken.START_ARRAY && token != JsonToken.END_ARRAY) {
       throw new MalformedChangeException("cut off, or of another form");
@@ -38,7 +38,7 @@
   }
 
   /** Nothing may follow. */
-  void over() throws IOException, MalformedChangeException {
+  void endOfMessage() throws IOException, MalformedChangeException {
     if (in.nextToken() != null) {
       throw new MalformedChangeException("with more than there may be");
     }
@@ -51,7 +51,7 @@
 
   String name() throws IOException, MalformedChangeException {
     String name = text();
-    if (name.length() > MAX_NAME || !name.chars().allMatch(c -> c >= ' ' && c <= '~')) {
+    if (name.length() > MAX_NAME_LENGTH || !name.chars().allMatch(c -> c >= ' ' && c <= '~')) {
       throw new MalformedChangeException("with a text that is no name");
     }
     return name;
@@ -62,19 +62,19 @@
     return in.getLongValue();
   }
 
-  long within(long least, long most) throws IOException, MalformedChangeException {
+  long numberBetween(long min, long max) throws IOException, MalformedChangeException {
     long number = number();
-    if (number < least || number > most) {
+    if (number < min || number > max) {
       throw new MalformedChangeException("with a number out of bounds: " + number);
     }
     return number;
   }
 
   long index() throws IOException, MalformedChangeException {
-    return within(0, MAX_INDEX);
+    return numberBetween(0, MAX_INDEX);
   }
 
-  boolean flag() throws IOException, MalformedChangeException {
+  boolean bool() throws IOException, MalformedChangeException {
     JsonToken token = in.nextToken();
     if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
       throw new MalformedChangeException("cut off, or of another form");
@@ -84,8 +84,8 @@
 
   Epoch epoch() throws IOException, MalformedChangeException {
     Epoch epoch = new Epoch(index(), name(), number());
-    boolean nobodys = epoch.number() == 0;
-    if (nobodys != epoch.holder().isEmpty() || nobodys && epoch.life() != 0) {
+    boolean isNone = epoch.number() == 0;
+    if (isNone != epoch.holder().isEmpty() || isNone && epoch.life() != 0) {
       throw new MalformedChangeException("with an odd epoch");
     }
     return epoch;
--- a/src/main/java/beampoint/fleet/changes/PurgeChange.java
+++ b/src/main/java/beampoint/fleet/changes/PurgeChange.java
@@ -14,15 +14,15 @@
   public static final int MAX_VALUE_BYTES = 1_024;
 
   public PurgeChange {
-    Texts.checkVersion(formatVersion);
+    TextLimits.checkVersion(formatVersion);
     if (scope == null) {
       throw new IllegalArgumentException("a purge without a scope");
     }
-    Texts.check("value", value, 1, MAX_VALUE_BYTES);
+    TextLimits.checkLength("value", value, 1, MAX_VALUE_BYTES);
   }
 
   @Override
   public int weight() {
-    return Texts.bytes(value);
+    return TextLimits.utf8Length(value);
   }
 }
--- a/src/main/java/beampoint/fleet/changes/Rejoining.java
+++ b/src/main/java/beampoint/fleet/changes/Rejoining.java
@@ -15,51 +15,51 @@
  *
  * @param answers of this life
  */
-record Rejoining(SortedMap<String, RejoinAnswer> answers, double askedAt) {
+record Rejoining(SortedMap<String, RejoinAnswer> answers, double requestedAt) {
 
-  static final Rejoining NOTHING_ASKED = new Rejoining(Collections.emptySortedMap(),
+  static final Rejoining INITIAL = new Rejoining(Collections.emptySortedMap(),
       Double.NEGATIVE_INFINITY);
 
   /** Asks the others, again after a time. */
-  static void ask(Turn turn) {
-    Rejoining now = turn.rejoining;
-    if (now != null && turn.now >= now.askedAt + turn.terms.retryAfter()) {
-      turn.rejoining = new Rejoining(now.answers, turn.now);
-      turn.sendToOthers(new Rejoin(turn.log.life()));
+  static void sendRequests(StepContext step) {
+    Rejoining current = step.rejoining;
+    if (current != null && step.now >= current.requestedAt + step.settings.retryInterval()) {
+      step.rejoining = new Rejoining(current.answers, step.now);
+      step.sendToOthers(new Rejoin(step.log.life()));
     }
   }
 
-  static void answer(Turn turn, String from, Rejoin message) {
-    LogState log = turn.log;
-    Leader.heardOf(turn, from, message.life());
-    turn.send(from, new RejoinAnswer(message.life(), log.identity(), log.voter(), log.fence()));
+  static void reply(StepContext step, String from, Rejoin message) {
+    LogState log = step.log;
+    Leader.resetIfRestarted(step, from, message.life());
+    step.send(from, new RejoinAnswer(message.life(), log.identity(), log.voter(), log.fence()));
   }
 
-  static void answered(Turn turn, String from, RejoinAnswer message) {
-    if (turn.rejoining != null && message.life() == turn.log.life()) {
-      SortedMap<String, RejoinAnswer> all = new TreeMap<>(turn.rejoining.answers);
+  static void receiveAnswer(StepContext step, String from, RejoinAnswer message) {
+    if (step.rejoining != null && message.life() == step.log.life()) {
+      SortedMap<String, RejoinAnswer> all = new TreeMap<>(step.rejoining.answers);
       all.put(from, message);
-      turn.rejoining = new Rejoining(all, turn.rejoining.askedAt);
+      step.rejoining = new Rejoining(all, step.rejoining.requestedAt);
     }
   }
 
   /** Lets it vote, where it may from now on. */
-  static void admit(Turn turn, Append append) {
-    LogState log = turn.log;
+  static void becomeVoterIfComplete(StepContext step, Append append) {
+    LogState log = step.log;
     boolean holdsAll = log.accepted().equals(append.epoch()) && log.last() >= append.last()
         && append.life() == log.life();
     boolean founder = append.founder() && append.epoch().equals(append.identity());
-    if (turn.rejoining != null && holdsAll && (founder || turn.rejoining.isCurrent(turn, append))) {
-      turn.log = log.voting();
-      turn.rejoining = null;
+    if (step.rejoining != null && holdsAll && (founder || step.rejoining.isUpToDate(step, append))) {
+      step.log = log.asVoter();
+      step.rejoining = null;
     }
   }
 
   /** True where a majority has told it of no promise above the epoch of this leader. */
-  private boolean isCurrent(Turn turn, Append append) {
+  private boolean isUpToDate(StepContext step, Append append) {
     List<RejoinAnswer> voters = answers.values().stream()
         .filter(a -> a.voter() && a.identity().equals(append.identity())).toList();
-    return voters.size() >= turn.terms.majority()
+    return voters.size() >= step.settings.majority()
         && voters.stream().allMatch(a -> a.fence().compareTo(append.epoch()) <= 0);
   }
 }
--- a/src/main/java/beampoint/fleet/changes/Replica.java
+++ b/src/main/java/beampoint/fleet/changes/Replica.java
@@ -1,7 +1,7 @@
 package beampoint.fleet.changes;
 
+import beampoint.fleet.changes.LogEvent.AllowNewLog;
 import beampoint.fleet.changes.LogEvent.Elected;
-import beampoint.fleet.changes.LogEvent.FoundAnew;
 import beampoint.fleet.changes.LogEvent.LeaseEnded;
 import beampoint.fleet.changes.LogEvent.Promised;
 import beampoint.fleet.changes.LogEvent.Received;
@@ -30,77 +30,78 @@
   /** What becomes of an event. */
   public record Step(ReplicaState state, List<LogAction> actions) {}
 
-  private final LogSettings terms;
+  private final LogSettings settings;
   private final String self;
 
-  public Replica(LogSettings terms, String self) {
-    if (!terms.voters().contains(self)) {
+  public Replica(LogSettings settings, String self) {
+    if (!settings.voters().contains(self)) {
       throw new IllegalArgumentException(self + " is no voter");
     }
-    this.terms = terms;
+    this.settings = settings;
     this.self = self;
   }
 
   /** The next state; the time never goes back. */
   public Step step(ReplicaState state, double now, LogEvent event) {
-    Turn turn = new Turn(terms, self, now, state);
+    StepContext step = new StepContext(settings, self, now, state);
     if (event instanceof Tick) {
-      tick(turn);
+      tick(step);
     } else if (event instanceof Promised e) {
-      Follower.promise(turn, e.epoch());
+      Follower.promise(step, e.epoch());
     } else if (event instanceof Elected e) {
-      Election.won(turn, e.epoch());
+      Election.start(step, e.epoch());
     } else if (event instanceof LeaseEnded) {
-      Leader.stepDown(turn, null);
+      Leader.stepDown(step, null);
     } else if (event instanceof Submit e) {
-      Submissions.submit(turn, e);
-    } else if (event instanceof FoundAnew) {
-      turn.mayFound = true;
-    } else if (event instanceof Received e && terms.voters().contains(e.from()) && !e.from().equals(self)) {
-      receive(turn, e.from(), e.message());
+      Submissions.submit(step, e);
+    } else if (event instanceof AllowNewLog) {
+      step.newLogAllowed = true;
+    } else if (event instanceof Received e && settings.voters().contains(e.from())
+        && !e.from().equals(self)) {
+      receive(step, e.from(), e.message());
     }
-    return new Step(turn.state(), List.copyOf(turn.actions));
+    return new Step(step.state(), List.copyOf(step.actions));
   }
 
-  private static void tick(Turn turn) {
-    Rejoining.ask(turn);
-    CatchUp.ask(turn);
-    if (Leader.leads(turn)) {
-      Leader.tick(turn);
-    } else if (turn.leadership != null) {
-      Election.tick(turn);
+  private static void tick(StepContext step) {
+    Rejoining.sendRequests(step);
+    CatchUp.fetchNext(step);
+    if (Leader.isLeading(step)) {
+      Leader.tick(step);
+    } else if (step.leadership != null) {
+      Election.tick(step);
     }
   }
 
-  private static void receive(Turn turn, String from, LogMessage message) {
+  private static void receive(StepContext step, String from, LogMessage message) {
     if (message instanceof Append m) {
-      Follower.append(turn, from, m);
+      Follower.append(step, from, m);
     } else if (message instanceof Accepted m) {
-      Leader.accepted(turn, from, m);
+      Leader.receiveAccepted(step, from, m);
     } else if (message instanceof Recover m) {
-      Follower.recover(turn, from, m);
+      Follower.recover(step, from, m);
     } else if (message instanceof Recovered m) {
-      Election.recovered(turn, from, m);
+      Election.receiveRecovered(step, from, m);
     } else if (message instanceof Refused m) {
-      Follower.promise(turn, m.fence());
+      Follower.promise(step, m.fence());
     } else {
-      receiveOfCatchingUp(turn, from, message);
+      receiveCatchUp(step, from, message);
     }
   }
 
-  private static void receiveOfCatchingUp(Turn turn, String from, LogMessage message) {
+  private static void receiveCatchUp(StepContext step, String from, LogMessage message) {
     if (message instanceof Fetch m) {
-      CatchUp.give(turn, from, m);
+      CatchUp.serve(step, from, m);
     } else if (message instanceof Committed m) {
-      CatchUp.entries(turn, m);
-      Election.beginIfComplete(turn);
+      CatchUp.receiveEntries(step, m);
+      Election.leadIfComplete(step);
     } else if (message instanceof SnapshotPart m) {
-      CatchUp.part(turn, m);
-      Election.beginIfComplete(turn);
+      CatchUp.receivePart(step, m);
+      Election.leadIfComplete(step);
     } else if (message instanceof Rejoin m) {
-      Rejoining.answer(turn, from, m);
+      Rejoining.reply(step, from, m);
     } else if (message instanceof RejoinAnswer m) {
-      Rejoining.answered(turn, from, m);
+      Rejoining.receiveAnswer(step, from, m);
     }
   }
 }
--- a/src/main/java/beampoint/fleet/changes/ReplicaState.java
+++ b/src/main/java/beampoint/fleet/changes/ReplicaState.java
@@ -9,19 +9,19 @@
  * @param catchUp null where nothing was ever fetched
  * @param leadership null where this replica does not lead
  * @param leader the epoch of the leader last heard, or {@link Epoch#NONE}
- * @param mayFound an operator has allowed it to found a new log
+ * @param newLogAllowed an operator has allowed it to found a new log
  */
 public record ReplicaState(LogState log, Rejoining rejoining, CatchUp catchUp, Leadership leadership,
-    Epoch leader, boolean mayFound) {
+    Epoch leader, boolean newLogAllowed) {
 
   /** A replica at its start, without memory. */
   public static ReplicaState started(long life) {
-    return new ReplicaState(LogState.started(life), Rejoining.NOTHING_ASKED, null, null, Epoch.NONE, false);
+    return new ReplicaState(LogState.started(life), Rejoining.INITIAL, null, null, Epoch.NONE, false);
   }
 
   /** The same replica after a pause or restart that its log has outlived. */
   public ReplicaState restartedWithLog() {
-    return new ReplicaState(log, log.voter() ? null : Rejoining.NOTHING_ASKED, null, null, Epoch.NONE, false);
+    return new ReplicaState(log, log.voter() ? null : Rejoining.INITIAL, null, null, Epoch.NONE, false);
   }
 
   /** True where it leads and takes changes. */
--- a/src/main/java/beampoint/fleet/changes/Snapshot.java
+++ b/src/main/java/beampoint/fleet/changes/Snapshot.java
@@ -31,7 +31,7 @@
   }
 
   /** The snapshot after further entries, which follow on it without a gap. */
-  Snapshot after(List<ChangeEntry> committed, LogLimits limits) {
+  Snapshot extendedBy(List<ChangeEntry> committed, LogLimits limits) {
     if (committed.isEmpty()) {
       return this;
     }
@@ -39,7 +39,7 @@
     for (ChangeEntry entry : committed) {
       compaction.add(entry);
     }
-    return compaction.within(limits);
+    return compaction.trimmedTo(limits);
   }
 
   /** One compaction on its way. */
@@ -56,7 +56,7 @@
       floors = new TreeMap<>(before.floors);
       index = before.index;
       completeFrom = before.completeFrom;
-      before.entries.forEach(this::hold);
+      before.entries.forEach(this::retain);
     }
 
     void add(ChangeEntry entry) {
@@ -64,12 +64,12 @@
         throw new IllegalArgumentException("entry " + entry.index() + " does not follow on " + index);
       }
       index = entry.index();
-      hold(entry);
+      retain(entry);
     }
 
-    private void hold(ChangeEntry entry) {
+    private void retain(ChangeEntry entry) {
       if (entry.change() instanceof ConfigurationChange) {
-        forget(configuration);
+        raiseFloor(configuration);
         configuration = entry;
       } else {
         purges.add(entry);
@@ -77,18 +77,18 @@
       }
     }
 
-    private void forget(ChangeEntry entry) {
+    private void raiseFloor(ChangeEntry entry) {
       if (entry != null) {
         floors.merge(entry.id().origin(), entry.id().number(), Math::max);
       }
     }
 
-    Snapshot within(LogLimits limits) {
+    Snapshot trimmedTo(LogLimits limits) {
       while (purges.size() > limits.keptPurges() || bytes > limits.keptBytes()) {
         ChangeEntry oldest = purges.remove();
         bytes -= oldest.weight();
         completeFrom = oldest.index();
-        forget(oldest);
+        raiseFloor(oldest);
       }
       List<ChangeEntry> entries = new ArrayList<>(purges);
       if (configuration != null) {
--- a/src/main/java/beampoint/fleet/changes/Turn.java
+++ b/src/main/java/beampoint/fleet/changes/StepContext.java
@@ -8,9 +8,9 @@
 import java.util.List;
 
 /** One step of a replica while it is being made: its state so far, and what is to be done. */
-final class Turn {
+final class StepContext {
 
-  final LogSettings terms;
+  final LogSettings settings;
   final String self;
   final double now;
   final List<LogAction> actions = new ArrayList<>();
@@ -19,10 +19,10 @@
   CatchUp catchUp;
   Leadership leadership;
   Epoch leader;
-  boolean mayFound;
+  boolean newLogAllowed;
 
-  Turn(LogSettings terms, String self, double now, ReplicaState state) {
-    this.terms = terms;
+  StepContext(LogSettings settings, String self, double now, ReplicaState state) {
+    this.settings = settings;
     this.self = self;
     this.now = now;
     this.log = state.log();
@@ -30,11 +30,11 @@
     this.catchUp = state.catchUp();
     this.leadership = state.leadership();
     this.leader = state.leader();
-    this.mayFound = state.mayFound();
+    this.newLogAllowed = state.newLogAllowed();
   }
 
   ReplicaState state() {
-    return new ReplicaState(log, rejoining, catchUp, leadership, leader, mayFound);
+    return new ReplicaState(log, rejoining, catchUp, leadership, leader, newLogAllowed);
   }
 
   void send(String to, LogMessage message) {
@@ -42,7 +42,7 @@
   }
 
   void sendToOthers(LogMessage message) {
-    for (String voter : terms.voters()) {
+    for (String voter : settings.voters()) {
       if (!voter.equals(self)) {
         send(voter, message);
       }
@@ -54,12 +54,12 @@
     if (next.commit() > log.commit()) {
       actions.add(new Deliver(next.identity(), next.between(log.commit() + 1, next.commit())));
     }
-    log = next.compacted(terms.limits());
+    log = next.compacted(settings.limits());
   }
 
   /** Puts a snapshot in place of entries that were never delivered. */
   void install(Snapshot snapshot) {
-    log = log.installed(snapshot);
+    log = log.withSnapshot(snapshot);
     actions.add(new Install(log.identity(), snapshot));
   }
 }
--- a/src/main/java/beampoint/fleet/changes/Submissions.java
+++ b/src/main/java/beampoint/fleet/changes/Submissions.java
@@ -19,81 +19,81 @@
 
   private Submissions() {}
 
-  static void submit(Turn turn, Submit change) {
-    if (!Leader.leads(turn)) {
-      answer(turn, change.id(), new NotLeader(turn.leader));
+  static void submit(StepContext step, Submit change) {
+    if (!Leader.isLeading(step)) {
+      answer(step, change.id(), new NotLeader(step.leader));
       return;
     }
-    Optional<ChangeEntry> known = turn.log.find(change.id());
-    boolean queued = turn.leadership.queue().stream().anyMatch(s -> s.id().equals(change.id()));
-    if (known.isPresent() && known.get().index() <= turn.log.commit()) {
-      answer(turn, change.id(), new Committed(known.get().index()));
+    Optional<ChangeEntry> known = step.log.find(change.id());
+    boolean queued = step.leadership.queue().stream().anyMatch(s -> s.id().equals(change.id()));
+    if (known.isPresent() && known.get().index() <= step.log.commit()) {
+      answer(step, change.id(), new Committed(known.get().index()));
     } else if (known.isEmpty() && !queued) {
-      Reason reason = refusal(turn, change);
+      Reason reason = refusalReason(step, change);
       if (reason != null) {
-        answer(turn, change.id(), new Refused(reason));
+        answer(step, change.id(), new Refused(reason));
       } else {
-        turn.leadership = turn.leadership.queued(change);
-        fromQueue(turn);
+        step.leadership = step.leadership.withQueued(change);
+        appendQueued(step);
       }
     }
   }
 
-  private static void answer(Turn turn, ChangeId id, SubmitOutcome outcome) {
-    turn.actions.add(new Answer(id, outcome));
+  private static void answer(StepContext step, ChangeId id, SubmitOutcome outcome) {
+    step.actions.add(new Answer(id, outcome));
   }
 
-  private static Reason refusal(Turn turn, Submit change) {
-    LogLimits limits = turn.terms.limits();
-    Long floor = turn.log.snapshot().floors().get(change.id().origin());
+  private static Reason refusalReason(StepContext step, Submit change) {
+    LogLimits limits = step.settings.limits();
+    Long floor = step.log.snapshot().floors().get(change.id().origin());
     if (floor != null && change.id().number() <= floor) {
       return Reason.TOO_OLD;
     }
-    if (floor == null && isOneTooMany(turn, change.id().origin())) {
+    if (floor == null && exceedsOriginLimit(step, change.id().origin())) {
       return Reason.TOO_MANY_ORIGINS;
     }
-    List<Submit> queue = turn.leadership.queue();
-    boolean direct = queue.isEmpty() && hasRoom(turn, change);
+    List<Submit> queue = step.leadership.queue();
+    boolean fitsDirectly = queue.isEmpty() && hasRoom(step, change);
     long bytes = queue.stream().mapToLong(Submissions::weight).sum() + weight(change);
     boolean full = queue.size() >= limits.queuedChanges() || bytes > limits.queuedBytes();
-    return full && !direct ? Reason.QUEUE_FULL : null;
+    return full && !fitsDirectly ? Reason.QUEUE_FULL : null;
   }
 
   /** Counts submitters only while there may be too many of them. */
-  private static boolean isOneTooMany(Turn turn, String origin) {
-    LogState log = turn.log;
-    int most = turn.terms.limits().origins();
+  private static boolean exceedsOriginLimit(StepContext step, String origin) {
+    LogState log = step.log;
+    int max = step.settings.limits().origins();
     long ids = (long) log.snapshot().floors().size() + log.snapshot().entries().size()
-        + log.entries().size() + turn.leadership.queue().size();
-    if (ids < most) {
+        + log.entries().size() + step.leadership.queue().size();
+    if (ids < max) {
       return false;
     }
     Set<String> origins = new HashSet<>(log.snapshot().floors().keySet());
     log.snapshot().entries().forEach(e -> origins.add(e.id().origin()));
     log.entries().forEach(e -> origins.add(e.id().origin()));
-    turn.leadership.queue().forEach(s -> origins.add(s.id().origin()));
-    return !origins.contains(origin) && origins.size() >= most;
+    step.leadership.queue().forEach(s -> origins.add(s.id().origin()));
+    return !origins.contains(origin) && origins.size() >= max;
   }
 
   /** Appends changes that wait, as far as there is room. */
-  static void fromQueue(Turn turn) {
-    List<Submit> queue = turn.leadership.queue();
-    int taken = 0;
-    while (taken < queue.size() && hasRoom(turn, queue.get(taken))) {
-      Submit change = queue.get(taken);
-      turn.log = turn.log.appended(List.of(new ChangeEntry(turn.log.last() + 1, turn.leadership.epoch(),
+  static void appendQueued(StepContext step) {
+    List<Submit> queue = step.leadership.queue();
+    int appended = 0;
+    while (appended < queue.size() && hasRoom(step, queue.get(appended))) {
+      Submit change = queue.get(appended);
+      step.log = step.log.appended(List.of(new ChangeEntry(step.log.last() + 1, step.leadership.epoch(),
           change.id(), change.change())));
-      taken++;
+      appended++;
     }
-    if (taken > 0) {
-      turn.leadership = turn.leadership.withQueue(queue.subList(taken, queue.size()));
+    if (appended > 0) {
+      step.leadership = step.leadership.withQueue(queue.subList(appended, queue.size()));
     }
   }
 
-  private static boolean hasRoom(Turn turn, Submit change) {
-    List<ChangeEntry> tail = turn.log.tail();
+  private static boolean hasRoom(StepContext step, Submit change) {
+    List<ChangeEntry> tail = step.log.tail();
     long bytes = tail.stream().mapToLong(ChangeEntry::weight).sum() + weight(change);
-    LogLimits limits = turn.terms.limits();
+    LogLimits limits = step.settings.limits();
     return tail.isEmpty() || tail.size() < limits.entriesInFlight() && bytes <= limits.bytesInFlight();
   }
 
--- a/src/main/java/beampoint/fleet/changes/Texts.java
+++ b/src/main/java/beampoint/fleet/changes/TextLimits.java
@@ -1,14 +1,14 @@
 package beampoint.fleet.changes;
 
 /** Bounds of texts, counted in bytes of UTF-8. */
-final class Texts {
+final class TextLimits {
 
   private static final int MAX_VERSION = 1_000_000;
 
-  private Texts() {}
+  private TextLimits() {}
 
   /** The length of a text in UTF-8, or -1 where it has half of a surrogate pair and can't be written. */
-  static int bytes(String text) {
+  static int utf8Length(String text) {
     int bytes = 0;
     for (int i = 0; i < text.length(); i++) {
       char c = text.charAt(i);
@@ -29,11 +29,11 @@
     return bytes;
   }
 
-  static void check(String what, String text, int least, int most) {
-    int bytes = text == null ? -1 : bytes(text);
-    if (bytes < least || bytes > most) {
-      throw new IllegalArgumentException("the " + what + " has " + bytes + " bytes, not " + least
-          + " to " + most);
+  static void checkLength(String field, String text, int min, int max) {
+    int bytes = text == null ? -1 : utf8Length(text);
+    if (bytes < min || bytes > max) {
+      throw new IllegalArgumentException("the " + field + " has " + bytes + " bytes, not " + min
+          + " to " + max);
     }
   }
 
--- a/src/test/java/beampoint/fleet/changes/ChangeCodecTest.java
+++ b/src/test/java/beampoint/fleet/changes/ChangeCodecTest.java
@@ -9,7 +9,7 @@
 import beampoint.fleet.changes.LogMessage.Append;
 import beampoint.fleet.changes.LogMessage.Committed;
 import beampoint.fleet.changes.LogMessage.Fetch;
-import beampoint.fleet.changes.LogMessage.OfLease;
+import beampoint.fleet.changes.LogMessage.LeaseEnvelope;
 import beampoint.fleet.changes.LogMessage.Recover;
 import beampoint.fleet.changes.LogMessage.Recovered;
 import beampoint.fleet.changes.LogMessage.Refused;
@@ -62,8 +62,8 @@
   private static List<LogMessage> oneOfEach() {
     List<ChangeEntry> entries = new ArrayList<>(purges(5, 3, "org/é/\uD83D\uDE00"));
     entries.add(entry(8, new ConfigurationChange(2, "{\n}")));
-    return List.of(new OfLease(new Request(EPOCH, 3)), new OfLease(new Promise(EPOCH, 4)),
-        new OfLease(new Denial(5)), new OfLease(new Release(EPOCH)), new Recover(EPOCH),
+    return List.of(new LeaseEnvelope(new Request(EPOCH, 3)), new LeaseEnvelope(new Promise(EPOCH, 4)),
+        new LeaseEnvelope(new Denial(5)), new LeaseEnvelope(new Release(EPOCH)), new Recover(EPOCH),
         new Recovered(EPOCH, EPOCH, 9, true, Epoch.NONE, 4, entries),
         new Append(EPOCH, EPOCH, 9, false, 3, 4, 8, entries), new Accepted(EPOCH, -1, true, false, 8, 4),
         new Refused(EPOCH), new Fetch(EPOCH, 1, 2, 3), new Committed(EPOCH, entries),
@@ -82,7 +82,8 @@
   void entriesAreReadAsTheyWereWritten(@ForAll @Size(max = 20) List<PurgeScope> scopes,
       @ForAll @LongRange(min = 0, max = 1L << 52) long commit, @ForAll long number,
       @ForAll String text) throws MalformedChangeException {
-    String value = Texts.bytes(text) < 1 || Texts.bytes(text) > PurgeChange.MAX_VALUE_BYTES ? "k" : text;
+    String value = TextLimits.utf8Length(text) < 1
+        || TextLimits.utf8Length(text) > PurgeChange.MAX_VALUE_BYTES ? "k" : text;
     List<ChangeEntry> entries = new ArrayList<>();
     for (PurgeScope scope : scopes) {
       entries.add(entry(commit + 1 + entries.size(), new PurgeChange(1, scope, value, number)));
@@ -173,11 +174,11 @@
   private static byte[] hostileEntry(int kind, int version, int scope, String text) {
     return form(1, out -> {
       out.writeNumber(10);
-      EntryForm.write(out, EPOCH);
+      EntryCodec.write(out, EPOCH);
       out.writeStartArray();
       out.writeStartArray();
       out.writeNumber(1);
-      EntryForm.write(out, EPOCH);
+      EntryCodec.write(out, EPOCH);
       out.writeString("o");
       out.writeNumber(1);
       out.writeNumber(kind);
@@ -232,10 +233,10 @@
 
   @Test
   void boundsOfListsHold() throws MalformedChangeException {
-    for (int count : new int[] {0, EntryForm.MAX_ENTRIES - 1, EntryForm.MAX_ENTRIES}) {
+    for (int count : new int[] {0, EntryCodec.MAX_ENTRIES - 1, EntryCodec.MAX_ENTRIES}) {
       assertRead(new Committed(EPOCH, purges(1, count, "x")));
     }
-    assertRefused(new Committed(EPOCH, purges(1, EntryForm.MAX_ENTRIES + 1, "x")), "many entries");
+    assertRefused(new Committed(EPOCH, purges(1, EntryCodec.MAX_ENTRIES + 1, "x")), "many entries");
     List<ChangeEntry> gap = new ArrayList<>(purges(1, 2, "x"));
     gap.addAll(purges(4, 1, "x"));
     assertRefused(new Committed(EPOCH, gap), "a gap");
--- a/src/test/java/beampoint/fleet/changes/LogWorld.java
+++ b/src/test/java/beampoint/fleet/changes/LogModel.java
@@ -1,9 +1,9 @@
 package beampoint.fleet.changes;
 
 import beampoint.fleet.changes.LogAction.Deliver;
-import beampoint.fleet.changes.LogAction.GiveUp;
 import beampoint.fleet.changes.LogAction.Install;
 import beampoint.fleet.changes.LogAction.Problem;
+import beampoint.fleet.changes.LogAction.RelinquishLease;
 import beampoint.fleet.changes.LogAction.Send;
 import beampoint.fleet.changes.LogEvent.Elected;
 import beampoint.fleet.changes.LogEvent.Promised;
@@ -26,19 +26,19 @@
  * never. Clocks stand still, and a majority may promise a lease to anybody at any time, also while another
  * one leads: the log must be safe without them.
  */
-final class LogWorld {
+final class LogModel {
 
   static final List<String> NAMES = List.of("a", "b", "c");
-  private static final int ENOUGH = 8;
+  private static final int MAX_KEPT = 8;
 
   /** Terms under which so many committed entries stay beside the snapshot. */
-  static LogSettings terms(int keptEntries) {
+  static LogSettings settings(int keptEntries) {
     return new LogSettings(new TreeSet<>(NAMES), 1,
-        new LogLimits(4, 10_000, 4, 10_000, keptEntries, ENOUGH, 10_000, 4));
+        new LogLimits(4, 10_000, 4, 10_000, keptEntries, MAX_KEPT, 10_000, 4));
   }
 
   /** A message on its way. */
-  record Flight(int from, Send send) {}
+  record SentMessage(int from, Send send) {}
 
   /** A committed entry, and under which leader it became so. */
   record Entry(ChangeEntry entry, Epoch committedUnder) {}
@@ -49,13 +49,13 @@
   /** A replica's step, and what is left of it after its memory was lost: the real ones, or mistaken ones. */
   interface Rules {
 
-    LogSettings NEVER_COMPACTED = LogWorld.terms(ENOUGH);
+    LogSettings NEVER_COMPACTED = LogModel.settings(MAX_KEPT);
 
-    default LogSettings terms() {
+    default LogSettings settings() {
       return NEVER_COMPACTED;
     }
 
-    default ReplicaState forgotten(ReplicaState before, long life) {
+    default ReplicaState withMemoryLost(ReplicaState before, long life) {
       return ReplicaState.started(life);
     }
 
@@ -66,88 +66,88 @@
 
   final Rules rules;
   final List<ReplicaState> states;
-  final Set<Flight> said;
+  final Set<SentMessage> sent;
   final SortedMap<Long, Entry> committed;
   final Budget budget;
-  final String mistake;
+  final String violation;
   private int hash;
 
-  private LogWorld(Rules rules, List<ReplicaState> states, Set<Flight> said, SortedMap<Long, Entry> committed,
-      Budget budget, String mistake) {
+  private LogModel(Rules rules, List<ReplicaState> states, Set<SentMessage> sent,
+      SortedMap<Long, Entry> committed, Budget budget, String violation) {
     this.rules = rules;
     this.states = states;
-    this.said = said;
+    this.sent = sent;
     this.committed = committed;
     this.budget = budget;
-    this.mistake = mistake;
+    this.violation = violation;
   }
 
   /** Three replicas that were never started before. */
-  static LogWorld begin(Rules rules) {
+  static LogModel initial(Rules rules) {
     List<ReplicaState> states = new ArrayList<>();
     for (int i = 0; i < NAMES.size(); i++) {
       states.add(ReplicaState.started(1));
     }
-    return new LogWorld(rules, states, Set.of(), new TreeMap<>(), new Budget(0, 0, 0, 0), null);
+    return new LogModel(rules, states, Set.of(), new TreeMap<>(), new Budget(0, 0, 0, 0), null);
   }
 
   /** A log founded by the first replica, with all of them in step and nothing on its way. */
-  static LogWorld founded(Rules rules) {
-    LogWorld world = begin(rules).elected(0, List.of(0, 1, 2));
+  static LogModel founded(Rules rules) {
+    LogModel model = initial(rules).elected(0, List.of(0, 1, 2));
     for (int round = 0; round < 5; round++) {
-      world = world.allDelivered();
+      model = model.allDelivered();
     }
-    return world.withNothingOnItsWay();
+    return model.withoutMessages();
   }
 
-  LogWorld withNothingOnItsWay() {
-    return new LogWorld(rules, states, Set.of(), committed, budget, mistake);
+  LogModel withoutMessages() {
+    return new LogModel(rules, states, Set.of(), committed, budget, violation);
   }
 
-  private LogWorld allDelivered() {
-    LogWorld world = this;
-    for (Flight flight : said) {
-      world = world.delivered(flight);
+  private LogModel allDelivered() {
+    LogModel model = this;
+    for (SentMessage message : sent) {
+      model = model.delivered(message);
     }
-    return world;
+    return model;
   }
 
   /** The same world, of parts that it shares with all others of a search: few of them differ. */
-  LogWorld sharing(Map<Object, Object> parts) {
+  LogModel interned(Map<Object, Object> pool) {
     List<ReplicaState> shared = new ArrayList<>(NAMES.size());
-    states.forEach(state -> shared.add(shared(parts, state)));
-    return new LogWorld(rules, shared, shared(parts, said), shared(parts, committed), shared(parts, budget),
-        mistake);
+    states.forEach(state -> shared.add(intern(pool, state)));
+    return new LogModel(rules, shared, intern(pool, sent), intern(pool, committed), intern(pool, budget),
+        violation);
   }
 
   @SuppressWarnings("unchecked")
-  private static <T> T shared(Map<Object, Object> parts, T part) {
-    Object known = parts.putIfAbsent(part, part);
+  private static <T> T intern(Map<Object, Object> pool, T part) {
+    Object known = pool.putIfAbsent(part, part);
     return known == null ? part : (T) known;
   }
 
-  LogWorld with(Budget next) {
-    return new LogWorld(rules, states, said, committed, next, mistake);
+  LogModel with(Budget next) {
+    return new LogModel(rules, states, sent, committed, next, violation);
   }
 
-  LogWorld delivered(Flight flight) {
-    return happened(NAMES.indexOf(flight.send.to()),
-        new Received(NAMES.get(flight.from), flight.send.message()));
+  LogModel delivered(SentMessage message) {
+    return withEvent(NAMES.indexOf(message.send.to()),
+        new Received(NAMES.get(message.from), message.send.message()));
   }
 
   /** Delivers all that one replica has said to another. */
-  LogWorld delivered(int from, int to) {
-    LogWorld world = this;
-    for (Flight flight : said) {
-      if (flight.from == from && flight.send.to().equals(NAMES.get(to))) {
-        world = world.delivered(flight);
+  LogModel delivered(int from, int to) {
+    LogModel model = this;
+    for (SentMessage message : sent) {
+      if (message.from == from && message.send.to().equals(NAMES.get(to))) {
+        model = model.delivered(message);
       }
     }
-    return world;
+    return model;
   }
 
-  LogWorld happened(int replica, LogEvent event) {
-    Replica machine = new Replica(rules.terms(), NAMES.get(replica));
+  LogModel withEvent(int replica, LogEvent event) {
+    Replica machine = new Replica(rules.settings(), NAMES.get(replica));
     ReplicaState before = states.get(replica);
     Replica.Step step = rules.step(machine, before, event);
     if (step.actions().isEmpty() && step.state().equals(before)) {
@@ -157,32 +157,34 @@
     nextStates.set(replica, step.state());
     boolean delivers = step.actions().stream().anyMatch(Deliver.class::isInstance);
     SortedMap<Long, Entry> nextCommitted = delivers ? new TreeMap<>(committed) : committed;
-    Set<Flight> nextSaid = said;
-    String wrong = mistake;
+    Set<SentMessage> nextSent = sent;
+    String nextViolation = violation;
     for (LogAction action : step.actions()) {
       if (action instanceof Send send) {
-        nextSaid = with(nextSaid, new Flight(replica, send));
+        nextSent = with(nextSent, new SentMessage(replica, send));
       } else if (action instanceof Deliver deliver) {
         Epoch under = step.state().leads() ? step.state().leadership().epoch() : null;
-        wrong = wrong != null ? wrong : deliver(nextCommitted, deliver.entries(), under);
+        nextViolation = nextViolation != null ? nextViolation
+            : deliver(nextCommitted, deliver.entries(), under);
       } else if (action instanceof Install install) {
         boolean known = install.snapshot().entries().stream()
             .allMatch(e -> committed.containsKey(e.index()) && committed.get(e.index()).entry.equals(e));
-        wrong = known ? wrong : "a snapshot of entries that were not committed: " + install;
-      } else if (action instanceof GiveUp giveUp && giveUp.problem() == Problem.CONTRADICTION) {
-        wrong = "a contradiction at " + NAMES.get(replica);
+        nextViolation = known ? nextViolation : "a snapshot of entries that were not committed: " + install;
+      } else if (action instanceof RelinquishLease relinquish
+          && relinquish.problem() == Problem.CONTRADICTION) {
+        nextViolation = "a contradiction at " + NAMES.get(replica);
       }
     }
-    return new LogWorld(rules, nextStates, nextSaid, nextCommitted, budget, wrong);
+    return new LogModel(rules, nextStates, nextSent, nextCommitted, budget, nextViolation);
   }
 
   /** Sets are shared between worlds: most steps say nothing new. */
-  private static Set<Flight> with(Set<Flight> before, Flight flight) {
-    if (before.contains(flight)) {
+  private static Set<SentMessage> with(Set<SentMessage> before, SentMessage message) {
+    if (before.contains(message)) {
       return before;
     }
-    Set<Flight> after = new HashSet<>(before);
-    after.add(flight);
+    Set<SentMessage> after = new HashSet<>(before);
+    after.add(message);
     return after;
   }
 
@@ -208,43 +210,43 @@
   }
 
   /** These have promised one of them a lease. */
-  LogWorld elected(int candidate, List<Integer> majority) {
+  LogModel elected(int candidate, List<Integer> majority) {
     long number = majority.stream().mapToLong(i -> states.get(i).log().fence().number()).max().orElse(0) + 1;
     Epoch epoch = new Epoch(number, NAMES.get(candidate), states.get(candidate).log().life());
-    LogWorld world = this;
+    LogModel model = this;
     for (int voter : majority) {
-      world = world.happened(voter, new Promised(epoch));
+      model = model.withEvent(voter, new Promised(epoch));
     }
     Budget b = budget;
-    return world.happened(candidate, new Elected(epoch))
+    return model.withEvent(candidate, new Elected(epoch))
         .with(new Budget(b.elections - 1, b.submissions, b.crashes, b.losses));
   }
 
-  LogWorld submitted(int replica, long number) {
+  LogModel submitted(int replica, long number) {
     ChangeId id = new ChangeId("s", number);
     Change change = new PurgeChange(1, PurgeScope.KEY, "k" + number, 0);
     Budget b = budget;
-    return happened(replica, new Submit(id, change)).happened(replica, new Tick())
+    return withEvent(replica, new Submit(id, change)).withEvent(replica, new Tick())
         .with(new Budget(b.elections, b.submissions - 1, b.crashes, b.losses));
   }
 
-  LogWorld restarted(int replica) {
+  LogModel restarted(int replica) {
     Budget b = budget;
     return replaced(replica, states.get(replica).restartedWithLog(),
         new Budget(b.elections, b.submissions, b.crashes - 1, b.losses));
   }
 
-  LogWorld forgotten(int replica) {
+  LogModel withMemoryLost(int replica) {
     ReplicaState before = states.get(replica);
     Budget b = budget;
-    return replaced(replica, rules.forgotten(before, before.log().life() + 1),
-        new Budget(b.elections, b.submissions, b.crashes, b.losses - 1)).happened(replica, new Tick());
+    return replaced(replica, rules.withMemoryLost(before, before.log().life() + 1),
+        new Budget(b.elections, b.submissions, b.crashes, b.losses - 1)).withEvent(replica, new Tick());
   }
 
-  private LogWorld replaced(int replica, ReplicaState state, Budget next) {
+  private LogModel replaced(int replica, ReplicaState state, Budget next) {
     List<ReplicaState> nextStates = new ArrayList<>(states);
     nextStates.set(replica, state);
-    return new LogWorld(rules, nextStates, said, committed, next, mistake);
+    return new LogModel(rules, nextStates, sent, committed, next, violation);
   }
 
   private boolean isVoter(int replica) {
@@ -259,14 +261,14 @@
     return states.stream().allMatch(s -> s.log().voter());
   }
 
-  List<LogWorld> next() {
-    List<LogWorld> all = new ArrayList<>();
-    for (Flight flight : said) {
-      all.add(delivered(flight));
+  List<LogModel> next() {
+    List<LogModel> all = new ArrayList<>();
+    for (SentMessage message : sent) {
+      all.add(delivered(message));
     }
     for (int i = 0; i < NAMES.size(); i++) {
       if (states.get(i).leads()) {
-        all.add(happened(i, new Tick()));
+        all.add(withEvent(i, new Tick()));
         if (budget.submissions > 0) {
           all.add(submitted(i, budget.submissions));
           all.add(submitted(i, budget.submissions + 1)); // the one before, again
@@ -280,16 +282,16 @@
         all.add(restarted(i));
       }
       if (budget.losses > 0 && (allVote() || knowsNoLog(i))) {
-        all.add(forgotten(i));
+        all.add(withMemoryLost(i));
       }
     }
     return all;
   }
 
   /** What is wrong, or null. */
-  String wrong() {
-    if (mistake != null) {
-      return mistake;
+  String violation() {
+    if (violation != null) {
+      return violation;
     }
     for (int i = 0; i < NAMES.size(); i++) {
       ReplicaState state = states.get(i);
@@ -303,7 +305,7 @@
         }
       }
     }
-    return committed.values().stream().filter(e -> holders(e.entry) < rules.terms().majority()).findFirst()
+    return committed.values().stream().filter(e -> holders(e.entry) < rules.settings().majority()).findFirst()
         .map(e -> "committed, and held by " + holders(e.entry) + " that vote: " + e).orElse(null);
   }
 
@@ -316,19 +318,19 @@
     if (entry.index() <= log.snapshot().index()) {
       return log.snapshot().entries().contains(entry);
     }
-    return entry.index() <= log.last() && log.at(entry.index()).equals(entry);
+    return entry.index() <= log.last() && log.entryAt(entry.index()).equals(entry);
   }
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof LogWorld w && hashCode() == w.hashCode() && states.equals(w.states)
-        && said.equals(w.said) && committed.equals(w.committed) && budget.equals(w.budget);
+    return other instanceof LogModel w && hashCode() == w.hashCode() && states.equals(w.states)
+        && sent.equals(w.sent) && committed.equals(w.committed) && budget.equals(w.budget);
   }
 
   @Override
   public int hashCode() {
     if (hash == 0) {
-      hash = Objects.hash(states, said, committed, budget);
+      hash = Objects.hash(states, sent, committed, budget);
     }
     return hash;
   }
--- a/src/test/java/beampoint/fleet/changes/LogSimulationTest.java
+++ b/src/test/java/beampoint/fleet/changes/LogSimulationTest.java
@@ -18,9 +18,9 @@
 class LogSimulationTest {
 
   private static final LogLimits SMALL = new LogLimits(32, 20_000, 64, 40_000, 40, 100, 40_000, 10);
-  private static final double SECOND = 1_000;
-  private static final double START = 5 * SECOND;
-  private static final double MAX_WAIT = 8 * SimulatedCluster.LEASE;
+  private static final double SECOND_MS = 1_000;
+  private static final double WARM_UP_MS = 5 * SECOND_MS;
+  private static final double MAX_RECOVERY_MS = 8 * SimulatedCluster.LEASE_MS;
   private static final int SEEDS = Integer.getInteger("log.seeds", 1); // more for a longer trial
 
   private static PurgeChange purge(long number) {
@@ -31,9 +31,10 @@
   private static void submit(SimulatedCluster cluster, double perSecond, double until) {
     long number = 0;
     while (cluster.now < until) {
-      cluster.runTo(cluster.now + SECOND / perSecond);
-      boolean settings = number % 50 == 7;
-      cluster.submit(settings ? new ConfigurationChange(1, "{\"version\":" + number + "}") : purge(number));
+      cluster.runTo(cluster.now + SECOND_MS / perSecond);
+      boolean isConfiguration = number % 50 == 7;
+      cluster.submit(
+          isConfiguration ? new ConfigurationChange(1, "{\"version\":" + number + "}") : purge(number));
       number++;
     }
   }
@@ -46,67 +47,67 @@
   private static void print(String what, SimulatedCluster cluster) {
     System.out.printf("%s, %d voters: %d committed, p50 %.0f ms, p99 %.0f ms, max %.0f ms, %d elections,"
         + " %d messages, %.1f KB/s from each, %.0f s%n", what, cluster.names.size(),
-        cluster.ledger.size(), percentile(cluster.latencies, 0.5), percentile(cluster.latencies, 0.99),
+        cluster.committedLog.size(), percentile(cluster.latencies, 0.5), percentile(cluster.latencies, 0.99),
         percentile(cluster.latencies, 1), cluster.elections, cluster.messages,
-        cluster.bytes / cluster.now / cluster.names.size(), cluster.now / SECOND);
+        cluster.bytes / cluster.now / cluster.names.size(), cluster.now / SECOND_MS);
   }
 
   @ParameterizedTest
   @CsvSource({"3, 1", "5, 2", "13, 3"})
   void onACalmNetworkAllIsCommittedSoon(int voters, long seed) {
     SimulatedCluster cluster = new SimulatedCluster(voters, LogLimits.DEFAULTS, seed);
-    cluster.runTo(START);
-    submit(cluster, 27, START + 30 * SECOND);
-    cluster.runTo(cluster.now + 2 * SECOND);
+    cluster.runTo(WARM_UP_MS);
+    submit(cluster, 27, WARM_UP_MS + 30 * SECOND_MS);
+    cluster.runTo(cluster.now + 2 * SECOND_MS);
     print("calm", cluster);
-    assertEquals(0, cluster.open());
+    assertEquals(0, cluster.pendingCount());
     assertEquals(1, cluster.elections);
-    assertEquals(cluster.ledger.size(), cluster.slowest());
-    assertTrue(percentile(cluster.latencies, 1) < 2 * SECOND);
+    assertEquals(cluster.committedLog.size(), cluster.minDelivered());
+    assertTrue(percentile(cluster.latencies, 1) < 2 * SECOND_MS);
   }
 
   @ParameterizedTest
   @CsvSource({"3, 41", "5, 42", "13, 43"})
   void withATwentiethOfAllMessagesLostCommitsGoOn(int voters, long seed) {
     SimulatedCluster cluster = new SimulatedCluster(voters, LogLimits.DEFAULTS, seed);
-    cluster.runTo(START);
-    cluster.loss = 0.05;
-    cluster.repeats = 0.05;
-    submit(cluster, 27, START + 60 * SECOND);
+    cluster.runTo(WARM_UP_MS);
+    cluster.lossRate = 0.05;
+    cluster.duplicationRate = 0.05;
+    submit(cluster, 27, WARM_UP_MS + 60 * SECOND_MS);
     cluster.heal();
-    cluster.runTo(cluster.now + 2 * SECOND);
+    cluster.runTo(cluster.now + 2 * SECOND_MS);
     print("a twentieth lost", cluster);
-    assertEquals(0, cluster.open());
-    assertEquals(cluster.ledger.size(), cluster.slowest());
-    assertTrue(percentile(cluster.latencies, 0.99) < 3 * SECOND);
+    assertEquals(0, cluster.pendingCount());
+    assertEquals(cluster.committedLog.size(), cluster.minDelivered());
+    assertTrue(percentile(cluster.latencies, 0.99) < 3 * SECOND_MS);
   }
 
   /** One fault at a time and at most a minority without memory, as the log's limits say. */
-  private static void disturb(SimulatedCluster cluster, Random random) {
+  private static void injectFault(SimulatedCluster cluster, Random random) {
     int minority = (cluster.names.size() - 1) / 2;
     String one = cluster.names.get(random.nextInt(cluster.names.size()));
     String other = cluster.names.get(random.nextInt(cluster.names.size()));
     long down = cluster.names.stream().filter(n -> !cluster.isUp(n)).count();
     switch (random.nextInt(7)) {
-      case 0 -> cluster.pause(one, random.nextDouble() * 3 * SECOND);
+      case 0 -> cluster.pause(one, random.nextDouble() * 3 * SECOND_MS);
       case 1 -> {
         if (!one.equals(other)) {
-          cluster.cut(one, other);
+          cluster.partition(one, other);
         }
       }
-      case 2 -> cluster.names.stream().filter(n -> !n.equals(one)).forEach(n -> cluster.cut(one, n));
+      case 2 -> cluster.names.stream().filter(n -> !n.equals(one)).forEach(n -> cluster.partition(one, n));
       case 3 -> {
         if (down < minority) {
           cluster.stop(one);
         }
       }
       case 4 -> {
-        boolean forgets = cluster.learners() + (cluster.state(one).log().voter() ? 1 : 0) <= minority;
-        cluster.restart(one, forgets && random.nextBoolean());
+        boolean losesMemory = cluster.nonVoters() + (cluster.state(one).log().voter() ? 1 : 0) <= minority;
+        cluster.restart(one, losesMemory && random.nextBoolean());
       }
       case 5 -> {
-        cluster.loss = random.nextDouble() * 0.2;
-        cluster.repeats = random.nextDouble() * 0.2;
+        cluster.lossRate = random.nextDouble() * 0.2;
+        cluster.duplicationRate = random.nextDouble() * 0.2;
       }
       default -> cluster.heal();
     }
@@ -123,46 +124,46 @@
   private static void runThroughFaults(int voters, long seed) {
     SimulatedCluster cluster = new SimulatedCluster(voters, SMALL, seed);
     Random random = new Random(seed);
-    cluster.runTo(START);
+    cluster.runTo(WARM_UP_MS);
     for (int i = 0; i < 120; i++) {
-      disturb(cluster, random);
-      submit(cluster, 10, cluster.now + 1.5 * SECOND);
+      injectFault(cluster, random);
+      submit(cluster, 10, cluster.now + 1.5 * SECOND_MS);
     }
     cluster.heal();
     double healed = cluster.now;
-    long before = cluster.ledger.size();
+    long before = cluster.committedLog.size();
     cluster.submit(purge(-1));
-    while (cluster.ledger.size() == before && cluster.now < healed + MAX_WAIT) {
+    while (cluster.committedLog.size() == before && cluster.now < healed + MAX_RECOVERY_MS) {
       cluster.runTo(cluster.now + 20);
     }
     double waited = cluster.now - healed;
-    assertTrue(waited < MAX_WAIT, "the first commit after the faults, seed " + seed);
+    assertTrue(waited < MAX_RECOVERY_MS, "the first commit after the faults, seed " + seed);
     System.out.printf("goes on after %.0f ms; ", waited);
-    submit(cluster, 10, cluster.now + 10 * SECOND);
-    cluster.runTo(cluster.now + 5 * SECOND);
+    submit(cluster, 10, cluster.now + 10 * SECOND_MS);
+    cluster.runTo(cluster.now + 5 * SECOND_MS);
     print("faults, seed " + seed, cluster);
-    assertTrue(cluster.ledger.size() >= before + 100, "commits go on after the faults, seed " + seed);
-    assertEquals(0, cluster.open(), "all is committed or refused for good, seed " + seed);
-    assertEquals(0, cluster.learners(), "all vote again, seed " + seed);
-    assertEquals(cluster.ledger.size(), cluster.slowest(), "all hold all, seed " + seed);
+    assertTrue(cluster.committedLog.size() >= before + 100, "commits go on after the faults, seed " + seed);
+    assertEquals(0, cluster.pendingCount(), "all is committed or refused for good, seed " + seed);
+    assertEquals(0, cluster.nonVoters(), "all vote again, seed " + seed);
+    assertEquals(cluster.committedLog.size(), cluster.minDelivered(), "all hold all, seed " + seed);
   }
 
   @Test
   void aLeaderThatStopsIsFollowedByAnotherWithinThreeLeases() {
     SimulatedCluster cluster = new SimulatedCluster(13, LogLimits.DEFAULTS, 7);
-    cluster.runTo(START);
+    cluster.runTo(WARM_UP_MS);
     for (int i = 0; i < 10; i++) {
       String leader = cluster.leader();
       cluster.stop(leader);
       double stopped = cluster.now;
       while (cluster.leader() == null) {
         cluster.runTo(cluster.now + 10);
-        assertTrue(cluster.now < stopped + 3 * SimulatedCluster.LEASE, "no leader yet");
+        assertTrue(cluster.now < stopped + 3 * SimulatedCluster.LEASE_MS, "no leader yet");
       }
       System.out.printf("a new leader after %.0f ms%n", cluster.now - stopped);
       cluster.restart(leader, i % 2 == 0);
-      cluster.runTo(cluster.now + 3 * SECOND);
-      assertEquals(0, cluster.learners());
+      cluster.runTo(cluster.now + 3 * SECOND_MS);
+      assertEquals(0, cluster.nonVoters());
     }
   }
 
@@ -170,70 +171,70 @@
   void aFullQueueIsRefusedAndLeavesTheRestInOrder() {
     LogLimits shortQueue = new LogLimits(32, 20_000, 64, 40_000, 500, 500, 100_000, 10);
     SimulatedCluster cluster = new SimulatedCluster(3, shortQueue, 5);
-    cluster.runTo(START);
+    cluster.runTo(WARM_UP_MS);
     for (int i = 0; i < 400; i++) {
       cluster.submit(purge(i));
     }
-    cluster.runTo(cluster.now + 30 * SECOND);
+    cluster.runTo(cluster.now + 30 * SECOND_MS);
     assertTrue(cluster.refusals.get(SubmitOutcome.Reason.QUEUE_FULL) > 0);
-    assertEquals(0, cluster.open());
-    assertEquals(400, cluster.ledger.size());
+    assertEquals(0, cluster.pendingCount());
+    assertEquals(400, cluster.committedLog.size());
   }
 
   @Test
   void whoWasAwayForLongerThanEntriesAreKeptGetsTheSnapshot() {
     SimulatedCluster cluster = new SimulatedCluster(5, SMALL, 6);
-    cluster.runTo(START);
+    cluster.runTo(WARM_UP_MS);
     String away = cluster.names.stream().filter(n -> !n.equals(cluster.leader())).findFirst().orElseThrow();
     cluster.stop(away);
-    submit(cluster, 30, cluster.now + 20 * SECOND);
+    submit(cluster, 30, cluster.now + 20 * SECOND_MS);
     assertTrue(cluster.state(cluster.leader()).log().snapshot().index() > 400);
     assertEquals(100, cluster.state(cluster.leader()).log().snapshot().entries().stream()
         .filter(e -> e.change() instanceof PurgeChange).count());
     cluster.restart(away, true);
-    cluster.runTo(cluster.now + 5 * SECOND);
-    assertEquals(cluster.ledger.size(), cluster.slowest());
-    assertEquals(0, cluster.learners());
+    cluster.runTo(cluster.now + 5 * SECOND_MS);
+    assertEquals(cluster.committedLog.size(), cluster.minDelivered());
+    assertEquals(0, cluster.nonVoters());
     assertTrue(cluster.state(away).log().snapshot().completeFrom() > 0);
   }
 
   @Test
   void aLostMajorityStopsTheLogUntilAnOperatorFoundsAnother() {
     SimulatedCluster cluster = new SimulatedCluster(5, SMALL, 8);
-    cluster.runTo(START);
-    submit(cluster, 10, cluster.now + 2 * SECOND);
-    cluster.runTo(cluster.now + SECOND);
+    cluster.runTo(WARM_UP_MS);
+    submit(cluster, 10, cluster.now + 2 * SECOND_MS);
+    cluster.runTo(cluster.now + SECOND_MS);
     Epoch identity = cluster.logIdentity;
-    long committed = cluster.ledger.size();
+    long committed = cluster.committedLog.size();
     cluster.names.subList(0, 3).forEach(n -> cluster.restart(n, true));
     cluster.submit(purge(1_000));
-    cluster.runTo(cluster.now + 20 * SECOND);
-    assertEquals(committed, cluster.ledger.size(), "nothing is committed without a majority that remembers");
+    cluster.runTo(cluster.now + 20 * SECOND_MS);
+    assertEquals(committed, cluster.committedLog.size(), "nothing is committed without a majority of voters");
     assertNull(cluster.leader());
     assertTrue(cluster.problems.contains(Problem.MAJORITY_LOST));
     assertTrue(cluster.names.stream().allMatch(n -> cluster.problem(n).isPresent()), "operators are told");
-    cluster.foundAnew(cluster.names.get(4));
-    cluster.runTo(cluster.now + 30 * SECOND);
+    cluster.allowNewLog(cluster.names.get(4));
+    cluster.runTo(cluster.now + 30 * SECOND_MS);
     assertNotEquals(identity, cluster.logIdentity);
-    assertEquals(committed + 1, cluster.ledger.size(), "the new log begins with what its founder held");
-    assertEquals(0, cluster.learners());
+    assertEquals(committed + 1, cluster.committedLog.size(), "the new log begins with what its founder held");
+    assertEquals(0, cluster.nonVoters());
   }
 
   @Test
   void allStartedAnewBeginALogOfAnotherIdentity() {
     SimulatedCluster cluster = new SimulatedCluster(3, SMALL, 9);
-    cluster.runTo(START);
-    submit(cluster, 10, cluster.now + 2 * SECOND);
+    cluster.runTo(WARM_UP_MS);
+    submit(cluster, 10, cluster.now + 2 * SECOND_MS);
     Epoch identity = cluster.logIdentity;
-    assertFalse(cluster.ledger.isEmpty());
-    cluster.runTo(cluster.now + SECOND);
+    assertFalse(cluster.committedLog.isEmpty());
+    cluster.runTo(cluster.now + SECOND_MS);
     cluster.names.forEach(n -> cluster.restart(n, true));
-    cluster.forgetLedger();
-    cluster.runTo(cluster.now + START);
-    submit(cluster, 10, cluster.now + 2 * SECOND);
-    cluster.runTo(cluster.now + SECOND);
+    cluster.clearCommittedLog();
+    cluster.runTo(cluster.now + WARM_UP_MS);
+    submit(cluster, 10, cluster.now + 2 * SECOND_MS);
+    cluster.runTo(cluster.now + SECOND_MS);
     assertNotEquals(identity, cluster.state("c00").log().identity());
-    assertEquals(cluster.ledger.size(), cluster.slowest());
-    assertEquals(0, cluster.open());
+    assertEquals(cluster.committedLog.size(), cluster.minDelivered());
+    assertEquals(0, cluster.pendingCount());
   }
 }
--- a/src/test/java/beampoint/fleet/changes/SimulatedCluster.java
+++ b/src/test/java/beampoint/fleet/changes/SimulatedCluster.java
@@ -6,9 +6,9 @@
 
 import beampoint.fleet.changes.LogAction.Answer;
 import beampoint.fleet.changes.LogAction.Deliver;
-import beampoint.fleet.changes.LogAction.GiveUp;
 import beampoint.fleet.changes.LogAction.Install;
 import beampoint.fleet.changes.LogAction.Problem;
+import beampoint.fleet.changes.LogAction.RelinquishLease;
 import beampoint.fleet.changes.LogAction.Send;
 import beampoint.fleet.changes.SubmitOutcome.Committed;
 import beampoint.fleet.changes.SubmitOutcome.NotLeader;
@@ -36,14 +36,14 @@
  */
 final class SimulatedCluster {
 
-  static final double LEASE = 1_200;
+  static final double LEASE_MS = 1_200;
   private static final ChangeCodec CODEC = new ChangeCodec("simulated");
-  private static final double TICK = 10;
-  private static final double DRIFT = 0.01;
-  private static final double RETRY_OF_A_SUBMITTER = 300;
+  private static final double TICK_MS = 10;
+  private static final double MAX_CLOCK_DRIFT = 0.01;
+  private static final double SUBMIT_RETRY_MS = 300;
 
   /** What is still to happen. */
-  private record Event(double at, long order, Runnable what) {}
+  private record Event(double at, long order, Runnable action) {}
 
   /** A control machine and what it has handed on to the distribution. */
   private static final class Machine {
@@ -51,7 +51,7 @@
     private int starts;
     private boolean up = true;
     private double pausedUntil;
-    private double pace;
+    private double clockRate;
     private Epoch identity = Epoch.NONE;
     private long delivered;
   }
@@ -59,28 +59,28 @@
   /** A change on its way, and when it was first submitted. */
   private static final class Pending {
     private Change change;
-    private double since;
+    private double submittedAt;
     private boolean followsHint;
     private boolean done;
   }
 
-  final LogSettings terms;
+  final LogSettings settings;
   final List<String> names = new ArrayList<>();
-  final SortedMap<Long, ChangeEntry> ledger = new TreeMap<>();
+  final SortedMap<Long, ChangeEntry> committedLog = new TreeMap<>();
   final List<Double> latencies = new ArrayList<>();
   final Map<SubmitOutcome.Reason, Integer> refusals = new HashMap<>();
   final List<Problem> problems = new ArrayList<>();
-  double loss;
-  double repeats;
+  double lossRate;
+  double duplicationRate;
   double now;
   int messages;
   long bytes;
   int elections;
   Epoch logIdentity = Epoch.NONE;
-  private final LeaseSettings leaseTerms;
+  private final LeaseSettings leaseSettings;
   private final Map<String, Machine> machines = new HashMap<>();
   private final Map<ChangeId, Pending> pending = new HashMap<>();
-  private final Set<Set<String>> cuts = new HashSet<>();
+  private final Set<Set<String>> partitions = new HashSet<>();
   private final Map<ChangeId, Long> committedIds = new HashMap<>();
   private final PriorityQueue<Event> events = new PriorityQueue<>(
       Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
@@ -95,19 +95,19 @@
       names.add("c" + (i < 10 ? "0" : "") + i);
     }
     SortedSet<String> all = new TreeSet<>(names);
-    terms = new LogSettings(all, 400, limits);
-    leaseTerms = new LeaseSettings(all, LEASE, 2 * DRIFT);
+    settings = new LogSettings(all, 400, limits);
+    leaseSettings = new LeaseSettings(all, LEASE_MS, 2 * MAX_CLOCK_DRIFT);
     for (String name : names) {
       Machine machine = new Machine();
-      machine.pace = 1 + DRIFT * random.nextDouble();
+      machine.clockRate = 1 + MAX_CLOCK_DRIFT * random.nextDouble();
       machines.put(name, machine);
       start(name, ReplicaState.started(1));
-      at(random.nextDouble() * TICK, () -> tick(name));
+      at(random.nextDouble() * TICK_MS, () -> tick(name));
     }
   }
 
-  private void at(double time, Runnable what) {
-    events.add(new Event(time, order++, what));
+  private void at(double time, Runnable action) {
+    events.add(new Event(time, order++, action));
   }
 
   /** Runs to a time. */
@@ -115,33 +115,33 @@
     while (!events.isEmpty() && events.peek().at <= time) {
       Event event = events.remove();
       now = event.at;
-      event.what.run();
+      event.action.run();
     }
     now = time;
   }
 
   private double clock(Machine machine) {
-    return now * machine.pace;
+    return now * machine.clockRate;
   }
 
-  private void start(String name, ReplicaState kept) {
+  private void start(String name, ReplicaState initialState) {
     Machine machine = machines.get(name);
     machine.starts++;
     machine.up = true;
-    machine.node = new ControlNode(terms, leaseTerms, name, machine.starts, kept, clock(machine),
-        new Random(random.nextLong()));
+    machine.node = new ControlNode(settings, leaseSettings, name, machine.starts, initialState,
+        clock(machine), new Random(random.nextLong()));
   }
 
   private void tick(String name) {
     Machine machine = machines.get(name);
     if (machine.up && now >= machine.pausedUntil) {
-      done(name, machine.node.tick(clock(machine)));
+      perform(name, machine.node.tick(clock(machine)));
       check(machine.node.state());
     }
-    at(now + TICK, () -> tick(name));
+    at(now + TICK_MS, () -> tick(name));
   }
 
-  private void done(String name, List<LogAction> actions) {
+  private void perform(String name, List<LogAction> actions) {
     Machine machine = machines.get(name);
     for (LogAction action : actions) {
       if (action instanceof Send send) {
@@ -151,12 +151,12 @@
       } else if (action instanceof Install install) {
         machine.identity = install.identity();
         machine.delivered = install.snapshot().index();
-        install.snapshot().entries().forEach(this::isAsCommitted);
+        install.snapshot().entries().forEach(this::assertMatchesCommitted);
       } else if (action instanceof Deliver deliver) {
         deliver(machine, deliver);
-      } else if (action instanceof GiveUp giveUp) {
-        assertTrue(giveUp.problem() != Problem.CONTRADICTION, "a contradiction at " + name);
-        problems.add(giveUp.problem());
+      } else if (action instanceof RelinquishLease relinquish) {
+        assertTrue(relinquish.problem() != Problem.CONTRADICTION, "a contradiction at " + name);
+        problems.add(relinquish.problem());
       }
     }
     if (machine.node.leads(clock(machine)) && !name.equals(leader)) {
@@ -172,32 +172,32 @@
     for (ChangeEntry entry : deliver.entries()) {
       assertEquals(machine.delivered + 1, entry.index(), "delivered without a gap");
       machine.delivered = entry.index();
-      if (leads && ledger.putIfAbsent(entry.index(), entry) == null) {
+      if (leads && committedLog.putIfAbsent(entry.index(), entry) == null) {
         assertNull(committedIds.put(entry.id(), entry.index()), "committed twice: " + entry.id());
       }
       if (deliver.identity().equals(logIdentity)) {
-        isAsCommitted(entry);
+        assertMatchesCommitted(entry);
       }
     }
   }
 
-  private void isAsCommitted(ChangeEntry entry) {
-    assertEquals(ledger.get(entry.index()), entry, "one entry under one index");
+  private void assertMatchesCommitted(ChangeEntry entry) {
+    assertEquals(committedLog.get(entry.index()), entry, "one entry under one index");
   }
 
   /** Messages go through their form in bytes, as on a socket. */
   private void send(String from, Send send) {
-    byte[] form = CODEC.write(send.message());
+    byte[] encoded = CODEC.write(send.message());
     try {
-      assertEquals(send.message(), CODEC.read(form));
+      assertEquals(send.message(), CODEC.read(encoded));
     } catch (MalformedChangeException e) {
       throw new AssertionError("a message that can't be read: " + send.message(), e);
     }
     messages++;
-    bytes += form.length;
-    int copies = random.nextDouble() < repeats ? 2 : 1;
+    bytes += encoded.length;
+    int copies = random.nextDouble() < duplicationRate ? 2 : 1;
     for (int i = 0; i < copies; i++) {
-      if (random.nextDouble() >= loss) {
+      if (random.nextDouble() >= lossRate) {
         at(now + delay(from, send.to()), () -> arrive(from, send));
       }
     }
@@ -211,19 +211,19 @@
 
   private void arrive(String from, Send send) {
     Machine machine = machines.get(send.to());
-    if (cuts.contains(Set.of(from, send.to())) || !machine.up) {
+    if (partitions.contains(Set.of(from, send.to())) || !machine.up) {
       return;
     }
     if (now < machine.pausedUntil) {
       at(machine.pausedUntil, () -> arrive(from, send));
       return;
     }
-    done(send.to(), machine.node.received(clock(machine), from, send.message()));
+    perform(send.to(), machine.node.received(clock(machine), from, send.message()));
   }
 
   /** Bounds of memory. */
   private void check(ReplicaState state) {
-    LogLimits limits = terms.limits();
+    LogLimits limits = settings.limits();
     LogState log = state.log();
     assertTrue(log.tail().size() <= limits.entriesInFlight(), "in flight: " + log.tail().size());
     assertTrue(log.entries().size() <= 2 * limits.keptEntries() + limits.entriesInFlight());
@@ -233,62 +233,62 @@
 
   /** Submits a change at any machine, again and again until it is committed or refused for good. */
   void submit(Change change) {
-    Pending one = new Pending();
-    one.change = change;
-    one.since = now;
+    Pending submission = new Pending();
+    submission.change = change;
+    submission.submittedAt = now;
     ChangeId id = new ChangeId("s" + submitted % 3, submitted++);
-    pending.put(id, one);
+    pending.put(id, submission);
     offerUntilDone(id);
   }
 
   private void offerUntilDone(ChangeId id) {
-    Pending one = pending.get(id);
-    if (!one.done) {
-      at(now + RETRY_OF_A_SUBMITTER, () -> offerUntilDone(id));
-      one.followsHint = false;
+    Pending submission = pending.get(id);
+    if (!submission.done) {
+      at(now + SUBMIT_RETRY_MS, () -> offerUntilDone(id));
+      submission.followsHint = false;
       offer(id, names.get(random.nextInt(names.size())));
     }
   }
 
   private void offer(ChangeId id, String name) {
-    Pending one = pending.get(id);
+    Pending submission = pending.get(id);
     Machine machine = machines.get(name);
-    if (!one.done && machine.up && now >= machine.pausedUntil) {
-      done(name, machine.node.submit(clock(machine), id, one.change));
+    if (!submission.done && machine.up && now >= machine.pausedUntil) {
+      perform(name, machine.node.submit(clock(machine), id, submission.change));
     }
   }
 
   private void answered(Answer answer) {
-    Pending one = pending.get(answer.id());
-    if (one == null || one.done) {
+    Pending submission = pending.get(answer.id());
+    if (submission == null || submission.done) {
       return;
     }
     if (answer.outcome() instanceof Committed committed) {
-      one.done = true;
-      latencies.add(now - one.since);
-      assertEquals(answer.id(), ledger.get(committed.index()).id(), "the answer names the entry");
-    } else if (answer.outcome() instanceof NotLeader notLeader && !one.followsHint
+      submission.done = true;
+      latencies.add(now - submission.submittedAt);
+      assertEquals(answer.id(), committedLog.get(committed.index()).id(), "the answer names the entry");
+    } else if (answer.outcome() instanceof NotLeader notLeader && !submission.followsHint
         && !notLeader.leader().equals(Epoch.NONE)) {
-      one.followsHint = true;
+      submission.followsHint = true;
       at(now + 2, () -> offer(answer.id(), notLeader.leader().holder()));
     } else if (answer.outcome() instanceof Refused refused) {
       refusals.merge(refused.reason(), 1, Integer::sum);
-      one.done = refused.reason() != SubmitOutcome.Reason.QUEUE_FULL;
+      submission.done = refused.reason() != SubmitOutcome.Reason.QUEUE_FULL;
     }
   }
 
-  long open() {
+  long pendingCount() {
     return pending.values().stream().filter(p -> !p.done).count();
   }
 
-  void cut(String one, String other) {
-    cuts.add(Set.of(one, other));
+  void partition(String one, String other) {
+    partitions.add(Set.of(one, other));
   }
 
   void heal() {
-    cuts.clear();
-    loss = 0;
-    repeats = 0;
+    partitions.clear();
+    lossRate = 0;
+    duplicationRate = 0;
     names.stream().filter(n -> !machines.get(n).up).forEach(n -> restart(n, false));
   }
 
@@ -301,20 +301,20 @@
   }
 
   /** A machine runs again, with its log or with nothing. */
-  void restart(String name, boolean forgets) {
+  void restart(String name, boolean losesMemory) {
     Machine machine = machines.get(name);
-    ReplicaState kept = machine.node.state().restartedWithLog();
-    if (forgets) {
+    ReplicaState initialState = machine.node.state().restartedWithLog();
+    if (losesMemory) {
       machine.delivered = 0;
       machine.identity = Epoch.NONE;
-      kept = ReplicaState.started(machine.starts + 1);
+      initialState = ReplicaState.started(machine.starts + 1);
     }
-    start(name, kept);
+    start(name, initialState);
   }
 
   /** A new log begins, as the one before is lost: what was in it is no longer compared. */
-  void forgetLedger() {
-    ledger.clear();
+  void clearCommittedLog() {
+    committedLog.clear();
     committedIds.clear();
   }
 
@@ -326,9 +326,9 @@
     return machines.get(name).node.state();
   }
 
-  void foundAnew(String name) {
+  void allowNewLog(String name) {
     Machine machine = machines.get(name);
-    done(name, machine.node.foundAnew(clock(machine)));
+    perform(name, machine.node.allowNewLog(clock(machine)));
   }
 
   /** The one that leads, or null. */
@@ -343,12 +343,12 @@
   }
 
   /** How many have lost their memory and do not vote yet. */
-  long learners() {
+  long nonVoters() {
     return names.stream().filter(n -> !state(n).log().voter()).count();
   }
 
   /** How far all machines are that run. */
-  long slowest() {
+  long minDelivered() {
     return names.stream().filter(this::isUp).mapToLong(n -> machines.get(n).delivered).min().orElse(0);
   }
 }
--- a/src/test/java/beampoint/fleet/changes/SnapshotTest.java
+++ b/src/test/java/beampoint/fleet/changes/SnapshotTest.java
@@ -16,7 +16,7 @@
 
   private static final Epoch EPOCH = new Epoch(1, "a", 1);
 
-  private static LogLimits keeping(int purges, int bytes) {
+  private static LogLimits limits(int purges, int bytes) {
     return new LogLimits(10, 10_000, 10, 10_000, 0, purges, bytes, 10);
   }
 
@@ -25,7 +25,7 @@
         new PurgeChange(1, PurgeScope.KEY, "k" + index, 0));
   }
 
-  private static ChangeEntry settings(long index) {
+  private static ChangeEntry configuration(long index) {
     return new ChangeEntry(index, EPOCH, new ChangeId("s", index), new ConfigurationChange(1, "{}"));
   }
 
@@ -39,11 +39,11 @@
 
   @Test
   void theLastConfigurationStaysHoweverOldItIs() {
-    Snapshot first = Snapshot.EMPTY.after(List.of(settings(1), settings(2)), keeping(3, 1_000));
-    assertEquals(settings(2), first.configuration().orElseThrow());
+    Snapshot first = Snapshot.EMPTY.extendedBy(List.of(configuration(1), configuration(2)), limits(3, 1_000));
+    assertEquals(configuration(2), first.configuration().orElseThrow());
     assertEquals(Map.of("s", 1L), first.floors());
-    Snapshot later = first.after(purges(3, 12), keeping(3, 1_000));
-    assertEquals(List.of(settings(2), purge(10), purge(11), purge(12)), later.entries());
+    Snapshot later = first.extendedBy(purges(3, 12), limits(3, 1_000));
+    assertEquals(List.of(configuration(2), purge(10), purge(11), purge(12)), later.entries());
     assertEquals(12, later.index());
     assertEquals(9, later.completeFrom());
     assertEquals(Map.of("s", 1L, "p", 9L), later.floors());
@@ -52,12 +52,12 @@
   @Test
   void asManyPurgesStayAsMay() {
     for (int count : new int[] {2, 3}) {
-      Snapshot snapshot = Snapshot.EMPTY.after(purges(1, count), keeping(3, 1_000));
+      Snapshot snapshot = Snapshot.EMPTY.extendedBy(purges(1, count), limits(3, 1_000));
       assertEquals(count, snapshot.entries().size());
       assertEquals(0, snapshot.completeFrom());
       assertTrue(snapshot.floors().isEmpty());
     }
-    Snapshot more = Snapshot.EMPTY.after(purges(1, 4), keeping(3, 1_000));
+    Snapshot more = Snapshot.EMPTY.extendedBy(purges(1, 4), limits(3, 1_000));
     assertEquals(purges(2, 4), more.entries());
     assertEquals(1, more.completeFrom());
   }
@@ -65,28 +65,28 @@
   @Test
   void andAsManyBytesOfThem() {
     int bytes = purge(1).weight() + purge(2).weight();
-    assertEquals(2, Snapshot.EMPTY.after(purges(1, 2), keeping(9, bytes + 1)).entries().size());
-    assertEquals(2, Snapshot.EMPTY.after(purges(1, 2), keeping(9, bytes)).entries().size());
-    assertEquals(List.of(purge(2)), Snapshot.EMPTY.after(purges(1, 2), keeping(9, bytes - 1)).entries());
+    assertEquals(2, Snapshot.EMPTY.extendedBy(purges(1, 2), limits(9, bytes + 1)).entries().size());
+    assertEquals(2, Snapshot.EMPTY.extendedBy(purges(1, 2), limits(9, bytes)).entries().size());
+    assertEquals(List.of(purge(2)), Snapshot.EMPTY.extendedBy(purges(1, 2), limits(9, bytes - 1)).entries());
   }
 
   @Test
   void theWayInWhichEntriesAreCompactedMakesNoDifference() {
     List<ChangeEntry> entries = new ArrayList<>(purges(1, 20));
-    entries.set(6, settings(7));
-    entries.set(13, settings(14));
-    Snapshot atOnce = Snapshot.EMPTY.after(entries, keeping(5, 1_000));
+    entries.set(6, configuration(7));
+    entries.set(13, configuration(14));
+    Snapshot atOnce = Snapshot.EMPTY.extendedBy(entries, limits(5, 1_000));
     Snapshot oneByOne = Snapshot.EMPTY;
     for (ChangeEntry entry : entries) {
-      oneByOne = oneByOne.after(List.of(entry), keeping(5, 1_000));
+      oneByOne = oneByOne.extendedBy(List.of(entry), limits(5, 1_000));
     }
     assertEquals(atOnce, oneByOne);
   }
 
   @Test
   void onlyWhatFollowsIsTaken() {
-    assertSame(Snapshot.EMPTY, Snapshot.EMPTY.after(List.of(), keeping(1, 1)));
+    assertSame(Snapshot.EMPTY, Snapshot.EMPTY.extendedBy(List.of(), limits(1, 1)));
     assertThrows(IllegalArgumentException.class,
-        () -> Snapshot.EMPTY.after(List.of(purge(2)), keeping(1, 1)));
+        () -> Snapshot.EMPTY.extendedBy(List.of(purge(2)), limits(1, 1)));
   }
 }
--- a/src/test/java/beampoint/fleet/changes/SubmissionsTest.java
+++ b/src/test/java/beampoint/fleet/changes/SubmissionsTest.java
@@ -24,21 +24,22 @@
   private static final int IN_FLIGHT = 4;
   private static final int QUEUED = 3;
 
-  private LogSettings terms = terms(new LogLimits(IN_FLIGHT, 100_000, QUEUED, 100_000, 2, 5, 100_000, 3));
-  private Replica replica = new Replica(terms, "a");
+  private LogSettings settings = settings(
+      new LogLimits(IN_FLIGHT, 100_000, QUEUED, 100_000, 2, 5, 100_000, 3));
+  private Replica replica = new Replica(settings, "a");
   private ReplicaState state = leader();
 
-  private static LogSettings terms(LogLimits limits) {
-    return new LogSettings(new TreeSet<>(LogWorld.NAMES), 1, limits);
+  private static LogSettings settings(LogLimits limits) {
+    return new LogSettings(new TreeSet<>(LogModel.NAMES), 1, limits);
   }
 
   private static ReplicaState leader() {
-    return LogWorld.founded(new LogWorld.Rules() {}).states.get(0);
+    return LogModel.founded(new LogModel.Rules() {}).states.get(0);
   }
 
   private void limits(LogLimits limits) {
-    terms = terms(limits);
-    replica = new Replica(terms, "a");
+    settings = settings(limits);
+    replica = new Replica(settings, "a");
   }
 
   private List<Answer> step(LogEvent event) {
@@ -108,7 +109,7 @@
     assertTrue(state.leadership().queue().isEmpty());
     assertEquals(List.of(), submit(8));
     assertEquals(4, acknowledge().size());
-    assertEquals("k8", ((PurgeChange) state.log().at(8).change()).value());
+    assertEquals("k8", ((PurgeChange) state.log().entryAt(8).change()).value());
   }
 
   @Test
@@ -164,8 +165,8 @@
     Epoch epoch = state.leadership().epoch();
     submit(1);
     assertEquals(List.of(answer(1, new NotLeader(Epoch.NONE))), step(new LeaseEnded()));
-    state = LogWorld.founded(new LogWorld.Rules() {}).states.get(1);
-    replica = new Replica(terms, "b");
+    state = LogModel.founded(new LogModel.Rules() {}).states.get(1);
+    replica = new Replica(settings, "b");
     assertEquals(List.of(answer(2, new NotLeader(epoch))), submit(2));
   }
 
