--- a/src/main/java/beampoint/fleet/changes/Batches.java
+++ b/src/main/java/beampoint/fleet/changes/Batches.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Entries in pieces that fit a message. */
+/** Splits entries into batches that fit a message. */
 final class Batches {
 
   private Batches() {}
 
-  /** The first entries that fit one message; one at least. */
+  /** The first entries that fit one message, but at least one if there are any. */
   static List<ChangeEntry> first(List<ChangeEntry> entries, LogLimits limits) {
     long bytes = 0;
     int count = 0;
@@ -22,7 +22,7 @@
     return entries.subList(0, count);
   }
 
-  /** All entries in pieces; one empty piece where there are none. */
+  /** Splits all entries into batches; without entries, the result is one empty batch. */
   static List<List<ChangeEntry>> split(List<ChangeEntry> entries, LogLimits limits) {
     List<List<ChangeEntry>> batches = new ArrayList<>();
     int from = 0;
--- a/src/main/java/beampoint/fleet/changes/CatchUp.java
+++ b/src/main/java/beampoint/fleet/changes/CatchUp.java
@@ -9,19 +9,19 @@
 import java.util.SortedMap;
 
 /**
- * Committed entries on their way to a replica that lacks them, and how they are asked for and given. What is
- * committed is the same everywhere, so any replica may give it, under any leader.
+ * The catch-up of a replica that lacks committed entries, at the fetching and at the serving side. Committed
+ * entries are the same at all replicas, so any replica may serve them, under any leader.
  *
- * @param source who is asked
+ * @param source the replica that is asked
  * @param targetIndex the index up to which entries are known to be committed
- * @param lastFetch the last question, so that repeated answers do not make more of them
- * @param collected what parts of a snapshot have brought so far
- * @param floors from part 0 of it
+ * @param lastFetch the last request, or null; a duplicate answer does not cause a further request
+ * @param collected the entries of the snapshot parts received so far
+ * @param floors the floors of that snapshot, from its part 0
  */
 record CatchUp(String source, long targetIndex, Fetch lastFetch, double lastFetchAt,
     List<ChangeEntry> collected, SortedMap<String, Long> floors) {
 
-  /** Asks for what is committed up to an index, if anything lacks. */
+  /** Fetches the committed entries up to an index, if any of them are missing. */
   static void start(StepContext step, String source, long targetIndex) {
     if (step.log.commit() < targetIndex) {
       CatchUp before = step.catchUp;
@@ -36,7 +36,7 @@
     return new CatchUp(source, Math.max(targetIndex, index), lastFetch, lastFetchAt, collected, floors);
   }
 
-  /** Asks for the next piece, again only after a time. */
+  /** Requests the next entries or snapshot part; the same request is repeated after the retry interval. */
   static void fetchNext(StepContext step) {
     CatchUp current = step.catchUp;
     if (current == null || step.log.commit() >= current.targetIndex) {
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Gives committed entries, or a part of the snapshot where the first of them are in it. */
+  /** Sends committed entries, or a snapshot part if the first requested entry has been compacted. */
   static void serve(StepContext step, String to, Fetch fetch) {
     LogState log = step.log;
     if (!fetch.identity().equals(log.identity()) || fetch.from() > log.commit()) {
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Takes the part that was asked for, or the first one of a newer snapshot. */
+  /** Accepts the requested part of a snapshot, or the first part of another one. */
   static void receivePart(StepContext step, SnapshotPart message) {
     CatchUp current = step.catchUp;
     LogState log = step.log;
--- a/src/main/java/beampoint/fleet/changes/Change.java
+++ b/src/main/java/beampoint/fleet/changes/Change.java
@@ -1,11 +1,11 @@
 package beampoint.fleet.changes;
 
-/** What is to be done at every proxy. */
+/** A change that every proxy has to apply. */
 public sealed interface Change permits ConfigurationChange, PurgeChange {
 
-  /** The version of the change's form, so that a proxy knows what it can't read. */
+  /** The version of the change's format, by which a proxy recognizes a change that it can't read. */
   int formatVersion();
 
-  /** About how many bytes its content takes. */
+  /** The approximate size of its content in bytes. */
   int weight();
 }
--- a/src/main/java/beampoint/fleet/changes/ChangeCodec.java
+++ b/src/main/java/beampoint/fleet/changes/ChangeCodec.java
@@ -29,19 +29,19 @@
 import java.util.TreeMap;
 
 /**
- * What control machines say about the change log, in CBOR (RFC 8949): one array that begins with the
- * cluster's name, the version of the form and the kind of message. Any bytes may come: what can't be read is
- * a {@link MalformedChangeException} and nothing else.
+ * Encodes and decodes the messages of the change log in CBOR (RFC 8949). A message is one array that begins
+ * with the name of the cluster, the version of the format and the kind of message. For any other bytes, the
+ * decoder throws {@link MalformedChangeException} and no other exception.
  */
 public final class ChangeCodec {
 
-  /** The most bytes of a message. */
+  /** The maximum length of a message in bytes. */
   public static final int MAX_BYTES = 1 << 20;
 
-  /** The most parts of a snapshot. */
+  /** The maximum number of parts of a snapshot. */
   static final int MAX_PARTS = 4_096;
 
-  /** The most submitters in a snapshot. */
+  /** The maximum number of submitters in a snapshot. */
   static final int MAX_ORIGINS = 1_024;
 
   private static final int VERSION = 1;
@@ -52,7 +52,7 @@
           .maxStringLength(ConfigurationChange.MAX_DOCUMENT_BYTES).maxNumberLength(MAX_DIGITS).build())
       .build();
 
-  /** The kinds of messages; their order is their number on the wire, so that new ones come last. */
+  /** The kinds of messages. Their ordinals are sent on the wire, so new kinds are added at the end. */
   private enum Kind {
     LEASE_REQUEST, LEASE_PROMISE, LEASE_DENIAL, LEASE_RELEASE, RECOVER, RECOVERED, APPEND, ACCEPTED, REFUSED,
     FETCH, COMMITTED, SNAPSHOT_PART, REJOIN, REJOIN_ANSWER
@@ -60,12 +60,16 @@
 
   private final String cluster;
 
-  /** Of one cluster: messages of others are refused. */
+  /** Creates the codec of a cluster; messages of other clusters are rejected. */
   public ChangeCodec(String cluster) {
     this.cluster = cluster;
   }
 
-  /** The bytes of a message. */
+  /**
+   * Encodes a message.
+   *
+   * @throws IllegalArgumentException if it is longer than {@link #MAX_BYTES}
+   */
   public byte[] write(LogMessage message) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator out = CBOR.createGenerator(bytes)) {
@@ -75,10 +79,10 @@
       write(out, message);
       out.writeEndArray();
     } catch (IOException e) {
-      throw new IllegalStateException("bytes in memory can't be written", e);
+      throw new IllegalStateException("cannot encode a message in memory", e);
     }
     if (bytes.size() > MAX_BYTES) {
-      throw new IllegalArgumentException("a message of " + bytes.size() + " bytes");
+      throw new IllegalArgumentException("message longer than " + MAX_BYTES + " bytes: " + bytes.size());
     }
     return bytes.toByteArray();
   }
@@ -183,27 +187,31 @@
     }
   }
 
-  /** Reads a message of this cluster. */
+  /**
+   * Decodes a message of this cluster.
+   *
+   * @throws MalformedChangeException if the bytes are not a message of this cluster and version
+   */
   public LogMessage read(byte[] bytes) throws MalformedChangeException {
     if (bytes.length > MAX_BYTES) {
-      throw new MalformedChangeException("longer than a message may be: " + bytes.length);
+      throw new MalformedChangeException("message longer than " + MAX_BYTES + " bytes: " + bytes.length);
     }
     try (JsonParser parser = CBOR.createParser(bytes)) {
       MessageReader in = new MessageReader(parser);
       in.beginArray();
       if (!in.name().equals(cluster)) {
-        throw new MalformedChangeException("of another cluster");
+        throw new MalformedChangeException("sent by another cluster");
       }
       long version = in.number();
       if (version != VERSION) {
-        throw new MalformedChangeException("of an unknown version: " + version);
+        throw new MalformedChangeException("version other than " + VERSION + ": " + version);
       }
       LogMessage message = read(in, Kind.values()[(int) in.numberBetween(0, Kind.values().length - 1)]);
       in.endArray();
       in.endOfMessage();
       return message;
     } catch (IOException | RuntimeException e) {
-      throw new MalformedChangeException("no message: " + e.getMessage());
+      throw new MalformedChangeException("invalid message: " + e.getMessage());
     }
   }
 
@@ -231,7 +239,7 @@
     Recovered message = new Recovered(in.epoch(), in.epoch(), in.number(), in.bool(), in.epoch(), in.index(),
         EntryCodec.readWithoutGaps(in));
     if (!message.tail().isEmpty() && message.tail().get(0).index() != message.commit() + 1) {
-      throw new MalformedChangeException("with a tail that does not follow");
+      throw new MalformedChangeException("tail does not follow the commit index");
     }
     return message;
   }
@@ -254,7 +262,7 @@
     int parts = (int) in.numberBetween(part + 1L, MAX_PARTS);
     List<ChangeEntry> entries = EntryCodec.read(in);
     if (!entries.isEmpty() && entries.get(entries.size() - 1).index() > index) {
-      throw new MalformedChangeException("with entries that a snapshot can't have");
+      throw new MalformedChangeException("snapshot part has an entry after the index of the snapshot");
     }
     return new SnapshotPart(identity, index, completeFrom, part, parts, entries, floors(in));
   }
@@ -265,7 +273,7 @@
     for (long remaining = in.numberBetween(0, MAX_ORIGINS); remaining > 0; remaining--) {
       ChangeId floor = new ChangeId(in.text(), in.number());
       if (floors.put(floor.origin(), floor.number()) != null) {
-        throw new MalformedChangeException("with a submitter twice");
+        throw new MalformedChangeException("duplicate submitter in a snapshot part");
       }
     }
     return Collections.unmodifiableSortedMap(floors);
--- a/src/main/java/beampoint/fleet/changes/ChangeId.java
+++ b/src/main/java/beampoint/fleet/changes/ChangeId.java
@@ -1,21 +1,21 @@
 package beampoint.fleet.changes;
 
 /**
- * Names a submitted change, chosen by its submitter: submitted again under the same name, it is committed
+ * Identifies a submitted change. A change that is submitted again under the same identifier is committed
  * once.
  *
- * @param origin the submitter's name, which no other submitter has
- * @param number rises with each change of the submitter
+ * @param origin the unique name of the submitter
+ * @param number a number that the submitter increases with each of its changes
  */
 public record ChangeId(String origin, long number) {
 
-  /** The most bytes of a submitter's name. */
+  /** The maximum length of a submitter's name in bytes of UTF-8. */
   public static final int MAX_ORIGIN_BYTES = 100;
 
   public ChangeId {
     TextLimits.checkLength("origin", origin, 1, MAX_ORIGIN_BYTES);
     if (number < 0) {
-      throw new IllegalArgumentException("a change's number is negative: " + number);
+      throw new IllegalArgumentException("change number is negative: " + number);
     }
   }
 }
--- a/src/main/java/beampoint/fleet/changes/ConfigurationChange.java
+++ b/src/main/java/beampoint/fleet/changes/ConfigurationChange.java
@@ -1,13 +1,13 @@
 package beampoint.fleet.changes;
 
 /**
- * New settings.
+ * A new configuration.
  *
- * @param document the whole document of settings, which replaces the one before
+ * @param document the complete settings document, which replaces the previous one
  */
 public record ConfigurationChange(int formatVersion, String document) implements Change {
 
-  /** The most bytes of a document of settings, in UTF-8. */
+  /** The maximum length of a settings document in bytes of UTF-8. */
   public static final int MAX_DOCUMENT_BYTES = 64 * 1024;
 
   public ConfigurationChange {
--- a/src/main/java/beampoint/fleet/changes/ControlNode.java
+++ b/src/main/java/beampoint/fleet/changes/ControlNode.java
@@ -23,19 +23,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A control machine: its replica of the change log and its vote for the lease of the leader. The one who
- * holds the lease leads. It has no clock and no socket: all calls give the time, in ms of one clock that
- * never goes back, and hand back what is to be done. It is used by one thread.
+ * A control machine: its replica of the change log and its part in granting the lease of the leader. The
+ * holder of the lease is the leader. It has no clock and no socket: each call passes the time, in ms of a
+ * monotonic clock, and returns the actions to carry out. It must be used by one thread.
  */
 public final class ControlNode {
 
-  /** A lease is renewed this many times in its length. */
+  /** The number of renewals within the duration of a lease. */
   private static final int RENEWALS_PER_LEASE = 4;
 
-  /** A candidate that gets no majority gives up after this part of a lease: others' promises end with it. */
+  /**
+   * The part of a lease after which a candidate without a majority gives up, which also ends the promises
+   * made to it.
+   */
   private static final double CANDIDACY_PART = 0.5;
 
-  /** Candidates scatter over this part of a lease. */
+  /** Candidacies are delayed at random by up to this part of a lease, so that few compete. */
   private static final double JITTER_PART = 0.4;
 
   private final LeaseSettings leaseSettings;
@@ -51,15 +54,18 @@
   private double lastAppendAt = Double.NEGATIVE_INFINITY;
 
   /**
-   * Starts.
+   * Creates a control machine.
    *
-   * @param life drawn at the start of the process; the lease and its epochs tell lives apart by it
-   * @param initialState what outlived the process, or {@link ReplicaState#started} where nothing did
+   * @param life a random number drawn at the start of the process, which distinguishes its epochs from those
+   *     of earlier processes of the same name
+   * @param initialState the state that survived a restart, or {@link ReplicaState#started} if none did
+   * @throws IllegalArgumentException if the voters of the log and of the lease differ, or do not include
+   *     {@code self}
    */
   public ControlNode(LogSettings settings, LeaseSettings leaseSettings, String self, long life,
       ReplicaState initialState, double now, RandomGenerator random) {
     if (!settings.voters().equals(leaseSettings.voters())) {
-      throw new IllegalArgumentException("the log and the lease have other voters");
+      throw new IllegalArgumentException("the log and the lease have different voters");
     }
     this.leaseSettings = leaseSettings;
     this.lease = new Lease(leaseSettings, self, life);
@@ -70,17 +76,20 @@
     this.nextAttemptAt = now + leaseSettings.length() + jitter();
   }
 
-  /** What its replica knows. */
+  /** The state of its replica. */
   public ReplicaState state() {
     return state;
   }
 
-  /** True where it leads and takes changes. */
+  /** Whether it is the leader and accepts changes. */
   public boolean leads(double now) {
     return state.leads() && leaseState.isHolder(now);
   }
 
-  /** What keeps the log from going on, as far as this machine knows: an operator has to know of it. */
+  /**
+   * The problem that keeps the log from making progress, as far as this machine knows; to be reported to an
+   * operator.
+   */
   public Optional<Problem> problem() {
     Rejoining rejoining = state.rejoining();
     long nonVoters = rejoining == null ? 0
@@ -90,7 +99,7 @@
         : Optional.empty();
   }
 
-  /** To be called every 10 ms or so: that is how long entries wait to be sent together. */
+  /** To be called about every 10 ms; entries wait for up to this long, so that they are sent together. */
   public List<LogAction> tick(double now) {
     List<LogAction> actions = new ArrayList<>();
     stepDownIfLeaseLost(now, actions);
@@ -99,7 +108,7 @@
     return actions;
   }
 
-  /** A message has come from another control machine. */
+  /** Handles a message of another control machine. */
   public List<LogAction> received(double now, String from, LogMessage message) {
     List<LogAction> actions = new ArrayList<>();
     stepDownIfLeaseLost(now, actions);
@@ -115,7 +124,10 @@
     return actions;
   }
 
-  /** Somebody submits a change; the answer is an action of now or later, here or at none. */
+  /**
+   * Submits a change. The answer is an action that this call or a later one returns, at this machine or at
+   * another one; it may also never come.
+   */
   public List<LogAction> submit(double now, ChangeId id, Change change) {
     List<LogAction> actions = new ArrayList<>();
     stepDownIfLeaseLost(now, actions);
@@ -123,14 +135,20 @@
     return actions;
   }
 
-  /** An operator accepts that committed entries may be lost: it founds a new log when it is elected next. */
+  /**
+   * Allows this machine to found a new log at its next election. The operator accepts that committed entries
+   * may be lost.
+   */
   public List<LogAction> allowNewLog(double now) {
     List<LogAction> actions = new ArrayList<>();
     step(now, new AllowNewLog(), actions);
     return actions;
   }
 
-  /** Guards against a leader that goes on after a pause. */
+  /**
+   * Steps down if the lease of the leadership is no longer held: after a pause of the process, the lease may
+   * have expired and another leader may have been elected.
+   */
   private void stepDownIfLeaseLost(double now, List<LogAction> actions) {
     boolean hasLeadership = state.leadership() != null;
     if (hasLeadership
@@ -162,7 +180,7 @@
     }
   }
 
-  /** True where it holds the log, or knows of nobody who does. */
+  /** Whether it is a voter of the log, may found a new one, or knows of no voter. */
   private boolean isEligible() {
     return state.log().voter() || state.newLogAllowed()
         || state.rejoining().answers().values().stream().noneMatch(RejoinAnswer::voter);
--- a/src/main/java/beampoint/fleet/changes/Election.java
+++ b/src/main/java/beampoint/fleet/changes/Election.java
@@ -15,13 +15,14 @@
 import java.util.TreeMap;
 
 /**
- * What the holder of a new lease does before it leads: it asks for logs until a majority of voters has
- * answered, goes on with the best of them, and fetches what it lacks of it.
+ * The steps of an elected replica before it leads: it requests the logs of the others until a majority of
+ * voters has answered, chooses the most recent of these logs, and fetches the entries that it lacks.
  */
 final class Election {
 
   private Election() {}
 
+  /** Begins a leadership by requesting the logs of all other voters. */
   static void start(StepContext step, Epoch epoch) {
     if (epoch.compareTo(step.log.fence()) < 0) {
       step.actions.add(new LogAction.RelinquishLease(Problem.FENCED));
@@ -72,13 +73,19 @@
     }
   }
 
-  /** True where too few can be left that remember; a log that nobody has founded yet is none that is lost. */
+  /**
+   * Whether too few replicas can be left that still hold this log. A log that was never founded cannot be
+   * lost.
+   */
   private static boolean isMajorityLost(StepContext step, int nonVotes) {
     return !step.newLogAllowed && !step.log.identity().equals(Epoch.NONE)
         && step.settings.voters().size() - nonVotes < step.settings.majority();
   }
 
-  /** The log of the highest epoch, and of these the longest: it has every entry that may be committed. */
+  /**
+   * Chooses the log accepted under the highest epoch and, among several of these, the longest one: it
+   * contains every entry that may be committed.
+   */
   private static Recovered best(List<Recovered> votes) {
     return votes.stream().max(Comparator.comparing(Recovered::accepted)
         .thenComparing(Recovered::last)).orElseThrow();
@@ -92,7 +99,7 @@
     leadIfComplete(step);
   }
 
-  /** Leads as soon as all of the chosen log is here. */
+  /** Starts to lead once the chosen log is held completely. */
   static void leadIfComplete(StepContext step) {
     if (step.leadership == null || step.leadership.phase() != Phase.FETCHING
         || step.log.commit() < step.leadership.chosen().commit()) {
@@ -109,8 +116,9 @@
   }
 
   /**
-   * Begins a log, with all who have answered. Where none of all remembers, or an operator has said so: else a
-   * log that a minority still remembers would be passed over.
+   * Founds a log together with all replicas that have answered. This is done only if none of all the voters
+   * holds a log any longer, or if an operator has allowed it: otherwise a log that a minority still holds
+   * would be discarded.
    */
   private static void foundLog(StepContext step) {
     SortedMap<String, Long> lives = new TreeMap<>();
@@ -127,7 +135,7 @@
     Leader.sendToAll(step);
   }
 
-  /** Asks again those who have not answered. */
+  /** Repeats the request to the replicas that have not answered. */
   static void tick(StepContext step) {
     Leadership leadership = step.leadership;
     if (leadership.phase() == Phase.COLLECTING
--- a/src/main/java/beampoint/fleet/changes/EntryCodec.java
+++ b/src/main/java/beampoint/fleet/changes/EntryCodec.java
@@ -6,10 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The form of entries in bytes: an array of arrays. */
+/** Encodes and decodes log entries as an array of arrays. */
 final class EntryCodec {
 
-  /** The most entries of one message. */
+  /** The maximum number of entries in one message. */
   static final int MAX_ENTRIES = 1_024;
 
   private static final int CONFIGURATION = 1;
@@ -51,18 +51,18 @@
     }
   }
 
-  /** Reads entries whose indexes rise. */
+  /** Reads entries with strictly increasing indexes. */
   static List<ChangeEntry> read(MessageReader in) throws IOException, MalformedChangeException {
     List<ChangeEntry> entries = new ArrayList<>();
     long previousIndex = 0;
     in.beginArray();
     while (in.nextArray()) {
       if (entries.size() == MAX_ENTRIES) {
-        throw new MalformedChangeException("with more entries than there may be");
+        throw new MalformedChangeException("more than " + MAX_ENTRIES + " entries");
       }
       ChangeEntry entry = entry(in);
       if (entry.index() <= previousIndex || entry.epoch().number() == 0) {
-        throw new MalformedChangeException("with entries out of order, or of nobody");
+        throw new MalformedChangeException("entry out of order or without an epoch");
       }
       previousIndex = entry.index();
       entries.add(entry);
@@ -70,12 +70,12 @@
     return List.copyOf(entries);
   }
 
-  /** Reads entries without gaps. */
+  /** Reads entries with consecutive indexes. */
   static List<ChangeEntry> readWithoutGaps(MessageReader in) throws IOException, MalformedChangeException {
     List<ChangeEntry> entries = read(in);
     if (!entries.isEmpty()
         && entries.get(entries.size() - 1).index() - entries.get(0).index() != entries.size() - 1) {
-      throw new MalformedChangeException("with a gap between entries");
+      throw new MalformedChangeException("gap between the indexes of entries");
     }
     return entries;
   }
--- a/src/main/java/beampoint/fleet/changes/Follower.java
+++ b/src/main/java/beampoint/fleet/changes/Follower.java
@@ -9,12 +9,12 @@
 import beampoint.fleet.facts.Epoch;
 import java.util.List;
 
-/** How a replica follows a leader. */
+/** Handles the messages of a leader at a follower. */
 final class Follower {
 
   private Follower() {}
 
-  /** Promises an epoch: from then on nothing is accepted from lower ones. */
+  /** Promises an epoch: from then on, messages of lower epochs are rejected. */
   static void promise(StepContext step, Epoch epoch) {
     if (step.leadership != null && epoch.compareTo(step.leadership.epoch()) > 0) {
       Leader.stepDown(step, LogAction.Problem.FENCED);
@@ -22,7 +22,7 @@
     step.log = step.log.withFence(epoch);
   }
 
-  /** True where a message of this epoch comes from its holder and nothing higher was promised. */
+  /** Whether a message was sent by the holder of its epoch and no higher epoch was promised. */
   private static boolean isFromLeader(StepContext step, String from, Epoch epoch) {
     if (!epoch.holder().equals(from)) {
       return false;
@@ -35,7 +35,7 @@
     return true;
   }
 
-  /** Tells a new leader what this replica holds. */
+  /** Sends a new leader the log of this replica from its commit index on. */
   static void recover(StepContext step, String from, Recover message) {
     if (isFromLeader(step, from, message.epoch())) {
       step.send(from, recoveredMessage(step.log, message.epoch()));
@@ -58,7 +58,7 @@
     step.leader = message.epoch();
     if (message.epoch().equals(step.log.accepted())
         && message.entries().stream().anyMatch(step.log::conflictsWith)) {
-      return; // of a leader that others have fenced: the entries in their place are committed
+      return; // from a leader that others have fenced: the conflicting entries held here are committed
     }
     step.advance(step.log.withCommitted(committed(message)));
     acceptEntries(step, message);
@@ -70,7 +70,7 @@
         log.commit()));
   }
 
-  /** Becomes a member of another log: nothing of the one before counts in it. */
+  /** Becomes a member of another log; nothing of the previous log is valid in it. */
   private static void joinLog(StepContext step, Epoch identity) {
     step.log = step.log.asMemberOf(identity);
     step.actions.add(new Install(identity, Snapshot.EMPTY));
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Takes the leader's entries. The first time under its epoch this is done in one piece, up to where the
-   * leader began at least: a part of its log must never pass for the whole.
+   * Accepts the leader's entries. The first ones under its epoch are accepted only if they reach at least up
+   * to the index with which the leader began: an incomplete log must never count as equal to the leader's.
    */
   private static void acceptEntries(StepContext step, Append message) {
     LogState log = step.log;
--- a/src/main/java/beampoint/fleet/changes/Leader.java
+++ b/src/main/java/beampoint/fleet/changes/Leader.java
@@ -16,10 +16,10 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** How a leader replicates entries and commits them. */
+/** Replicates entries from the leader to the followers and commits them. */
 final class Leader {
 
-  /** A follower is quiet after so many times without an answer. */
+  /** The number of retry intervals without an answer after which a follower counts as unresponsive. */
   private static final int MAX_MISSED_RESPONSES = 2;
 
   private Leader() {}
@@ -28,7 +28,10 @@
     return step.leadership != null && step.leadership.phase() == Phase.LEADING;
   }
 
-  /** No longer leads: whoever waits for an answer has to ask the next one. */
+  /**
+   * Ends the leadership, if there is one. Submitters that wait for an answer are informed, so that they submit
+   * to the next leader.
+   */
   static void stepDown(StepContext step, Problem problem) {
     if (step.leadership == null) {
       return;
@@ -44,7 +47,7 @@
     }
   }
 
-  /** A follower lives another life than the one known: nothing of the one before is known of it. */
+  /** Resets the progress of a follower with a new life: what it holds now is not known. */
   static void resetIfRestarted(StepContext step, String follower, long life) {
     if (isLeading(step) && step.leadership.followers().get(follower).life() != life) {
       step.leadership = step.leadership.withFollower(follower, Progress.initial(life, step.now));
@@ -70,18 +73,18 @@
     }
   }
 
-  /** True where a follower lacks entries, and not too many are on their way to it. */
+  /** Whether a follower lacks entries and fewer than the maximum are in flight to it. */
   private static boolean canSendMore(StepContext step, Progress progress) {
     return progress.inSync() && progress.sent() < step.log.last()
         && progress.sent() - progress.acknowledged() < step.settings.limits().entriesInFlight();
   }
 
-  /** True where a follower has not answered for so long that it is only asked for a sign of life. */
+  /** Whether a follower has not answered for so long that it is sent only heartbeats. */
   private static boolean isUnresponsive(StepContext step, Progress progress) {
     return step.now >= progress.lastResponseAt() + MAX_MISSED_RESPONSES * step.settings.retryInterval();
   }
 
-  /** Commits what a majority of voters holds under this epoch, the leader among them. */
+  /** Commits the entries that a majority of voters, including the leader, holds under this epoch. */
   private static void commit(StepContext step) {
     List<Long> acknowledgedIndexes = Stream.concat(Stream.of(step.log.last()),
         step.leadership.followers().values().stream().filter(p -> p.inSync() && p.voter())
@@ -98,7 +101,7 @@
     }
   }
 
-  /** Sends what lacks, tells commit indexes, repeats what was not answered. */
+  /** Sends missing entries, new commit indexes and heartbeats, and resends unacknowledged entries. */
   static void tick(StepContext step) {
     double retryInterval = step.settings.retryInterval();
     for (Map.Entry<String, Progress> follower : step.leadership.followers().entrySet()) {
@@ -120,7 +123,7 @@
     step.leadership.followers().keySet().forEach(follower -> send(step, follower));
   }
 
-  /** To a follower in step what it lacks, to another one all that is not committed. */
+  /** Sends a follower in sync the entries that it lacks, and any other follower all uncommitted entries. */
   static void send(StepContext step, String follower) {
     LogState log = step.log;
     Leadership leadership = step.leadership;
@@ -138,7 +141,8 @@
     if (!progress.inSync()) {
       return log.tail();
     }
-    boolean compacted = progress.sent() < log.snapshot().index(); // it will fetch, up to the commit index
+    // The follower fetches compacted entries up to the commit index.
+    boolean compacted = progress.sent() < log.snapshot().index();
     long from = compacted ? log.commit() + 1 : progress.sent() + 1;
     return List.copyOf(Batches.first(log.between(from, log.last()), step.settings.limits()));
   }
--- a/src/main/java/beampoint/fleet/changes/Leadership.java
+++ b/src/main/java/beampoint/fleet/changes/Leadership.java
@@ -10,38 +10,39 @@
 import java.util.TreeMap;
 
 /**
- * What a leader knows beside its log.
+ * The state of an elected leader apart from its log.
  *
- * @param answers of the replicas that it has asked for their logs, its own among them
- * @param chosen the answer whose log it takes over, or null
- * @param start the last index with which it began
- * @param founderLives if it founded the log: the replicas that took part, with their lives
- * @param queue changes that wait for room
- * @param requestedAt when it last asked for logs
+ * @param answers the answers to its requests for logs, by replica, including its own
+ * @param chosen the answer whose log it adopts, or null
+ * @param start the last index of its log when it began to lead
+ * @param founderLives if it founded the log, the lives of the replicas that took part, by their names
+ * @param queue the changes that wait to be appended
+ * @param requestedAt when it last requested logs
  */
 record Leadership(Epoch epoch, Phase phase, SortedMap<String, Recovered> answers, Recovered chosen,
     long start, SortedMap<String, Long> founderLives, SortedMap<String, Progress> followers,
     List<Submit> queue, double requestedAt) {
 
-  /** How far a leader is. */
+  /** The phases of a leadership, in order. */
   enum Phase {
-    /** Asks a quorum for its logs. */
+    /** Collects the logs of a majority. */
     COLLECTING,
-    /** Knows which log to go on with, and fetches committed entries that it lacks. */
+    /** Has chosen a log, and fetches the committed entries that it lacks. */
     FETCHING,
-    /** Takes changes. */
+    /** Accepts changes. */
     LEADING
   }
 
   /**
-   * How far a follower is.
+   * The replication progress of one follower.
    *
-   * @param inSync its log equals the leader's up to {@code acknowledged}
-   * @param voter it counts towards a majority
-   * @param sent the last index that is on its way
+   * @param life the random number of the follower's process, or 0 if it is not known
+   * @param inSync whether its log equals the leader's up to {@code acknowledged}
+   * @param voter whether it counts towards a majority
+   * @param sent the last index that was sent; the entries after {@code acknowledged} up to it are in flight
    * @param lastSentCommit the commit index last sent
    * @param lastResponseAt when it last answered
-   * @param lastProgressAt since when what is on its way has not been acknowledged further
+   * @param lastProgressAt when the acknowledged index last rose, or entries were first put in flight
    */
   record Progress(long life, boolean inSync, boolean voter, long acknowledged, long sent, long lastSentCommit,
       double lastSentAt, double lastResponseAt, double lastProgressAt) {
@@ -66,7 +67,7 @@
           sent == acknowledged ? now : lastProgressAt);
     }
 
-    /** What is on its way counts as lost. */
+    /** Treats the entries in flight as lost. */
     Progress withInFlightLost(double now) {
       return new Progress(life, inSync, voter, acknowledged, acknowledged, lastSentCommit, lastSentAt,
           lastResponseAt, now);
--- a/src/main/java/beampoint/fleet/changes/LogAction.java
+++ b/src/main/java/beampoint/fleet/changes/LogAction.java
@@ -3,35 +3,35 @@
 import beampoint.fleet.facts.Epoch;
 import java.util.List;
 
-/** What a replica wants done. */
+/** An action that a replica requests from its host. */
 public sealed interface LogAction {
 
-  /** Send a message to another control machine. */
+  /** Sends a message to another control machine. */
   record Send(String to, LogMessage message) implements LogAction {}
 
-  /** Answer a submitter, where this replica has its question. */
+  /** Answers a submitter, if this replica received its submission. */
   record Answer(ChangeId id, SubmitOutcome outcome) implements LogAction {}
 
-  /** These entries are committed; they follow without a gap on what was delivered before. */
+  /** Delivers committed entries, which follow the previously delivered ones without a gap. */
   record Deliver(Epoch identity, List<ChangeEntry> entries) implements LogAction {}
 
-  /** Begin anew from this snapshot; it may be one of another log. */
+  /** Replaces everything delivered before by a snapshot, which may belong to another log. */
   record Install(Epoch identity, Snapshot snapshot) implements LogAction {}
 
-  /** Give the lease back: this replica can't lead. */
+  /** Relinquishes the lease, as this replica can't lead. */
   record RelinquishLease(Problem problem) implements LogAction {}
 
-  /** Why a leader gives up. */
+  /** Why a leader relinquishes the lease. */
   enum Problem {
     /** A higher epoch was seen. */
     FENCED,
-    /** Not enough replicas have answered. */
+    /** Too few replicas have answered in time. */
     NO_QUORUM,
-    /** So many replicas have lost their memory that committed entries may be lost: an operator decides. */
+    /** So many replicas lost their logs that committed entries may be lost; an operator has to decide. */
     MAJORITY_LOST,
-    /** The others are members of a log that this replica does not know yet. */
+    /** Other replicas are members of a log that this replica does not know yet. */
     OTHER_LOG,
-    /** The answers contradict each other, which only a fault of the program explains. */
+    /** The answers contradict each other, which only a defect of the program can cause. */
     CONTRADICTION
   }
 }
--- a/src/main/java/beampoint/fleet/changes/LogEvent.java
+++ b/src/main/java/beampoint/fleet/changes/LogEvent.java
@@ -2,30 +2,30 @@
 
 import beampoint.fleet.facts.Epoch;
 
-/** What a replica observes. */
+/** An event that a replica handles. */
 public sealed interface LogEvent {
 
   /** Some time has passed. */
   record Tick() implements LogEvent {}
 
-  /** A message has come. */
+  /** A message of another control machine was received. */
   record Received(String from, LogMessage message) implements LogEvent {}
 
-  /** A lease of this epoch was promised to somebody, or seen. */
+  /** A lease of this epoch was promised to a member, or the epoch was observed. */
   record Promised(Epoch epoch) implements LogEvent {}
 
-  /** This replica holds the lease of an epoch: a majority has promised it. */
+  /** This replica holds the lease of an epoch, as a majority has promised it. */
   record Elected(Epoch epoch) implements LogEvent {}
 
   /** This replica no longer holds the lease. */
   record LeaseEnded() implements LogEvent {}
 
-  /** Somebody submits a change. */
+  /** A submitter submits a change. */
   record Submit(ChangeId id, Change change) implements LogEvent {}
 
   /**
-   * An operator, who accepts that entries may be lost, lets the replica found a new log with what it holds.
-   * It counts while the replica asks the others, as an elected leader.
+   * An operator, who accepts that entries may be lost, allows the replica to found a new log with the entries
+   * that it holds. The replica does so when, as an elected leader, it collects the logs of the others.
    */
   record AllowNewLog() implements LogEvent {}
 }
--- a/src/main/java/beampoint/fleet/changes/LogLimits.java
+++ b/src/main/java/beampoint/fleet/changes/LogLimits.java
@@ -1,26 +1,26 @@
 package beampoint.fleet.changes;
 
 /**
- * Bounds of what a replica holds and sends; the same at all voters of a log.
+ * Limits on what a replica holds and sends; they must be the same at all voters of a log.
  *
- * @param entriesInFlight the most entries that are appended and not yet committed
- * @param bytesInFlight and the most bytes of them; one entry may stand alone whatever its length
- * @param queuedChanges the most changes that wait for room among those
- * @param queuedBytes and the most bytes of them
- * @param keptEntries how many committed entries at least stay out of the snapshot, for followers that are
- *     behind by less; twice as many are the most
- * @param keptPurges the most purges in a snapshot: the retention window
- * @param keptBytes and the most bytes of them
- * @param origins the most submitters that a log tells apart
+ * @param entriesInFlight the maximum number of entries that are appended and not yet committed
+ * @param bytesInFlight their maximum size in bytes; a single entry may exceed it
+ * @param queuedChanges the maximum number of changes that wait to be appended
+ * @param queuedBytes their maximum size in bytes
+ * @param keptEntries the minimum number of committed entries that are not yet compacted into the snapshot, so
+ *     that followers that lag by fewer need no snapshot; the maximum is twice this number
+ * @param keptPurges the maximum number of purges in a snapshot, which is the retention window
+ * @param keptBytes their maximum size in bytes
+ * @param origins the maximum number of submitters in a log
  */
 public record LogLimits(int entriesInFlight, int bytesInFlight, int queuedChanges, int queuedBytes,
     int keptEntries, int keptPurges, int keptBytes, int origins) {
 
-  /** Ten minutes of 27 purges a second in a snapshot, 19 s of them as entries. */
+  /** At 27 purges per second, keeps the purges of 10 min in a snapshot and those of 19 s as entries. */
   public static final LogLimits DEFAULTS = new LogLimits(256, 512 << 10, 1_024, 2 << 20, 512, 16_384, 8 << 20,
       1_024);
 
-  /** So that what is in flight, and the submitters of a snapshot beside it, fit one message. */
+  /** Leaves room for the submitters of a snapshot in a message beside the entries. */
   private static final int MAX_BYTES_IN_FLIGHT = ChangeCodec.MAX_BYTES / 2;
 
   public LogLimits {
@@ -31,11 +31,14 @@
         || keptBytes < 0;
     if (!hasRequired || !fitsMessage || hasNegative
         || !fitsSnapshotParts(entriesInFlight, bytesInFlight, keptPurges, keptBytes)) {
-      throw new IllegalArgumentException("no limits of a log");
+      throw new IllegalArgumentException("log limits out of range");
     }
   }
 
-  /** A part ends with the number of entries, or where one more would make it too long. */
+  /**
+   * Whether the largest snapshot fits into {@link ChangeCodec#MAX_PARTS} messages. A part ends when it has
+   * the maximum number of entries, or before an entry that would exceed the maximum number of bytes.
+   */
   private static boolean fitsSnapshotParts(int entries, int bytes, int purges, int purgeBytes) {
     return 2L + purges / entries + 2L * purgeBytes / bytes <= ChangeCodec.MAX_PARTS;
   }
--- a/src/main/java/beampoint/fleet/changes/LogMessage.java
+++ b/src/main/java/beampoint/fleet/changes/LogMessage.java
@@ -5,23 +5,24 @@
 import java.util.List;
 import java.util.SortedMap;
 
-/** What control machines say to each other about the change log. */
+/** A message between control machines about the change log. */
 public sealed interface LogMessage {
 
-  /** About who leads. */
+  /** A message about the lease of the leader. */
   record LeaseEnvelope(LeaseMessage message) implements LogMessage {}
 
-  /** A new leader asks for what a replica holds, which from then on accepts nothing from older epochs. */
+  /** A new leader's request for a replica's log; the replica then rejects messages of lower epochs. */
   record Recover(Epoch epoch) implements LogMessage {}
 
   /**
-   * The answer.
+   * The answer to {@link Recover}.
    *
-   * @param epoch of the leader that asked
-   * @param voter false where the replica has lost what it once acknowledged
+   * @param epoch the epoch of the request
+   * @param identity the epoch under which the log was founded, or {@link Epoch#NONE}
+   * @param voter false if the replica may have lost entries that it acknowledged
    * @param accepted the epoch of the leader whose log the tail equals
    * @param commit the last index known to be committed
-   * @param tail the entries after that
+   * @param tail the entries after {@code commit}
    */
   record Recovered(Epoch epoch, Epoch identity, long life, boolean voter, Epoch accepted, long commit,
       List<ChangeEntry> tail) implements LogMessage {
@@ -32,35 +33,36 @@
   }
 
   /**
-   * A leader's entries and its commit index; without entries a heartbeat.
+   * A leader's entries and its commit index; without entries, it serves as a heartbeat.
    *
-   * @param life of the receiver, as far as the leader knows it, else 0
-   * @param founder true where the receiver took part with this life in the founding of the log
-   * @param start the last index with which the leader began
-   * @param last the last index that it holds now
-   * @param entries without gaps; to a follower that is not known to be in step, all that are not committed
+   * @param life the life of the receiver, or 0 if the leader does not know it
+   * @param founder whether the receiver took part in the founding of the log with this life
+   * @param start the last index of the leader's log when it began to lead
+   * @param last the last index of the leader's log now
+   * @param entries entries without gaps; for a follower that is not known to be in sync, all entries that are
+   *     not committed
    */
   record Append(Epoch epoch, Epoch identity, long life, boolean founder, long start, long commit, long last,
       List<ChangeEntry> entries) implements LogMessage {}
 
   /**
-   * The answer.
+   * The answer to {@link Append}.
    *
-   * @param inSync true where the replica's log equals the leader's up to {@code last}
-   * @param voter true where this counts towards a majority
+   * @param inSync whether the replica's log equals the leader's up to {@code last}
+   * @param voter whether the answer counts towards a majority
    */
   record Accepted(Epoch epoch, long life, boolean inSync, boolean voter, long last, long commit)
       implements LogMessage {}
 
-  /** Accepts nothing, as it has promised a higher epoch. */
+  /** The rejection of a leader's message, as the replica has promised the higher epoch {@code fence}. */
   record Refused(Epoch fence) implements LogMessage {}
 
   /**
-   * Asks for committed entries.
+   * A request for committed entries.
    *
-   * @param from the first index that the asker lacks
-   * @param snapshotIndex the snapshot of which it has parts, or 0
-   * @param part the next part of it
+   * @param from the first index that the requesting replica lacks
+   * @param snapshotIndex the index of the snapshot of which it has parts, or 0
+   * @param part the next part of that snapshot, counted from 0
    */
   record Fetch(Epoch identity, long from, long snapshotIndex, int part) implements LogMessage {}
 
@@ -70,19 +72,19 @@
   /**
    * A part of a snapshot.
    *
-   * @param part counted from 0
-   * @param floors in part 0, else empty
+   * @param part the number of the part, counted from 0
+   * @param floors the floors of the snapshot in part 0, otherwise empty
    */
   record SnapshotPart(Epoch identity, long index, long completeFrom, int part, int parts,
       List<ChangeEntry> entries, SortedMap<String, Long> floors) implements LogMessage {}
 
-  /** A replica without memory asks what others have promised since. */
+  /** The request of a replica that lost its log for the promises of the others. */
   record Rejoin(long life) implements LogMessage {}
 
   /**
-   * The answer.
+   * The answer to {@link Rejoin}.
    *
-   * @param life of the asker, as in its question
+   * @param life the life of the requesting replica, as in its request
    * @param fence the highest epoch that the answering replica has promised
    */
   record RejoinAnswer(long life, Epoch identity, boolean voter, Epoch fence) implements LogMessage {}
--- a/src/main/java/beampoint/fleet/changes/LogSettings.java
+++ b/src/main/java/beampoint/fleet/changes/LogSettings.java
@@ -3,12 +3,12 @@
 import java.util.SortedSet;
 
 /**
- * What all voters of a log have agreed on in their configuration.
+ * The parameters of a log, which must be the same at all voters.
  *
- * @param voters the names of all control machines that vote, three or more
+ * @param voters the names of all control machines that vote, at least three
  * @param retryInterval time in ms after which an unanswered message is sent again; also the interval of
  *     heartbeats
- * @param limits what may be held and sent
+ * @param limits the limits on what a replica holds and sends
  */
 public record LogSettings(SortedSet<String> voters, double retryInterval, LogLimits limits) {
 
@@ -16,11 +16,12 @@
 
   public LogSettings {
     if (voters.size() < MIN_VOTERS || !(retryInterval > 0)) {
-      throw new IllegalArgumentException("no terms of a log: " + voters + ", " + retryInterval);
+      throw new IllegalArgumentException(
+          "invalid log settings: voters " + voters + ", retry interval " + retryInterval);
     }
   }
 
-  /** How many voters are more than half. */
+  /** The smallest number of voters that is more than half. */
   public int majority() {
     return voters.size() / 2 + 1;
   }
--- a/src/main/java/beampoint/fleet/changes/LogState.java
+++ b/src/main/java/beampoint/fleet/changes/LogState.java
@@ -8,21 +8,22 @@
 import java.util.stream.Stream;
 
 /**
- * What one replica holds of a log: a snapshot, committed entries after it, and a tail of entries that may
- * become committed.
+ * The log of one replica: a snapshot, the committed entries after it, and a tail of entries that are not yet
+ * known to be committed.
  *
- * @param identity the epoch under which the log was founded, or {@link Epoch#NONE} where none is known
- * @param life drawn at the start of the process, or after its memory was lost
- * @param voter false from its start until it holds again all that it may have acknowledged in an earlier life
- * @param fence the highest epoch that it has promised or followed; it accepts nothing from lower ones
- * @param accepted the epoch whose leader's log the tail was last made equal to
- * @param entries those after the snapshot, without gaps
- * @param commit the last index that is known to be committed
+ * @param identity the epoch under which the log was founded, or {@link Epoch#NONE} if no log is known
+ * @param life a random number drawn at the start of the process, or after the log was lost
+ * @param voter false from a start without a log until the replica holds every entry again that it may have
+ *     acknowledged in an earlier life
+ * @param fence the highest epoch that it has promised or followed; messages of lower epochs are rejected
+ * @param accepted the epoch of the leader to whose log the tail was last made equal
+ * @param entries the entries after the snapshot, without gaps
+ * @param commit the commit index: the last index that is known to be committed
  */
 public record LogState(Epoch identity, long life, boolean voter, Epoch fence, Epoch accepted,
     Snapshot snapshot, List<ChangeEntry> entries, long commit) {
 
-  /** A replica at its start, without memory. */
+  /** The state of a replica that starts without a log. */
   public static LogState started(long life) {
     return new LogState(Epoch.NONE, life, false, Epoch.NONE, Epoch.NONE, Snapshot.EMPTY, List.of(), 0);
   }
@@ -32,12 +33,12 @@
     return snapshot.index() + entries.size();
   }
 
-  /** The entry at an index behind the snapshot and up to the last. */
+  /** The entry at an index, which must be after the snapshot and at most {@link #last}. */
   public ChangeEntry entryAt(long index) {
     return entries.get((int) (index - snapshot.index() - 1));
   }
 
-  /** The entries from an index on, which lies behind the snapshot, up to another one. */
+  /** The entries from one index, which must be after the snapshot, to another one, both included. */
   List<ChangeEntry> between(long from, long to) {
     long base = snapshot.index() + 1;
     return to < from ? List.of() : List.copyOf(entries.subList((int) (from - base), (int) (to - base + 1)));
@@ -48,13 +49,13 @@
     return between(commit + 1, last());
   }
 
-  /** The entry of a submitted change, as far as it is still told apart. */
+  /** The entry of a submitted change, unless it has been dropped from the snapshot. */
   Optional<ChangeEntry> find(ChangeId id) {
     return Stream.concat(entries.stream(), snapshot.entries().stream()).filter(e -> e.id().equals(id))
         .findFirst();
   }
 
-  /** True where an entry of this index is held and is another one. */
+  /** Whether a different entry is held at the index of this one. */
   boolean conflictsWith(ChangeEntry entry) {
     return entry.index() > snapshot.index() && entry.index() <= last()
         && !entryAt(entry.index()).isSameAs(entry);
@@ -69,17 +70,17 @@
     return new LogState(identity, life, true, fence, accepted, snapshot, entries, commit);
   }
 
-  /** Equal to the log of the leader of an epoch, as far as it goes. */
+  /** The log once it equals the log of the leader of an epoch, up to its last entry. */
   LogState withAccepted(Epoch epoch) {
     return new LogState(identity, life, voter, fence.max(epoch), epoch, snapshot, entries, commit);
   }
 
-  /** A member of another log, of which it holds nothing. */
+  /** The state of a member of another log that holds none of its entries. */
   LogState asMemberOf(Epoch logIdentity) {
     return new LogState(logIdentity, life, false, fence, Epoch.NONE, Snapshot.EMPTY, List.of(), 0);
   }
 
-  /** The founder of a log, which begins with all that it holds. */
+  /** The state of the founder of a log, which begins with all entries that the founder holds. */
   LogState asFounder(Epoch logIdentity) {
     return new LogState(logIdentity, life, true, fence, logIdentity, snapshot, entries, commit);
   }
@@ -89,7 +90,7 @@
         : new LogState(identity, life, voter, fence, accepted, snapshot, entries, Math.min(index, last()));
   }
 
-  /** With a tail of others in place of its own; what is committed stays. */
+  /** Replaces the tail; committed entries stay. */
   LogState withTail(Collection<ChangeEntry> replacements) {
     List<ChangeEntry> all = new ArrayList<>(between(snapshot.index() + 1, commit));
     long next = commit + 1;
@@ -102,7 +103,7 @@
     return withEntries(all);
   }
 
-  /** With those of the entries that follow on its last one without a gap. */
+  /** Appends those of the entries that follow the last one without a gap. */
   LogState appended(Collection<ChangeEntry> additions) {
     List<ChangeEntry> all = new ArrayList<>(entries);
     for (ChangeEntry entry : additions) {
@@ -114,8 +115,8 @@
   }
 
   /**
-   * With entries that are known to be committed, as far as they follow on its own committed ones. An entry of
-   * its tail that stands in their place was never committed, and neither was any after it.
+   * Adds entries that are known to be committed, as far as they follow the committed ones without a gap. A
+   * conflicting entry of the tail was never committed, nor was any entry after it, so these are removed.
    */
   LogState withCommitted(Collection<ChangeEntry> committed) {
     List<ChangeEntry> all = new ArrayList<>(entries);
@@ -136,14 +137,14 @@
     return committedUpTo == commit ? this : withEntries(all).committedTo(committedUpTo);
   }
 
-  /** With a snapshot in place of what it covers. */
+  /** Replaces the entries that a snapshot covers by the snapshot. */
   LogState withSnapshot(Snapshot newer) {
     List<ChangeEntry> rest = newer.index() >= last() ? List.of() : between(newer.index() + 1, last());
     return new LogState(identity, life, voter, fence, accepted, newer, rest,
         Math.max(commit, newer.index()));
   }
 
-  /** Compacted where more committed entries are kept than need be. */
+  /** Compacts committed entries into the snapshot once twice as many are kept as required. */
   LogState compacted(LogLimits limits) {
     long keptCount = commit - snapshot.index();
     if (keptCount <= 2L * limits.keptEntries()) {
--- a/src/main/java/beampoint/fleet/changes/MalformedChangeException.java
+++ b/src/main/java/beampoint/fleet/changes/MalformedChangeException.java
@@ -1,6 +1,9 @@
 package beampoint.fleet.changes;
 
-/** Bytes that are no message about changes, or of another cluster or an unknown version. */
+/**
+ * Thrown for bytes that are not a message of this cluster's change log in the supported version of the
+ * format.
+ */
 public final class MalformedChangeException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/src/main/java/beampoint/fleet/changes/MessageReader.java
+++ b/src/main/java/beampoint/fleet/changes/MessageReader.java
@@ -5,13 +5,13 @@
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 
-/** Reads a message token by token; whatever is not as it should be is a {@link MalformedChangeException}. */
+/** Reads a message token by token; an unexpected token or value is a {@link MalformedChangeException}. */
 final class MessageReader {
 
-  /** The most characters of a control machine's name. */
+  /** The maximum length of a control machine's name in characters. */
   static final int MAX_NAME_LENGTH = 200;
 
-  /** The highest index and number of an epoch: so far below the end of a long that sums stay within it. */
+  /** The highest log index and epoch number; low enough that sums of them do not overflow a long. */
   static final long MAX_INDEX = 1L << 53;
 
   private final JsonParser in;
@@ -28,19 +28,19 @@
     expect(JsonToken.END_ARRAY);
   }
 
-  /** True where another array begins, false where this one ends. */
+  /** Reads the start of a nested array, or the end of the current one; true if an array starts. */
   boolean nextArray() throws IOException, MalformedChangeException {
     JsonToken token = in.nextToken();
     if (token != JsonToken.START_ARRAY && token != JsonToken.END_ARRAY) {
-      throw new MalformedChangeException("cut off, or of another form");
+      throw new MalformedChangeException("truncated message or unexpected token");
     }
     return token == JsonToken.START_ARRAY;
   }
 
-  /** Nothing may follow. */
+  /** Checks that no data follows. */
   void endOfMessage() throws IOException, MalformedChangeException {
     if (in.nextToken() != null) {
-      throw new MalformedChangeException("with more than there may be");
+      throw new MalformedChangeException("data after the end of the message");
     }
   }
 
@@ -52,7 +52,8 @@
   String name() throws IOException, MalformedChangeException {
     String name = text();
     if (name.length() > MAX_NAME_LENGTH || !name.chars().allMatch(c -> c >= ' ' && c <= '~')) {
-      throw new MalformedChangeException("with a text that is no name");
+      throw new MalformedChangeException(
+          "name longer than " + MAX_NAME_LENGTH + " characters or not printable ASCII");
     }
     return name;
   }
@@ -65,7 +66,7 @@
   long numberBetween(long min, long max) throws IOException, MalformedChangeException {
     long number = number();
     if (number < min || number > max) {
-      throw new MalformedChangeException("with a number out of bounds: " + number);
+      throw new MalformedChangeException("number not from " + min + " to " + max + ": " + number);
     }
     return number;
   }
@@ -77,7 +78,7 @@
   boolean bool() throws IOException, MalformedChangeException {
     JsonToken token = in.nextToken();
     if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
-      throw new MalformedChangeException("cut off, or of another form");
+      throw new MalformedChangeException("truncated message or unexpected token");
     }
     return token == JsonToken.VALUE_TRUE;
   }
@@ -86,14 +87,14 @@
     Epoch epoch = new Epoch(index(), name(), number());
     boolean isNone = epoch.number() == 0;
     if (isNone != epoch.holder().isEmpty() || isNone && epoch.life() != 0) {
-      throw new MalformedChangeException("with an odd epoch");
+      throw new MalformedChangeException("inconsistent epoch");
     }
     return epoch;
   }
 
   private void expect(JsonToken token) throws IOException, MalformedChangeException {
     if (in.nextToken() != token) {
-      throw new MalformedChangeException("cut off, or of another form");
+      throw new MalformedChangeException("truncated message or unexpected token");
     }
   }
 }
--- a/src/main/java/beampoint/fleet/changes/PurgeChange.java
+++ b/src/main/java/beampoint/fleet/changes/PurgeChange.java
@@ -1,22 +1,22 @@
 package beampoint.fleet.changes;
 
 /**
- * Cached values that are no longer valid.
+ * Invalidates cached values.
  *
- * @param value the key, the beginning of keys or the tenant, as the scope says
- * @param requestedAtMs when it was asked for, in ms since 1970 by the submitter's clock; no order follows
- *     from it
+ * @param value the key, key prefix or tenant, depending on the scope
+ * @param requestedAtMs when the purge was requested, in ms since 1970 by the submitter's clock; it does not
+ *     determine the order of changes
  */
 public record PurgeChange(int formatVersion, PurgeScope scope, String value, long requestedAtMs)
     implements Change {
 
-  /** The most bytes of a key, prefix or tenant, in UTF-8. */
+  /** The maximum length of a key, prefix or tenant in bytes of UTF-8. */
   public static final int MAX_VALUE_BYTES = 1_024;
 
   public PurgeChange {
     TextLimits.checkVersion(formatVersion);
     if (scope == null) {
-      throw new IllegalArgumentException("a purge without a scope");
+      throw new IllegalArgumentException("purge without a scope");
     }
     TextLimits.checkLength("value", value, 1, MAX_VALUE_BYTES);
   }
--- a/src/main/java/beampoint/fleet/changes/PurgeScope.java
+++ b/src/main/java/beampoint/fleet/changes/PurgeScope.java
@@ -1,6 +1,6 @@
 package beampoint.fleet.changes;
 
-/** What a purge names: one key, all keys that begin with a text, or all keys of a tenant. */
+/** The keys that a purge covers: one key, all keys with a prefix, or all keys of a tenant. */
 public enum PurgeScope {
   KEY, PREFIX, TENANT
 }
--- a/src/main/java/beampoint/fleet/changes/Rejoining.java
+++ b/src/main/java/beampoint/fleet/changes/Rejoining.java
@@ -9,18 +9,20 @@
 import java.util.TreeMap;
 
 /**
- * A replica that has lost its memory on its way to a vote. It votes again once a majority of voters has told
- * it what was promised since, and a leader of that epoch or a higher one, which has heard of its new life,
- * has made its log equal to the leader's own: then it holds whatever it may have acknowledged before.
+ * The state of a replica that lost its log until it may vote again. It regains its vote once a majority of
+ * voters has reported which epochs they have promised, and a leader of at least the highest of these epochs,
+ * which knows of the replica's new life, has made the replica's log equal to its own: the replica then holds
+ * every entry that it may have acknowledged in an earlier life.
  *
- * @param answers of this life
+ * @param answers the answers received in this life, by voter
+ * @param requestedAt when the others were last asked
  */
 record Rejoining(SortedMap<String, RejoinAnswer> answers, double requestedAt) {
 
   static final Rejoining INITIAL = new Rejoining(Collections.emptySortedMap(),
       Double.NEGATIVE_INFINITY);
 
-  /** Asks the others, again after a time. */
+  /** Asks the others for their promises, and repeats this after each retry interval. */
   static void sendRequests(StepContext step) {
     Rejoining current = step.rejoining;
     if (current != null && step.now >= current.requestedAt + step.settings.retryInterval()) {
@@ -43,7 +45,7 @@
     }
   }
 
-  /** Lets it vote, where it may from now on. */
+  /** Makes the replica a voter if it holds the complete log of a current leader. */
   static void becomeVoterIfComplete(StepContext step, Append append) {
     LogState log = step.log;
     boolean holdsAll = log.accepted().equals(append.epoch()) && log.last() >= append.last()
@@ -55,7 +57,7 @@
     }
   }
 
-  /** True where a majority has told it of no promise above the epoch of this leader. */
+  /** Whether a majority has answered and none of its promises is above the epoch of this leader. */
   private boolean isUpToDate(StepContext step, Append append) {
     List<RejoinAnswer> voters = answers.values().stream()
         .filter(a -> a.voter() && a.identity().equals(append.identity())).toList();
--- a/src/main/java/beampoint/fleet/changes/Replica.java
+++ b/src/main/java/beampoint/fleet/changes/Replica.java
@@ -21,27 +21,32 @@
 
 /**
  * One replica of the change log (after Viewstamped Replication, Liskov and Cowling 2012, with the epochs of
- * {@link beampoint.fleet.lease.Lease} as views). A pure function: a state, a time and an event give the next
- * state and what is to be done. No two entries are committed under one index, whatever the clocks say: the
- * lease only keeps would-be leaders apart.
+ * {@link beampoint.fleet.lease.Lease} as views). A pure function: from a state, a time and an event, it
+ * computes the next state and the actions to carry out. Safety does not depend on clocks: no two entries are
+ * ever committed under one index. The lease only keeps candidates from competing for leadership.
  */
 public final class Replica {
 
-  /** What becomes of an event. */
+  /** The result of an event: the next state and the actions to carry out, in order. */
   public record Step(ReplicaState state, List<LogAction> actions) {}
 
   private final LogSettings settings;
   private final String self;
 
+  /**
+   * Creates the state machine of one voter.
+   *
+   * @throws IllegalArgumentException if {@code self} is not a voter
+   */
   public Replica(LogSettings settings, String self) {
     if (!settings.voters().contains(self)) {
-      throw new IllegalArgumentException(self + " is no voter");
+      throw new IllegalArgumentException(self + " is not a voter");
     }
     this.settings = settings;
     this.self = self;
   }
 
-  /** The next state; the time never goes back. */
+  /** Handles an event. The time must not decrease between calls. */
   public Step step(ReplicaState state, double now, LogEvent event) {
     StepContext step = new StepContext(settings, self, now, state);
     if (event instanceof Tick) {
--- a/src/main/java/beampoint/fleet/changes/ReplicaState.java
+++ b/src/main/java/beampoint/fleet/changes/ReplicaState.java
@@ -3,28 +3,28 @@
 import beampoint.fleet.facts.Epoch;
 
 /**
- * All that one replica knows.
+ * The complete state of one replica.
  *
- * @param rejoining null for a voter
- * @param catchUp null where nothing was ever fetched
- * @param leadership null where this replica does not lead
- * @param leader the epoch of the leader last heard, or {@link Epoch#NONE}
- * @param newLogAllowed an operator has allowed it to found a new log
+ * @param rejoining the progress of regaining the vote, or null for a voter
+ * @param catchUp the fetch of missing committed entries, or null if nothing was ever fetched
+ * @param leadership the state of an elected leader, or null if this replica is not the leader
+ * @param leader the epoch of the leader last heard from, or {@link Epoch#NONE}
+ * @param newLogAllowed whether an operator has allowed the replica to found a new log
  */
 public record ReplicaState(LogState log, Rejoining rejoining, CatchUp catchUp, Leadership leadership,
     Epoch leader, boolean newLogAllowed) {
 
-  /** A replica at its start, without memory. */
+  /** The state of a replica that starts without a log. */
   public static ReplicaState started(long life) {
     return new ReplicaState(LogState.started(life), Rejoining.INITIAL, null, null, Epoch.NONE, false);
   }
 
-  /** The same replica after a pause or restart that its log has outlived. */
+  /** The state after a restart, or a pause, that the log has survived. */
   public ReplicaState restartedWithLog() {
     return new ReplicaState(log, log.voter() ? null : Rejoining.INITIAL, null, null, Epoch.NONE, false);
   }
 
-  /** True where it leads and takes changes. */
+  /** Whether the replica is the leader and accepts changes. */
   public boolean leads() {
     return leadership != null && leadership.phase() == Leadership.Phase.LEADING;
   }
--- a/src/main/java/beampoint/fleet/changes/Snapshot.java
+++ b/src/main/java/beampoint/fleet/changes/Snapshot.java
@@ -10,19 +10,20 @@
 import java.util.TreeMap;
 
 /**
- * What stands in place of the first entries of a log: the last configuration and the latest purges among
- * them.
+ * Replaces the first entries of a log by the last configuration and the latest purges among them.
  *
- * @param index the last entry that is in it
- * @param completeFrom all purges after this index and up to {@code index} are in it; who has applied less
- *     than this has missed purges that nobody can name any longer, and must take all it holds as purged
- * @param entries the last configuration, if there is one, and the purges, by their index
- * @param floors by submitter, the highest number of its changes that are neither here nor after the snapshot
+ * @param index the index of the last entry that it covers
+ * @param completeFrom all purges after this index and up to {@code index} are contained; a proxy that has
+ *     applied less than this has missed purges that are no longer known, and must treat everything it holds
+ *     as purged
+ * @param entries the last configuration, if there is one, and the purges, ordered by index
+ * @param floors by submitter, the highest number of its changes that are neither in the snapshot nor after
+ *     it
  */
 public record Snapshot(long index, long completeFrom, List<ChangeEntry> entries,
     SortedMap<String, Long> floors) {
 
-  /** Of the empty log. */
+  /** The snapshot of the empty log. */
   public static final Snapshot EMPTY = new Snapshot(0, 0, List.of(), Collections.emptySortedMap());
 
   /** The last configuration up to the snapshot's index. */
@@ -30,7 +31,11 @@
     return entries.stream().filter(e -> e.change() instanceof ConfigurationChange).findFirst();
   }
 
-  /** The snapshot after further entries, which follow on it without a gap. */
+  /**
+   * The snapshot that also covers further entries.
+   *
+   * @throws IllegalArgumentException if the entries do not follow the snapshot without a gap
+   */
   Snapshot extendedBy(List<ChangeEntry> committed, LogLimits limits) {
     if (committed.isEmpty()) {
       return this;
@@ -42,7 +47,7 @@
     return compaction.trimmedTo(limits);
   }
 
-  /** One compaction on its way. */
+  /** The mutable state of one compaction. */
   private static final class Compaction {
 
     private final Deque<ChangeEntry> purges = new ArrayDeque<>();
@@ -61,7 +66,7 @@
 
     void add(ChangeEntry entry) {
       if (entry.index() != index + 1) {
-        throw new IllegalArgumentException("entry " + entry.index() + " does not follow on " + index);
+        throw new IllegalArgumentException("entry " + entry.index() + " does not follow index " + index);
       }
       index = entry.index();
       retain(entry);
--- a/src/main/java/beampoint/fleet/changes/StepContext.java
+++ b/src/main/java/beampoint/fleet/changes/StepContext.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One step of a replica while it is being made: its state so far, and what is to be done. */
+/** The mutable state of a replica while it handles one event, and the actions collected so far. */
 final class StepContext {
 
   final LogSettings settings;
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Goes on to a log with perhaps more committed entries, and delivers these. */
+  /** Replaces the log, delivers the entries that are newly committed in it, and compacts it. */
   void advance(LogState next) {
     if (next.commit() > log.commit()) {
       actions.add(new Deliver(next.identity(), next.between(log.commit() + 1, next.commit())));
@@ -57,7 +57,7 @@
     log = next.compacted(settings.limits());
   }
 
-  /** Puts a snapshot in place of entries that were never delivered. */
+  /** Installs a snapshot in place of entries that were never delivered. */
   void install(Snapshot snapshot) {
     log = log.withSnapshot(snapshot);
     actions.add(new Install(log.identity(), snapshot));
--- a/src/main/java/beampoint/fleet/changes/Submissions.java
+++ b/src/main/java/beampoint/fleet/changes/Submissions.java
@@ -11,10 +11,10 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** How changes are taken: each one once, and no more at a time than there is room for. */
+/** Accepts submitted changes at the leader: each change once, and within the limits of the log. */
 final class Submissions {
 
-  /** What a change takes beside its content, at most. */
+  /** The maximum size of a change in bytes apart from its content. */
   private static final int FIXED_WEIGHT = 64 + ChangeId.MAX_ORIGIN_BYTES;
 
   private Submissions() {}
@@ -59,7 +59,7 @@
     return full && !fitsDirectly ? Reason.QUEUE_FULL : null;
   }
 
-  /** Counts submitters only while there may be too many of them. */
+  /** Whether a new submitter would exceed the limit; counts submitters only if that is possible. */
   private static boolean exceedsOriginLimit(StepContext step, String origin) {
     LogState log = step.log;
     int max = step.settings.limits().origins();
@@ -75,7 +75,7 @@
     return !origins.contains(origin) && origins.size() >= max;
   }
 
-  /** Appends changes that wait, as far as there is room. */
+  /** Appends queued changes while they are within the limits of entries in flight. */
   static void appendQueued(StepContext step) {
     List<Submit> queue = step.leadership.queue();
     int appended = 0;
--- a/src/main/java/beampoint/fleet/changes/SubmitOutcome.java
+++ b/src/main/java/beampoint/fleet/changes/SubmitOutcome.java
@@ -2,30 +2,30 @@
 
 import beampoint.fleet.facts.Epoch;
 
-/** What becomes of a submitted change. */
+/** The result of a submitted change. */
 public sealed interface SubmitOutcome {
 
-  /** It is in the log for good. */
+  /** The change is committed at an index. */
   record Committed(long index) implements SubmitOutcome {}
 
   /**
-   * This replica does not lead, or no longer does. The change may still become committed: submit it again
-   * under the same id.
+   * This replica is not the leader, or no longer is. The change may still be committed, so it has to be
+   * submitted again under the same identifier.
    *
-   * @param leader the epoch of the one that leads, as far as it is known, or {@link Epoch#NONE}
+   * @param leader the epoch of the leader as far as it is known, or {@link Epoch#NONE}
    */
   record NotLeader(Epoch leader) implements SubmitOutcome {}
 
-  /** It was not taken. */
+  /** The change was rejected. */
   record Refused(Reason reason) implements SubmitOutcome {}
 
-  /** Why a change is refused. */
+  /** Why a change is rejected. */
   enum Reason {
-    /** As many changes wait as may; try again later. */
+    /** The queue is full; the change may be submitted again later. */
     QUEUE_FULL,
-    /** Its number is one of those whose fate the log no longer knows. */
+    /** Its number is so low that the log no longer knows whether the change was committed. */
     TOO_OLD,
-    /** The log tells no further submitters apart. */
+    /** The log has reached its maximum number of submitters. */
     TOO_MANY_ORIGINS
   }
 }
--- a/src/main/java/beampoint/fleet/changes/TextLimits.java
+++ b/src/main/java/beampoint/fleet/changes/TextLimits.java
@@ -1,13 +1,13 @@
 package beampoint.fleet.changes;
 
-/** Bounds of texts, counted in bytes of UTF-8. */
+/** Checks the length of texts, counted in bytes of UTF-8, and the versions of formats. */
 final class TextLimits {
 
   private static final int MAX_VERSION = 1_000_000;
 
   private TextLimits() {}
 
-  /** The length of a text in UTF-8, or -1 where it has half of a surrogate pair and can't be written. */
+  /** The length of a text in UTF-8, or -1 if it has an unpaired surrogate, which can't be encoded. */
   static int utf8Length(String text) {
     int bytes = 0;
     for (int i = 0; i < text.length(); i++) {
@@ -32,14 +32,14 @@
   static void checkLength(String field, String text, int min, int max) {
     int bytes = text == null ? -1 : utf8Length(text);
     if (bytes < min || bytes > max) {
-      throw new IllegalArgumentException("the " + field + " has " + bytes + " bytes, not " + min
+      throw new IllegalArgumentException(field + " has " + bytes + " bytes, not " + min
           + " to " + max);
     }
   }
 
   static void checkVersion(int version) {
     if (version < 1 || version > MAX_VERSION) {
-      throw new IllegalArgumentException("no version of a form: " + version);
+      throw new IllegalArgumentException("format version out of range: " + version);
     }
   }
 }
