--- a/src/main/java/beampoint/fleet/changes/Leader.java
+++ b/src/main/java/beampoint/fleet/changes/Leader.java
@@ -29,8 +29,8 @@
   }
 
   /**
-   * Ends the leadership, if there is one. Submitters that wait for an answer are informed, so that they submit
-   * to the next leader.
+   * Ends the leadership, if there is one. Submitters that wait for an answer are informed, so that they
+   * submit to the next leader.
    */
   static void stepDown(StepContext step, Problem problem) {
     if (step.leadership == null) {
--- a/src/test/java/beampoint/fleet/changes/ChangeCodecTest.java
+++ b/src/test/java/beampoint/fleet/changes/ChangeCodecTest.java
@@ -39,7 +39,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Messages about changes as bytes, and bytes that are none. */
+/** Encodes and decodes change log messages, and decodes malformed ones. */
 class ChangeCodecTest {
 
   private static final ChangeCodec CODEC = new ChangeCodec("north");
@@ -92,28 +92,28 @@
     assertEquals(message, CODEC.read(CODEC.write(message)));
   }
 
-  private static void assertRefused(byte[] bytes, String why) {
-    assertThrows(MalformedChangeException.class, () -> CODEC.read(bytes), why);
+  private static void assertRejected(byte[] bytes, String description) {
+    assertThrows(MalformedChangeException.class, () -> CODEC.read(bytes), description);
   }
 
   @Test
-  void whatIsCutOffLongerOrOfAnotherClusterIsNoMessage() {
+  void truncatedExtendedAndForeignMessagesAreRejected() {
     for (LogMessage message : oneOfEach()) {
       byte[] bytes = CODEC.write(message);
       for (int length = 0; length < bytes.length; length++) {
-        assertRefused(Arrays.copyOf(bytes, length), "cut to " + length);
+        assertRejected(Arrays.copyOf(bytes, length), "cut to " + length);
       }
-      assertRefused(Arrays.copyOf(bytes, bytes.length + 1), "with a byte more");
+      assertRejected(Arrays.copyOf(bytes, bytes.length + 1), "with a byte more");
       assertThrows(MalformedChangeException.class, () -> new ChangeCodec("south").read(bytes));
     }
   }
 
-  /** What stands behind the cluster's name. */
+  /** Writes the part of a message after the name of the cluster and the version. */
   private interface Body {
     void write(JsonGenerator out) throws IOException;
   }
 
-  private static byte[] form(int version, Body body) {
+  private static byte[] encode(int version, Body body) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator out = new CBORFactory().createGenerator(bytes)) {
       out.writeStartArray();
@@ -133,23 +133,23 @@
       out.writeNumber(12);
       out.writeNumber(5);
     };
-    assertEquals(new Rejoin(5), CODEC.read(form(1, rejoin)));
-    assertRefused(form(0, rejoin), "version 0");
-    assertRefused(form(2, rejoin), "version 2");
-    assertRefused(form(1, out -> out.writeNumber(-1)), "kind -1");
-    assertRefused(form(1, out -> out.writeNumber(14)), "kind 14");
+    assertEquals(new Rejoin(5), CODEC.read(encode(1, rejoin)));
+    assertRejected(encode(0, rejoin), "version 0");
+    assertRejected(encode(2, rejoin), "version 2");
+    assertRejected(encode(1, out -> out.writeNumber(-1)), "kind -1");
+    assertRejected(encode(1, out -> out.writeNumber(14)), "kind 14");
   }
 
   private static void assertRead(LogMessage message) throws MalformedChangeException {
     assertEquals(message, CODEC.read(CODEC.write(message)));
   }
 
-  private static void assertRefused(LogMessage message, String why) {
-    assertRefused(CODEC.write(message), why);
+  private static void assertRejected(LogMessage message, String description) {
+    assertRejected(CODEC.write(message), description);
   }
 
   @Test
-  void boundsOfTextsHold() throws MalformedChangeException {
+  void textLengthLimitsAreEnforced() throws MalformedChangeException {
     for (int bytes : new int[] {1, PurgeChange.MAX_VALUE_BYTES - 1, PurgeChange.MAX_VALUE_BYTES}) {
       assertRead(new Committed(EPOCH, purges(1, 1, "x".repeat(bytes))));
     }
@@ -167,12 +167,12 @@
     assertThrows(IllegalArgumentException.class, () -> new ChangeId("o".repeat(101), 1));
     assertThrows(IllegalArgumentException.class, () -> new ChangeId("o", -1));
     assertRead(new Recover(new Epoch(1, "n".repeat(200), 0)));
-    assertRefused(new Recover(new Epoch(1, "n".repeat(201), 0)), "a name of 201");
+    assertRejected(new Recover(new Epoch(1, "n".repeat(201), 0)), "a name of 201");
   }
 
-  /** A purge or a configuration as somebody might send it who does not keep to the bounds. */
-  private static byte[] hostileEntry(int kind, int version, int scope, String text) {
-    return form(1, out -> {
+  /** An encoded purge or configuration that may violate the limits. */
+  private static byte[] encodedEntry(int kind, int version, int scope, String text) {
+    return encode(1, out -> {
       out.writeNumber(10);
       EntryCodec.write(out, EPOCH);
       out.writeStartArray();
@@ -196,63 +196,63 @@
   }
 
   @Test
-  void boundsOfTextsHoldAgainstWhoWritesOthers() throws MalformedChangeException {
-    assertEquals(1, ((Committed) CODEC.read(hostileEntry(2, 1, 0, "x".repeat(1_024)))).entries().size());
-    assertRefused(hostileEntry(2, 1, 0, "x".repeat(1_025)), "a long value");
-    assertRefused(hostileEntry(2, 1, 0, ""), "no value");
-    assertRefused(hostileEntry(2, 0, 0, "x"), "version 0");
-    assertRefused(hostileEntry(2, 1, 3, "x"), "scope 3");
-    assertRefused(hostileEntry(2, 1, -1, "x"), "scope -1");
-    assertRefused(hostileEntry(3, 1, 0, "x"), "kind 3");
-    assertRefused(hostileEntry(1, 1, 0, "x".repeat(65_537)), "a long document");
+  void textLengthLimitsAreEnforcedWhenDecoding() throws MalformedChangeException {
+    assertEquals(1, ((Committed) CODEC.read(encodedEntry(2, 1, 0, "x".repeat(1_024)))).entries().size());
+    assertRejected(encodedEntry(2, 1, 0, "x".repeat(1_025)), "a long value");
+    assertRejected(encodedEntry(2, 1, 0, ""), "no value");
+    assertRejected(encodedEntry(2, 0, 0, "x"), "version 0");
+    assertRejected(encodedEntry(2, 1, 3, "x"), "scope 3");
+    assertRejected(encodedEntry(2, 1, -1, "x"), "scope -1");
+    assertRejected(encodedEntry(3, 1, 0, "x"), "kind 3");
+    assertRejected(encodedEntry(1, 1, 0, "x".repeat(65_537)), "a long document");
   }
 
   @Test
-  void boundsOfNumbersHold() throws MalformedChangeException {
+  void numberRangesAreEnforced() throws MalformedChangeException {
     long most = 1L << 53;
     for (long number : new long[] {1, most - 1, most}) {
       assertRead(new Recover(new Epoch(number, "a", 0)));
       assertRead(new Accepted(EPOCH, 0, true, true, number, number));
     }
-    assertRefused(new Recover(new Epoch(most + 1, "a", 0)), "an epoch");
-    assertRefused(new Recover(new Epoch(-1, "a", 0)), "an epoch");
-    assertRefused(new Recover(new Epoch(0, "a", 0)), "nobody's epoch with a name");
-    assertRefused(new Recover(new Epoch(1, "", 0)), "an epoch without a name");
-    assertRefused(new Accepted(EPOCH, 0, true, true, most + 1, 0), "an index");
-    assertRefused(new Accepted(EPOCH, 0, true, true, -1, 0), "an index");
+    assertRejected(new Recover(new Epoch(most + 1, "a", 0)), "an epoch");
+    assertRejected(new Recover(new Epoch(-1, "a", 0)), "an epoch");
+    assertRejected(new Recover(new Epoch(0, "a", 0)), "nobody's epoch with a name");
+    assertRejected(new Recover(new Epoch(1, "", 0)), "an epoch without a name");
+    assertRejected(new Accepted(EPOCH, 0, true, true, most + 1, 0), "an index");
+    assertRejected(new Accepted(EPOCH, 0, true, true, -1, 0), "an index");
     assertRead(new Fetch(EPOCH, 1, 1, ChangeCodec.MAX_PARTS - 1));
-    assertRefused(new Fetch(EPOCH, 1, 1, ChangeCodec.MAX_PARTS), "a part");
-    assertRefused(new Fetch(EPOCH, 1, 1, -1), "a part");
+    assertRejected(new Fetch(EPOCH, 1, 1, ChangeCodec.MAX_PARTS), "a part");
+    assertRejected(new Fetch(EPOCH, 1, 1, -1), "a part");
     assertRead(new SnapshotPart(EPOCH, 9, 9, 0, ChangeCodec.MAX_PARTS, List.of(), NO_FLOORS));
-    assertRefused(new SnapshotPart(EPOCH, 9, 9, 0, ChangeCodec.MAX_PARTS + 1, List.of(), NO_FLOORS),
+    assertRejected(new SnapshotPart(EPOCH, 9, 9, 0, ChangeCodec.MAX_PARTS + 1, List.of(), NO_FLOORS),
         "parts");
-    assertRefused(new SnapshotPart(EPOCH, 9, 9, 1, 1, List.of(), NO_FLOORS), "part 1 of 1");
-    assertRefused(new SnapshotPart(EPOCH, 9, 10, 0, 1, List.of(), NO_FLOORS), "complete from later");
-    assertRefused(new SnapshotPart(EPOCH, 9, 0, 0, 1, purges(9, 2, "x"), NO_FLOORS), "a later entry");
+    assertRejected(new SnapshotPart(EPOCH, 9, 9, 1, 1, List.of(), NO_FLOORS), "part 1 of 1");
+    assertRejected(new SnapshotPart(EPOCH, 9, 10, 0, 1, List.of(), NO_FLOORS), "complete from later");
+    assertRejected(new SnapshotPart(EPOCH, 9, 0, 0, 1, purges(9, 2, "x"), NO_FLOORS), "a later entry");
   }
 
   @Test
-  void boundsOfListsHold() throws MalformedChangeException {
+  void listLimitsAndOrderAreEnforced() throws MalformedChangeException {
     for (int count : new int[] {0, EntryCodec.MAX_ENTRIES - 1, EntryCodec.MAX_ENTRIES}) {
       assertRead(new Committed(EPOCH, purges(1, count, "x")));
     }
-    assertRefused(new Committed(EPOCH, purges(1, EntryCodec.MAX_ENTRIES + 1, "x")), "many entries");
+    assertRejected(new Committed(EPOCH, purges(1, EntryCodec.MAX_ENTRIES + 1, "x")), "many entries");
     List<ChangeEntry> gap = new ArrayList<>(purges(1, 2, "x"));
     gap.addAll(purges(4, 1, "x"));
-    assertRefused(new Committed(EPOCH, gap), "a gap");
-    assertRefused(new Recovered(EPOCH, EPOCH, 1, true, EPOCH, 3, purges(5, 1, "x")), "a tail further on");
+    assertRejected(new Committed(EPOCH, gap), "a gap");
+    assertRejected(new Recovered(EPOCH, EPOCH, 1, true, EPOCH, 3, purges(5, 1, "x")), "a tail further on");
     Collections.reverse(gap);
-    assertRefused(new SnapshotPart(EPOCH, 9, 0, 0, 1, gap, NO_FLOORS), "out of order");
+    assertRejected(new SnapshotPart(EPOCH, 9, 0, 0, 1, gap, NO_FLOORS), "out of order");
     SortedMap<String, Long> floors = new TreeMap<>();
     for (int i = 0; i < ChangeCodec.MAX_ORIGINS; i++) {
       floors.put("o" + i, (long) i);
     }
     assertRead(new SnapshotPart(EPOCH, 9, 0, 0, 1, List.of(), floors));
     floors.put("one more", 1L);
-    assertRefused(new SnapshotPart(EPOCH, 9, 0, 0, 1, List.of(), floors), "many submitters");
+    assertRejected(new SnapshotPart(EPOCH, 9, 0, 0, 1, List.of(), floors), "many submitters");
   }
 
-  /** The longest messages that the limits of a log allow fit; what is longer is not even parsed. */
+  /** The longest messages that the limits of a log allow are encoded; longer ones are not parsed. */
   @Test
   void theLongestMessagesFit() throws MalformedChangeException {
     String longest = "v".repeat(PurgeChange.MAX_VALUE_BYTES);
@@ -265,8 +265,8 @@
     byte[] bytes = CODEC.write(new SnapshotPart(EPOCH, 9_000, 0, 0, 1, entries, floors));
     assertTrue(bytes.length > 500_000 && bytes.length <= ChangeCodec.MAX_BYTES, "bytes: " + bytes.length);
     CODEC.read(bytes);
-    assertRefused(new byte[ChangeCodec.MAX_BYTES], "nothing of the longest length");
-    assertRefused(new byte[ChangeCodec.MAX_BYTES + 1], "too long");
+    assertRejected(new byte[ChangeCodec.MAX_BYTES], "zeros of the maximum length");
+    assertRejected(new byte[ChangeCodec.MAX_BYTES + 1], "too long");
     assertThrows(IllegalArgumentException.class,
         () -> CODEC.write(new Committed(EPOCH, purges(1, 1_024, longest))));
   }
@@ -282,30 +282,31 @@
     }
   }
 
-  /** Hostile bytes cost themselves: nothing but a MalformedChangeException comes of any of them. */
+  /** Decoding malformed bytes throws no exception other than MalformedChangeException. */
   @Test
-  void twoHundredThousandOddMessagesAreReadOrRefused() {
+  void twoHundredThousandMutatedMessagesAreDecodedOrRejected() {
     Random random = new Random(17);
-    List<byte[]> whole = oneOfEach().stream().map(CODEC::write).toList();
-    int refused = 0;
+    List<byte[]> encoded = oneOfEach().stream().map(CODEC::write).toList();
+    int rejected = 0;
     for (int i = 0; i < 200_000; i++) {
-      byte[] odd = whole.get(i % whole.size()).clone();
+      byte[] mutated = encoded.get(i % encoded.size()).clone();
       if (i % 5 == 0) {
-        odd = new byte[random.nextInt(600)];
-        random.nextBytes(odd);
+        mutated = new byte[random.nextInt(600)];
+        random.nextBytes(mutated);
       }
-      for (int changes = random.nextInt(4); changes >= 0 && odd.length > 0; changes--) {
-        odd[random.nextInt(odd.length)] = (byte) random.nextInt(256);
+      for (int changes = random.nextInt(4); changes >= 0 && mutated.length > 0; changes--) {
+        mutated[random.nextInt(mutated.length)] = (byte) random.nextInt(256);
       }
       try {
-        LogMessage read = CODEC.read(Arrays.copyOf(odd, odd.length - random.nextInt(2) * (odd.length / 3)));
+        LogMessage read = CODEC
+            .read(Arrays.copyOf(mutated, mutated.length - random.nextInt(2) * (mutated.length / 3)));
         byte[] again = CODEC.write(read);
         assertArrayEquals(again, CODEC.write(CODEC.read(again)));
       } catch (MalformedChangeException e) {
-        refused++;
+        rejected++;
       }
     }
-    assertTrue(refused > 100_000, "refused: " + refused);
-    System.out.println("refused: " + refused);
+    assertTrue(rejected > 100_000, "refused: " + rejected);
+    System.out.println("refused: " + rejected);
   }
 }
--- a/src/test/java/beampoint/fleet/changes/LogModel.java
+++ b/src/test/java/beampoint/fleet/changes/LogModel.java
@@ -22,31 +22,32 @@
 import java.util.TreeSet;
 
 /**
- * All there is of three replicas at one moment. What was said stays: it may come at any later time, again, or
- * never. Clocks stand still, and a majority may promise a lease to anybody at any time, also while another
- * one leads: the log must be safe without them.
+ * An immutable model of three replicas and the messages between them. Messages stay in the model once they
+ * are sent, so they may be delivered at any later time, repeatedly, or never. The time is constant, and a
+ * majority may promise the lease to any replica at any time, even while another one leads, because the safety
+ * of the log must not depend on clocks.
  */
 final class LogModel {
 
   static final List<String> NAMES = List.of("a", "b", "c");
   private static final int MAX_KEPT = 8;
 
-  /** Terms under which so many committed entries stay beside the snapshot. */
+  /** Settings that keep a number of committed entries outside the snapshot. */
   static LogSettings settings(int keptEntries) {
     return new LogSettings(new TreeSet<>(NAMES), 1,
         new LogLimits(4, 10_000, 4, 10_000, keptEntries, MAX_KEPT, 10_000, 4));
   }
 
-  /** A message on its way. */
+  /** A message that may be delivered. */
   record SentMessage(int from, Send send) {}
 
-  /** A committed entry, and under which leader it became so. */
+  /** A committed entry and the epoch of the leader that committed it. */
   record Entry(ChangeEntry entry, Epoch committedUnder) {}
 
-  /** How many of these may still happen. */
+  /** How many events of each kind may still happen. */
   record Budget(int elections, int submissions, int crashes, int losses) {}
 
-  /** A replica's step, and what is left of it after its memory was lost: the real ones, or mistaken ones. */
+  /** The step function, and the state after a loss of memory: the real ones unless a test injects a fault. */
   interface Rules {
 
     LogSettings NEVER_COMPACTED = LogModel.settings(MAX_KEPT);
@@ -82,7 +83,7 @@
     this.violation = violation;
   }
 
-  /** Three replicas that were never started before. */
+  /** Three replicas without a log. */
   static LogModel initial(Rules rules) {
     List<ReplicaState> states = new ArrayList<>();
     for (int i = 0; i < NAMES.size(); i++) {
@@ -91,7 +92,7 @@
     return new LogModel(rules, states, Set.of(), new TreeMap<>(), new Budget(0, 0, 0, 0), null);
   }
 
-  /** A log founded by the first replica, with all of them in step and nothing on its way. */
+  /** A log founded by the first replica, with all replicas in sync and no messages in flight. */
   static LogModel founded(Rules rules) {
     LogModel model = initial(rules).elected(0, List.of(0, 1, 2));
     for (int round = 0; round < 5; round++) {
@@ -112,7 +113,7 @@
     return model;
   }
 
-  /** The same world, of parts that it shares with all others of a search: few of them differ. */
+  /** An equal model that shares its parts with the other models of a search, as few of them differ. */
   LogModel interned(Map<Object, Object> pool) {
     List<ReplicaState> shared = new ArrayList<>(NAMES.size());
     states.forEach(state -> shared.add(intern(pool, state)));
@@ -135,7 +136,7 @@
         new Received(NAMES.get(message.from), message.send.message()));
   }
 
-  /** Delivers all that one replica has said to another. */
+  /** Delivers all messages that one replica has sent to another. */
   LogModel delivered(int from, int to) {
     LogModel model = this;
     for (SentMessage message : sent) {
@@ -178,7 +179,7 @@
     return new LogModel(rules, nextStates, nextSent, nextCommitted, budget, nextViolation);
   }
 
-  /** Sets are shared between worlds: most steps say nothing new. */
+  /** Returns the same set if the message is in it, as sets are shared and most steps send nothing new. */
   private static Set<SentMessage> with(Set<SentMessage> before, SentMessage message) {
     if (before.contains(message)) {
       return before;
@@ -188,7 +189,7 @@
     return after;
   }
 
-  /** Notes delivered entries; what is wrong with them, or null. */
+  /** Records delivered entries and returns the violation that they cause, or null. */
   private static String deliver(SortedMap<Long, Entry> all, List<ChangeEntry> entries, Epoch under) {
     for (ChangeEntry entry : entries) {
       Entry known = all.get(entry.index());
@@ -209,7 +210,7 @@
     return null;
   }
 
-  /** These have promised one of them a lease. */
+  /** The given majority promises the lease to a candidate, which is elected. */
   LogModel elected(int candidate, List<Integer> majority) {
     long number = majority.stream().mapToLong(i -> states.get(i).log().fence().number()).max().orElse(0) + 1;
     Epoch epoch = new Epoch(number, NAMES.get(candidate), states.get(candidate).log().life());
@@ -271,7 +272,7 @@
         all.add(withEvent(i, new Tick()));
         if (budget.submissions > 0) {
           all.add(submitted(i, budget.submissions));
-          all.add(submitted(i, budget.submissions + 1)); // the one before, again
+          all.add(submitted(i, budget.submissions + 1)); // the previous change again
         }
       }
       if (budget.elections > 0 && (isVoter(i) || knowsNoLog(i))) {
@@ -288,7 +289,7 @@
     return all;
   }
 
-  /** What is wrong, or null. */
+  /** The violation of the log's guarantees in this model, or null. */
   String violation() {
     if (violation != null) {
       return violation;
@@ -309,7 +310,7 @@
         .map(e -> "committed, and held by " + holders(e.entry) + " that vote: " + e).orElse(null);
   }
 
-  /** Those that hold an entry, or have lost it and know that they may have. */
+  /** Counts the replicas that hold an entry or, as non-voters, know that they may have lost it. */
   private long holders(ChangeEntry entry) {
     return states.stream().filter(s -> !s.log().voter() || holds(s.log(), entry)).count();
   }
--- a/src/test/java/beampoint/fleet/changes/LogSearchTest.java
+++ b/src/test/java/beampoint/fleet/changes/LogSearchTest.java
@@ -24,16 +24,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every run of three replicas up to a depth, over the real step function: any message delivered late,
- * repeated, in any order or never, any replica elected by any majority at any time, and crashed and started
- * again with and without its memory.
+ * Searches all runs of three replicas up to a depth, with the real step function: messages are delayed,
+ * duplicated, reordered or lost, any replica may be elected by any majority at any time, and replicas crash
+ * and restart with and without their memory.
  */
 class LogSearchTest {
 
-  private static final int EXTRA_DEPTH = Integer.getInteger("log.deeper", 0); // a longer search names more
+  private static final int EXTRA_DEPTH = Integer.getInteger("log.deeper", 0); // for longer searches
   private static final Rules REAL = new Rules() {};
 
-  /** Whatever is committed goes into the snapshot at once. */
+  /** Committed entries are compacted into the snapshot at once. */
   private static final Rules COMPACTING = new Rules() {
 
     private final LogSettings compacted = LogModel.settings(0);
@@ -46,7 +46,10 @@
 
   private long models;
 
-  /** Walks all worlds up to a depth; the first mistake, or null. Those of the last step may count twice. */
+  /**
+   * Searches all models that are reached in up to {@code depth} steps and returns the first violation, or
+   * null. Models of the last step may be counted twice.
+   */
   private String search(LogModel start, int depth) {
     Set<LogModel> seen = new HashSet<>();
     Map<Object, Object> pool = new HashMap<>();
@@ -57,7 +60,7 @@
       for (LogModel model : level) {
         for (LogModel next : model.next()) {
           if (next == model || i < depth && seen.contains(next)) {
-            continue; // nothing happened, or nothing new
+            continue; // without effect, or already visited
           }
           models++;
           if (next.violation() != null) {
@@ -75,34 +78,34 @@
     return null;
   }
 
-  /** A founded log, where nothing has happened yet. */
+  /** A founded log without entries. */
   private static LogModel foundedLog(Rules rules) {
     return LogModel.founded(rules);
   }
 
-  /** One has founded a log, of which nobody else has heard. */
+  /** One replica has founded a log that the others do not know yet. */
   private static LogModel justFounded(Rules rules) {
     return LogModel.initial(rules).elected(0, List.of(0, 1)).delivered(0, 1).delivered(0, 2).delivered(1, 0)
         .delivered(2, 0);
   }
 
-  /** Two have founded a log and committed an entry, one has lost its memory; the third knows of nothing. */
+  /** Two replicas founded a log and committed an entry, one lost its memory; the third knows no log. */
   private static LogModel unknownToOneReplica(Rules rules) {
     return justFounded(rules).delivered(0, 1).delivered(1, 0).submitted(0, 9).delivered(0, 1).delivered(1, 0)
         .withMemoryLost(1);
   }
 
-  /** An entry stands at the leader and at one follower; the answer is on its way. */
+  /** The leader and one follower hold an entry; the follower's answer is in flight. */
   private static LogModel acknowledged(Rules rules) {
     return foundedLog(rules).submitted(0, 9).delivered(0, 1);
   }
 
-  /** The same, committed, and the follower has lost its memory. */
+  /** The same entry is committed, and the follower has lost its memory. */
   private static LogModel committedAndMemoryLost(Rules rules) {
     return acknowledged(rules).delivered(1, 0).withMemoryLost(1);
   }
 
-  /** A new leader's question was answered by a replica that lost its memory before the answer came. */
+  /** A replica answered a new leader's request and lost its memory before the answer arrived. */
   private static LogModel answeredAndMemoryLost(Rules rules) {
     return foundedLog(rules).elected(2, List.of(1, 2)).delivered(2, 1).withMemoryLost(1);
   }
@@ -116,33 +119,33 @@
   }
 
   @Test
-  void theFoundedLogHasThreeVotersInStep() {
+  void theFoundedLogHasThreeVotersInSync() {
     LogModel model = foundedLog(REAL);
     assertTrue(model.states.stream().allMatch(s -> s.log().voter() && s.leader().holder().equals("a")));
     assertEquals(1, acknowledged(REAL).delivered(1, 0).committed.size());
   }
 
   @Test
-  void noRunOfAFoundedLogLosesOrDoublesAnEntry() {
+  void noRunOfAFoundedLogLosesOrDuplicatesAnEntry() {
     assertSafe("from a founded log", foundedLog(REAL), new Budget(2, 2, 1, 1), 7);
     assertTrue(models > 50_000, "worlds: " + models);
   }
 
   @Test
-  void noRunFromAnAcknowledgedEntryLosesOrDoublesIt() {
+  void noRunFromAnAcknowledgedEntryLosesOrDuplicatesIt() {
     assertSafe("from an acknowledged entry", acknowledged(REAL), new Budget(2, 1, 1, 1), 6);
     assertTrue(models > 50_000, "worlds: " + models);
   }
 
   @Test
-  void noRunAfterALostMemoryLosesOrDoublesAnEntry() {
+  void noRunAfterALostMemoryLosesOrDuplicatesAnEntry() {
     assertSafe("from a lost memory", committedAndMemoryLost(REAL), new Budget(1, 1, 0, 1), 7);
     assertSafe("from a lost memory that had answered", answeredAndMemoryLost(REAL),
         new Budget(0, 1, 0, 0), 10);
   }
 
   @Test
-  void noRunWithSnapshotsLosesOrDoublesAnEntry() {
+  void noRunWithSnapshotsLosesOrDuplicatesAnEntry() {
     assertSafe("from an acknowledged entry, with snapshots", acknowledged(COMPACTING),
         new Budget(2, 1, 0, 1), 6);
     assertSafe("from a lost memory, with snapshots", committedAndMemoryLost(COMPACTING),
@@ -157,7 +160,7 @@
   }
 
   @Test
-  void aReplicaWithoutMemoryVotesAgainWithTheSnapshot() {
+  void aReplicaThatLostItsMemoryRegainsItsVoteFromASnapshot() {
     LogModel model = acknowledged(COMPACTING).delivered(1, 0).withoutMessages().withMemoryLost(1);
     for (int i = 0; i < 6; i++) {
       model = model.delivered(1, 0).delivered(1, 2).delivered(0, 1).delivered(2, 1)
@@ -170,7 +173,7 @@
 
   private void assertViolationFound(LogModel start, Budget budget, int depth) {
     String violation = search(start.with(budget), depth);
-    assertNotNull(violation, "the search passed over a mistake");
+    assertNotNull(violation, "the search missed the fault");
     System.out.println("found: " + violation.substring(0, violation.indexOf(": ")));
   }
 
@@ -208,7 +211,7 @@
   }
 
   @Test
-  void theSearchFindsAFollowerOfAnOldEpoch() {
+  void theSearchFindsAFollowerThatAcceptsAnOldEpoch() {
     Rules faulty = new Rules() {
       @Override
       public Replica.Step step(Replica replica, ReplicaState state, LogEvent event) {
@@ -226,7 +229,7 @@
   }
 
   @Test
-  void theSearchFindsAReplicaThatVotesWithoutItsMemory() {
+  void theSearchFindsAReplicaThatVotesAfterLosingItsMemory() {
     Rules faulty = new Rules() {
       @Override
       public ReplicaState withMemoryLost(ReplicaState before, long life) {
@@ -239,7 +242,7 @@
   }
 
   @Test
-  void theSearchFindsAReplicaThatVotesBeforeItKnowsWhatWasPromised() {
+  void theSearchFindsAReplicaThatVotesBeforeItKnowsThePromisesOfOthers() {
     Rules faulty = new Rules() {
       @Override
       public Replica.Step step(Replica replica, ReplicaState state, LogEvent event) {
@@ -258,7 +261,7 @@
   }
 
   @Test
-  void theSearchFindsAFounderThatIsContentWithAMajority() {
+  void theSearchFindsALogFoundedByAMajorityOnly() {
     Rules faulty = new Rules() {
       @Override
       public Replica.Step step(Replica replica, ReplicaState s, LogEvent event) {
--- a/src/test/java/beampoint/fleet/changes/LogSimulationTest.java
+++ b/src/test/java/beampoint/fleet/changes/LogSimulationTest.java
@@ -14,20 +14,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Long runs of 3, 5 and 13 control machines in virtual time, through loss, cuts, pauses and crashes. */
+/**
+ * Long runs of 3, 5 and 13 control machines in virtual time, with message loss, partitions, pauses and
+ * crashes.
+ */
 class LogSimulationTest {
 
   private static final LogLimits SMALL = new LogLimits(32, 20_000, 64, 40_000, 40, 100, 40_000, 10);
   private static final double SECOND_MS = 1_000;
   private static final double WARM_UP_MS = 5 * SECOND_MS;
   private static final double MAX_RECOVERY_MS = 8 * SimulatedCluster.LEASE_MS;
-  private static final int SEEDS = Integer.getInteger("log.seeds", 1); // more for a longer trial
+  private static final int SEEDS = Integer.getInteger("log.seeds", 1); // more for longer runs
 
   private static PurgeChange purge(long number) {
     return new PurgeChange(1, PurgeScope.KEY, "org/example/artifact-" + number + ".jar", number);
   }
 
-  /** Submits evenly up to a time. */
+  /** Submits changes at a constant rate up to a time. */
   private static void submit(SimulatedCluster cluster, double perSecond, double until) {
     long number = 0;
     while (cluster.now < until) {
@@ -39,9 +42,9 @@
     }
   }
 
-  private static double percentile(List<Double> values, double part) {
+  private static double percentile(List<Double> values, double fraction) {
     List<Double> sorted = values.stream().sorted().toList();
-    return sorted.get((int) Math.min(sorted.size() - 1, part * sorted.size()));
+    return sorted.get((int) Math.min(sorted.size() - 1, fraction * sorted.size()));
   }
 
   private static void print(String what, SimulatedCluster cluster) {
@@ -54,7 +57,7 @@
 
   @ParameterizedTest
   @CsvSource({"3, 1", "5, 2", "13, 3"})
-  void onACalmNetworkAllIsCommittedSoon(int voters, long seed) {
+  void withoutFaultsAllChangesAreCommittedSoon(int voters, long seed) {
     SimulatedCluster cluster = new SimulatedCluster(voters, LogLimits.DEFAULTS, seed);
     cluster.runTo(WARM_UP_MS);
     submit(cluster, 27, WARM_UP_MS + 30 * SECOND_MS);
@@ -68,7 +71,7 @@
 
   @ParameterizedTest
   @CsvSource({"3, 41", "5, 42", "13, 43"})
-  void withATwentiethOfAllMessagesLostCommitsGoOn(int voters, long seed) {
+  void commitsContinueWithFivePercentOfMessagesLost(int voters, long seed) {
     SimulatedCluster cluster = new SimulatedCluster(voters, LogLimits.DEFAULTS, seed);
     cluster.runTo(WARM_UP_MS);
     cluster.lossRate = 0.05;
@@ -82,7 +85,7 @@
     assertTrue(percentile(cluster.latencies, 0.99) < 3 * SECOND_MS);
   }
 
-  /** One fault at a time and at most a minority without memory, as the log's limits say. */
+  /** Injects one fault; at most a minority of the machines is without memory, which the log tolerates. */
   private static void injectFault(SimulatedCluster cluster, Random random) {
     int minority = (cluster.names.size() - 1) / 2;
     String one = cluster.names.get(random.nextInt(cluster.names.size()));
@@ -115,7 +118,7 @@
 
   @ParameterizedTest
   @CsvSource({"3, 11", "3, 12", "3, 13", "5, 21", "5, 22", "5, 23", "13, 31", "13, 32"})
-  void throughFaultsNothingIsLostAndAfterThemItGoesOn(int voters, long seed) {
+  void noChangeIsLostThroughFaultsAndCommitsContinueAfterThem(int voters, long seed) {
     for (int i = 0; i < SEEDS; i++) {
       runThroughFaults(voters, seed + 100L * i);
     }
@@ -130,13 +133,13 @@
       submit(cluster, 10, cluster.now + 1.5 * SECOND_MS);
     }
     cluster.heal();
-    double healed = cluster.now;
+    double healedAt = cluster.now;
     long before = cluster.committedLog.size();
     cluster.submit(purge(-1));
-    while (cluster.committedLog.size() == before && cluster.now < healed + MAX_RECOVERY_MS) {
+    while (cluster.committedLog.size() == before && cluster.now < healedAt + MAX_RECOVERY_MS) {
       cluster.runTo(cluster.now + 20);
     }
-    double waited = cluster.now - healed;
+    double waited = cluster.now - healedAt;
     assertTrue(waited < MAX_RECOVERY_MS, "the first commit after the faults, seed " + seed);
     System.out.printf("goes on after %.0f ms; ", waited);
     submit(cluster, 10, cluster.now + 10 * SECOND_MS);
@@ -145,11 +148,11 @@
     assertTrue(cluster.committedLog.size() >= before + 100, "commits go on after the faults, seed " + seed);
     assertEquals(0, cluster.pendingCount(), "all is committed or refused for good, seed " + seed);
     assertEquals(0, cluster.nonVoters(), "all vote again, seed " + seed);
-    assertEquals(cluster.committedLog.size(), cluster.minDelivered(), "all hold all, seed " + seed);
+    assertEquals(cluster.committedLog.size(), cluster.minDelivered(), "all hold all entries, seed " + seed);
   }
 
   @Test
-  void aLeaderThatStopsIsFollowedByAnotherWithinThreeLeases() {
+  void aStoppedLeaderIsReplacedWithinThreeLeases() {
     SimulatedCluster cluster = new SimulatedCluster(13, LogLimits.DEFAULTS, 7);
     cluster.runTo(WARM_UP_MS);
     for (int i = 0; i < 10; i++) {
@@ -168,7 +171,7 @@
   }
 
   @Test
-  void aFullQueueIsRefusedAndLeavesTheRestInOrder() {
+  void changesRejectedByAFullQueueAreCommittedWhenRetried() {
     LogLimits shortQueue = new LogLimits(32, 20_000, 64, 40_000, 500, 500, 100_000, 10);
     SimulatedCluster cluster = new SimulatedCluster(3, shortQueue, 5);
     cluster.runTo(WARM_UP_MS);
@@ -182,24 +185,25 @@
   }
 
   @Test
-  void whoWasAwayForLongerThanEntriesAreKeptGetsTheSnapshot() {
+  void aReplicaThatMissedMoreThanTheKeptEntriesGetsTheSnapshot() {
     SimulatedCluster cluster = new SimulatedCluster(5, SMALL, 6);
     cluster.runTo(WARM_UP_MS);
-    String away = cluster.names.stream().filter(n -> !n.equals(cluster.leader())).findFirst().orElseThrow();
-    cluster.stop(away);
+    String stopped = cluster.names.stream().filter(n -> !n.equals(cluster.leader())).findFirst()
+        .orElseThrow();
+    cluster.stop(stopped);
     submit(cluster, 30, cluster.now + 20 * SECOND_MS);
     assertTrue(cluster.state(cluster.leader()).log().snapshot().index() > 400);
     assertEquals(100, cluster.state(cluster.leader()).log().snapshot().entries().stream()
         .filter(e -> e.change() instanceof PurgeChange).count());
-    cluster.restart(away, true);
+    cluster.restart(stopped, true);
     cluster.runTo(cluster.now + 5 * SECOND_MS);
     assertEquals(cluster.committedLog.size(), cluster.minDelivered());
     assertEquals(0, cluster.nonVoters());
-    assertTrue(cluster.state(away).log().snapshot().completeFrom() > 0);
+    assertTrue(cluster.state(stopped).log().snapshot().completeFrom() > 0);
   }
 
   @Test
-  void aLostMajorityStopsTheLogUntilAnOperatorFoundsAnother() {
+  void afterTheLossOfAMajorityTheLogStopsUntilAnOperatorAllowsANewOne() {
     SimulatedCluster cluster = new SimulatedCluster(5, SMALL, 8);
     cluster.runTo(WARM_UP_MS);
     submit(cluster, 10, cluster.now + 2 * SECOND_MS);
@@ -212,7 +216,7 @@
     assertEquals(committed, cluster.committedLog.size(), "nothing is committed without a majority of voters");
     assertNull(cluster.leader());
     assertTrue(cluster.problems.contains(Problem.MAJORITY_LOST));
-    assertTrue(cluster.names.stream().allMatch(n -> cluster.problem(n).isPresent()), "operators are told");
+    assertTrue(cluster.names.stream().allMatch(n -> cluster.problem(n).isPresent()), "operators are informed");
     cluster.allowNewLog(cluster.names.get(4));
     cluster.runTo(cluster.now + 30 * SECOND_MS);
     assertNotEquals(identity, cluster.logIdentity);
@@ -221,7 +225,7 @@
   }
 
   @Test
-  void allStartedAnewBeginALogOfAnotherIdentity() {
+  void replicasThatAllLostTheirMemoryFoundANewLog() {
     SimulatedCluster cluster = new SimulatedCluster(3, SMALL, 9);
     cluster.runTo(WARM_UP_MS);
     submit(cluster, 10, cluster.now + 2 * SECOND_MS);
--- a/src/test/java/beampoint/fleet/changes/SimulatedCluster.java
+++ b/src/test/java/beampoint/fleet/changes/SimulatedCluster.java
@@ -31,8 +31,8 @@
 import java.util.TreeSet;
 
 /**
- * Control machines, the network between them and submitters in virtual time, from one seed. What must hold is
- * checked with every event.
+ * Simulates control machines, the network between them and submitters in virtual time, reproducibly from a
+ * seed. The invariants are checked at every event.
  */
 final class SimulatedCluster {
 
@@ -42,10 +42,10 @@
   private static final double MAX_CLOCK_DRIFT = 0.01;
   private static final double SUBMIT_RETRY_MS = 300;
 
-  /** What is still to happen. */
+  /** A scheduled event. */
   private record Event(double at, long order, Runnable action) {}
 
-  /** A control machine and what it has handed on to the distribution. */
+  /** A control machine and the log position up to which it has delivered entries. */
   private static final class Machine {
     private ControlNode node;
     private int starts;
@@ -56,7 +56,7 @@
     private long delivered;
   }
 
-  /** A change on its way, and when it was first submitted. */
+  /** A change that is not yet known to be committed, and when it was first submitted. */
   private static final class Pending {
     private Change change;
     private double submittedAt;
@@ -110,7 +110,7 @@
     events.add(new Event(time, order++, action));
   }
 
-  /** Runs to a time. */
+  /** Runs all events up to a time. */
   void runTo(double time) {
     while (!events.isEmpty() && events.peek().at <= time) {
       Event event = events.remove();
@@ -185,13 +185,13 @@
     assertEquals(committedLog.get(entry.index()), entry, "one entry under one index");
   }
 
-  /** Messages go through their form in bytes, as on a socket. */
+  /** Sends a message in its encoded form, as on a socket. */
   private void send(String from, Send send) {
     byte[] encoded = CODEC.write(send.message());
     try {
       assertEquals(send.message(), CODEC.read(encoded));
     } catch (MalformedChangeException e) {
-      throw new AssertionError("a message that can't be read: " + send.message(), e);
+      throw new AssertionError("a message that can't be decoded: " + send.message(), e);
     }
     messages++;
     bytes += encoded.length;
@@ -203,7 +203,7 @@
     }
   }
 
-  /** 1 to 140 ms by the distance of two machines, and up to a tenth of that and 3 ms more. */
+  /** The delay of a message: 1 to 140 ms for the distance, plus up to a tenth of that and up to 3 ms. */
   private double delay(String from, String to) {
     double distance = 1 + Math.floorMod(from.hashCode() * 31L + to.hashCode() * 31L, 140);
     return distance * (1 + 0.1 * random.nextDouble()) + 3 * random.nextDouble();
@@ -221,7 +221,7 @@
     perform(send.to(), machine.node.received(clock(machine), from, send.message()));
   }
 
-  /** Bounds of memory. */
+  /** Checks the limits on memory. */
   private void check(ReplicaState state) {
     LogLimits limits = settings.limits();
     LogState log = state.log();
@@ -231,7 +231,7 @@
     assertTrue(!state.leads() || state.leadership().queue().size() <= limits.queuedChanges());
   }
 
-  /** Submits a change at any machine, again and again until it is committed or refused for good. */
+  /** Submits a change to random machines until it is committed or finally rejected. */
   void submit(Change change) {
     Pending submission = new Pending();
     submission.change = change;
@@ -281,8 +281,8 @@
     return pending.values().stream().filter(p -> !p.done).count();
   }
 
-  void partition(String one, String other) {
-    partitions.add(Set.of(one, other));
+  void partition(String first, String second) {
+    partitions.add(Set.of(first, second));
   }
 
   void heal() {
@@ -300,7 +300,7 @@
     machines.get(name).up = false;
   }
 
-  /** A machine runs again, with its log or with nothing. */
+  /** Restarts a machine with or without its log. */
   void restart(String name, boolean losesMemory) {
     Machine machine = machines.get(name);
     ReplicaState initialState = machine.node.state().restartedWithLog();
@@ -312,7 +312,7 @@
     start(name, initialState);
   }
 
-  /** A new log begins, as the one before is lost: what was in it is no longer compared. */
+  /** Clears the recorded log after its loss, as entries of a new log are not compared with it. */
   void clearCommittedLog() {
     committedLog.clear();
     committedIds.clear();
@@ -331,23 +331,23 @@
     perform(name, machine.node.allowNewLog(clock(machine)));
   }
 
-  /** The one that leads, or null. */
+  /** The name of the leader, or null. */
   String leader() {
     return names.stream().filter(n -> isUp(n) && machines.get(n).node.leads(clock(machines.get(n))))
         .findFirst().orElse(null);
   }
 
-  /** What a machine would tell its operators. */
+  /** The problem that a machine reports to operators. */
   Optional<Problem> problem(String name) {
     return machines.get(name).node.problem();
   }
 
-  /** How many have lost their memory and do not vote yet. */
+  /** The number of machines that have lost their memory and do not vote yet. */
   long nonVoters() {
     return names.stream().filter(n -> !state(n).log().voter()).count();
   }
 
-  /** How far all machines are that run. */
+  /** The lowest delivered index of the running machines. */
   long minDelivered() {
     return names.stream().filter(this::isUp).mapToLong(n -> machines.get(n).delivered).min().orElse(0);
   }
--- a/src/test/java/beampoint/fleet/changes/SnapshotTest.java
+++ b/src/test/java/beampoint/fleet/changes/SnapshotTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What stays of entries that are compacted. */
+/** Checks which entries a snapshot keeps when entries are compacted. */
 class SnapshotTest {
 
   private static final Epoch EPOCH = new Epoch(1, "a", 1);
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void theLastConfigurationStaysHoweverOldItIs() {
+  void theLastConfigurationIsKeptRegardlessOfItsAge() {
     Snapshot first = Snapshot.EMPTY.extendedBy(List.of(configuration(1), configuration(2)), limits(3, 1_000));
     assertEquals(configuration(2), first.configuration().orElseThrow());
     assertEquals(Map.of("s", 1L), first.floors());
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void asManyPurgesStayAsMay() {
+  void purgesAreKeptUpToTheMaximumCount() {
     for (int count : new int[] {2, 3}) {
       Snapshot snapshot = Snapshot.EMPTY.extendedBy(purges(1, count), limits(3, 1_000));
       assertEquals(count, snapshot.entries().size());
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void andAsManyBytesOfThem() {
+  void purgesAreKeptUpToTheMaximumSize() {
     int bytes = purge(1).weight() + purge(2).weight();
     assertEquals(2, Snapshot.EMPTY.extendedBy(purges(1, 2), limits(9, bytes + 1)).entries().size());
     assertEquals(2, Snapshot.EMPTY.extendedBy(purges(1, 2), limits(9, bytes)).entries().size());
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void theWayInWhichEntriesAreCompactedMakesNoDifference() {
+  void compactionAtOnceAndEntryByEntryGiveTheSameSnapshot() {
     List<ChangeEntry> entries = new ArrayList<>(purges(1, 20));
     entries.set(6, configuration(7));
     entries.set(13, configuration(14));
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void onlyWhatFollowsIsTaken() {
+  void onlyConsecutiveEntriesAreAccepted() {
     assertSame(Snapshot.EMPTY, Snapshot.EMPTY.extendedBy(List.of(), limits(1, 1)));
     assertThrows(IllegalArgumentException.class,
         () -> Snapshot.EMPTY.extendedBy(List.of(purge(2)), limits(1, 1)));
--- a/src/test/java/beampoint/fleet/changes/SubmissionsTest.java
+++ b/src/test/java/beampoint/fleet/changes/SubmissionsTest.java
@@ -18,7 +18,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of submitted changes at a leader, and at one that does not lead. */
+/** The outcomes of changes submitted to the leader and to other replicas. */
 class SubmissionsTest {
 
   private static final int IN_FLIGHT = 4;
@@ -56,7 +56,7 @@
     return submit("s", number, "k" + number);
   }
 
-  /** A follower acknowledges all that the leader holds. */
+  /** A follower acknowledges all entries of the leader. */
   private List<Answer> acknowledge() {
     return step(new Received("b", new Accepted(state.leadership().epoch(), 1, true, true,
         state.log().last(), state.log().commit())));
@@ -80,7 +80,7 @@
   @Test
   void aRepeatedChangeIsAppendedOnce() {
     submit(1);
-    assertEquals(List.of(), submit(1), "it is on its way");
+    assertEquals(List.of(), submit(1), "it is in flight");
     assertEquals(1, state.log().last());
     acknowledge();
     assertEquals(List.of(answer(1, new Committed(1))), submit(1));
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void aChangeThatWaitsIsNotTakenAgain() {
+  void aQueuedChangeIsNotQueuedAgain() {
     for (int i = 1; i <= IN_FLIGHT + 1; i++) {
       submit(i);
     }
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void soManyAreInFlightSoManyWaitAndTheNextIsRefused() {
+  void changesBeyondTheLimitsOfEntriesInFlightAndOfTheQueueAreRejected() {
     for (int i = 1; i <= IN_FLIGHT + QUEUED; i++) {
       assertEquals(List.of(), submit(i));
       assertEquals(Math.min(i, IN_FLIGHT), state.log().last());
@@ -105,7 +105,7 @@
     }
     assertEquals(List.of(refused(8, Reason.QUEUE_FULL)), submit(8));
     assertEquals(IN_FLIGHT, acknowledge().size());
-    assertEquals(IN_FLIGHT + QUEUED, state.log().last(), "what waited is appended in its order");
+    assertEquals(IN_FLIGHT + QUEUED, state.log().last(), "queued changes are appended in order");
     assertTrue(state.leadership().queue().isEmpty());
     assertEquals(List.of(), submit(8));
     assertEquals(4, acknowledge().size());
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void bytesInFlightAreBoundedToo() {
+  void bytesInFlightAndInTheQueueAreLimited() {
     String value = "v".repeat(1_000);
     int one = 1_000 + 64 + ChangeId.MAX_ORIGIN_BYTES;
     limits(new LogLimits(IN_FLIGHT, 2 * one, 1, one, 2, 5, 100_000, 3));
@@ -121,7 +121,7 @@
     submit("s", 2, value);
     assertEquals(2, state.log().last());
     assertEquals(List.of(), submit("s", 3, value));
-    assertEquals(2, state.log().last(), "the third waits");
+    assertEquals(2, state.log().last(), "the third is queued");
     assertEquals(List.of(refused(4, Reason.QUEUE_FULL)), submit("s", 4, value));
     limits(new LogLimits(IN_FLIGHT, one, 1, one - 1, 2, 5, 100_000, 3));
     state = leader();
@@ -130,14 +130,14 @@
   }
 
   @Test
-  void oneLongChangeStandsAlone() {
+  void aSingleChangeMayExceedTheByteLimit() {
     limits(new LogLimits(IN_FLIGHT, 100, 1, 100, 2, 5, 100_000, 3));
     assertEquals(List.of(), submit("s", 1, "v".repeat(1_000)));
     assertEquals(1, state.log().last());
   }
 
   @Test
-  void aNumberWhoseFateIsForgottenIsRefused() {
+  void aNumberUpToTheFloorIsRejected() {
     for (int i = 1; i <= 20; i++) {
       submit(i);
       acknowledge();
@@ -150,18 +150,18 @@
   }
 
   @Test
-  void soManySubmittersAreToldApart() {
+  void theNumberOfSubmittersIsLimited() {
     submit("s", 1, "k");
     submit("t", 1, "k");
     assertEquals(List.of(), submit("u", 1, "k"));
     assertEquals(new Refused(Reason.TOO_MANY_ORIGINS), submit("v", 1, "k").get(0).outcome());
     acknowledge();
-    assertEquals(List.of(), submit("u", 2, "k"), "a known one goes on");
+    assertEquals(List.of(), submit("u", 2, "k"), "a known submitter is accepted");
     assertEquals(new Refused(Reason.TOO_MANY_ORIGINS), submit("v", 1, "k").get(0).outcome());
   }
 
   @Test
-  void whoDoesNotLeadNamesTheLeader() {
+  void aReplicaThatDoesNotLeadNamesTheLeader() {
     Epoch epoch = state.leadership().epoch();
     submit(1);
     assertEquals(List.of(answer(1, new NotLeader(Epoch.NONE))), step(new LeaseEnded()));
@@ -171,7 +171,7 @@
   }
 
   @Test
-  void limitsThatNoMessageCouldKeepAreRefused() {
+  void invalidLimitsAndSettingsAreRejected() {
     new LogLimits(1_024, 512 << 10, 0, 0, 0, 0, 0, 1_024);
     assertThrows(IllegalArgumentException.class,
         () -> new LogLimits(1_025, 512 << 10, 0, 0, 0, 0, 0, 1_024));
