--- a/src/main/java/beampoint/fleet/changes/CatchUp.java
+++ b/src/main/java/beampoint/fleet/changes/CatchUp.java
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Accepts the requested part of a snapshot, or the first part of another one. */
+  /** Accepts the requested part of a snapshot, or the first part of a newer snapshot. */
   static void receivePart(StepContext step, SnapshotPart message) {
     CatchUp current = step.catchUp;
     LogState log = step.log;
--- a/src/test/java/beampoint/fleet/changes/LogSimulationTest.java
+++ b/src/test/java/beampoint/fleet/changes/LogSimulationTest.java
@@ -216,7 +216,8 @@
     assertEquals(committed, cluster.committedLog.size(), "nothing is committed without a majority of voters");
     assertNull(cluster.leader());
     assertTrue(cluster.problems.contains(Problem.MAJORITY_LOST));
-    assertTrue(cluster.names.stream().allMatch(n -> cluster.problem(n).isPresent()), "operators are informed");
+    assertTrue(cluster.names.stream().allMatch(n -> cluster.problem(n).isPresent()),
+        "the problem is reported to operators");
     cluster.allowNewLog(cluster.names.get(4));
     cluster.runTo(cluster.now + 30 * SECOND_MS);
     assertNotEquals(identity, cluster.logIdentity);
