--- a/src/main/java/beampoint/fleet/changes/ControlNode.java
+++ b/src/main/java/beampoint/fleet/changes/ControlNode.java
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Submits a change. The answer is an action that this call or a later one returns, at this machine or at
-   * another one; it may also never come.
+   * Submits a change. The answer is an action that this call or a later one at this machine returns; there
+   * may be none.
    */
   public List<LogAction> submit(double now, ChangeId id, Change change) {
     List<LogAction> actions = new ArrayList<>();
