--- a/src/main/java/beampoint/fleet/changes/ChangeCodec.java
+++ b/src/main/java/beampoint/fleet/changes/ChangeCodec.java
@@ -82,7 +82,8 @@
       throw new IllegalStateException("cannot encode a message in memory", e);
     }
     if (bytes.size() > MAX_BYTES) {
-      throw new IllegalArgumentException("message longer than " + MAX_BYTES + " bytes: " + bytes.size());
+      throw new IllegalArgumentException(
+          "message longer than " + MAX_BYTES + " bytes: " + bytes.size() + " bytes");
     }
     return bytes.toByteArray();
   }
--- a/src/main/java/beampoint/fleet/changes/TextLimits.java
+++ b/src/main/java/beampoint/fleet/changes/TextLimits.java
@@ -32,7 +32,7 @@
   static void checkLength(String field, String text, int min, int max) {
     int bytes = text == null ? -1 : utf8Length(text);
     if (bytes < min || bytes > max) {
-      throw new IllegalArgumentException(field + " has " + bytes + " bytes, not " + min
+      throw new IllegalArgumentException("length of " + field + ": " + bytes + " bytes, not " + min
           + " to " + max);
     }
   }
--- a/src/test/java/beampoint/fleet/changes/SimulatedCluster.java
+++ b/src/test/java/beampoint/fleet/changes/SimulatedCluster.java
@@ -203,7 +203,7 @@
     }
   }
 
-  /** The delay of a message: 1 to 140 ms for the distance, plus up to a tenth of that and up to 3 ms. */
+  /** The delay of a message: 1 to 140 ms by the distance, plus up to a tenth of that and up to 3 ms. */
   private double delay(String from, String to) {
     double distance = 1 + Math.floorMod(from.hashCode() * 31L + to.hashCode() * 31L, 140);
     return distance * (1 + 0.1 * random.nextDouble()) + 3 * random.nextDouble();
