--- /dev/null
+++ b/src/main/java/beampoint/fleet/changes/MessageReader.java
@@ -0,0 +1,100 @@
+package beampoint.fleet.changes;
+
+import beampoint.fleet.facts.Epoch;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+
+/** Reads a message token by token; an unexpected token or value is a {@link MalformedChangeException}. */
+final class MessageReader {
+
+  /** The maximum length of a control machine's name in characters. */
+  static final int MAX_NAME_LENGTH = 200;
+
+  /** The highest log index and epoch number; low enough that sums of them do not overflow a long. */
+  static final long MAX_INDEX = 1L << 53;
+
+  private final JsonParser in;
+
+  MessageReader(JsonParser in) {
+    this.in = in;
+  }
+
+  void beginArray() throws IOException, MalformedChangeException {
+    expect(JsonToken.START_ARRAY);
+  }
+
+  void endArray() throws IOException, MalformedChangeException {
+    expect(JsonToken.END_ARRAY);
+  }
+
+  /** Reads the start of a nested array, or the end of the current one; true if an array starts. */
+  boolean nextArray() throws IOException, MalformedChangeException {
+    JsonToken token = in.nextToken();
+    if (token != JsonToken.START_ARRAY && token != JsonToken.END_ARRAY) {
+      throw new MalformedChangeException("truncated message or unexpected token");
+    }
+    return token == JsonToken.START_ARRAY;
+  }
+
+  /** Checks that no data follows. */
+  void endOfMessage() throws IOException, MalformedChangeException {
+    if (in.nextToken() != null) {
+      throw new MalformedChangeException("data after the end of the message");
+    }
+  }
+
+  String text() throws IOException, MalformedChangeException {
+    expect(JsonToken.VALUE_STRING);
+    return in.getText();
+  }
+
+  String name() throws IOException, MalformedChangeException {
+    String name = text();
+    if (name.length() > MAX_NAME_LENGTH || !name.chars().allMatch(c -> c >= ' ' && c <= '~')) {
+      throw new MalformedChangeException(
+          "name longer than " + MAX_NAME_LENGTH + " characters or not printable ASCII");
+    }
+    return name;
+  }
+
+  long number() throws IOException, MalformedChangeException {
+    expect(JsonToken.VALUE_NUMBER_INT);
+    return in.getLongValue();
+  }
+
+  long numberBetween(long min, long max) throws IOException, MalformedChangeException {
+    long number = number();
+    if (number < min || number > max) {
+      throw new MalformedChangeException("number not from " + min + " to " + max + ": " + number);
+    }
+    return number;
+  }
+
+  long index() throws IOException, MalformedChangeException {
+    return numberBetween(0, MAX_INDEX);
+  }
+
+  boolean bool() throws IOException, MalformedChangeException {
+    JsonToken token = in.nextToken();
+    if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
+      throw new MalformedChangeException("truncated message or unexpected token");
+    }
+    return token == JsonToken.VALUE_TRUE;
+  }
+
+  Epoch epoch() throws IOException, MalformedChangeException {
+    Epoch epoch = new Epoch(index(), name(), number());
+    boolean isNone = epoch.number() == 0;
+    if (isNone != epoch.holder().isEmpty() || isNone && epoch.life() != 0) {
+      throw new MalformedChangeException("inconsistent epoch");
+    }
+    return epoch;
+  }
+
+  private void expect(JsonToken token) throws IOException, MalformedChangeException {
+    if (in.nextToken() != token) {
+      throw new MalformedChangeException("truncated message or unexpected token");
+    }
+  }
+}
--- a/src/main/java/beampoint/fleet/changes/Rejoining.java
+++ b/src/main/java/beampoint/fleet/changes/Rejoining.java
@@ -9,57 +9,59 @@
 import java.util.TreeMap;
 
 /**
- * A replica that has lost its memory on its way to a vote. It votes again once a majority of voters has told
- * it what was promised since, and a leader of that epoch or a higher one, which has heard of its new life,
- * has made its log equal to the leader's own: then it holds whatever it may have acknowledged before.
+ * The state of a replica that lost its log until it may vote again. It regains its vote once a majority of
+ * voters has reported which epochs they have promised, and a leader of at least the highest of these epochs,
+ * which knows of the replica's new life, has made the replica's log equal to its own: the replica then holds
+ * every entry that it may have acknowledged in an earlier life.
  *
- * @param answers of this life
+ * @param answers the answers received in this life, by voter
+ * @param requestedAt when the others were last asked
  */
-record Rejoining(SortedMap<String, RejoinAnswer> answers, double askedAt) {
+record Rejoining(SortedMap<String, RejoinAnswer> answers, double requestedAt) {
 
-  static final Rejoining NOTHING_ASKED = new Rejoining(Collections.emptySortedMap(),
+  static final Rejoining INITIAL = new Rejoining(Collections.emptySortedMap(),
       Double.NEGATIVE_INFINITY);
 
-  /** Asks the others, again after a time. */
-  static void ask(Turn turn) {
-    Rejoining now = turn.rejoining;
-    if (now != null && turn.now >= now.askedAt + turn.terms.retryAfter()) {
-      turn.rejoining = new Rejoining(now.answers, turn.now);
-      turn.sendToOthers(new Rejoin(turn.log.life()));
+  /** Asks the others for their promises, and repeats this after each retry interval. */
+  static void sendRequests(StepContext step) {
+    Rejoining current = step.rejoining;
+    if (current != null && step.now >= current.requestedAt + step.settings.retryInterval()) {
+      step.rejoining = new Rejoining(current.answers, step.now);
+      step.sendToOthers(new Rejoin(step.log.life()));
     }
   }
 
-  static void answer(Turn turn, String from, Rejoin message) {
-    LogState log = turn.log;
-    Leader.heardOf(turn, from, message.life());
-    turn.send(from, new RejoinAnswer(message.life(), log.identity(), log.voter(), log.fence()));
+  static void reply(StepContext step, String from, Rejoin message) {
+    LogState log = step.log;
+    Leader.resetIfRestarted(step, from, message.life());
+    step.send(from, new RejoinAnswer(message.life(), log.identity(), log.voter(), log.fence()));
   }
 
-  static void answered(Turn turn, String from, RejoinAnswer message) {
-    if (turn.rejoining != null && message.life() == turn.log.life()) {
-      SortedMap<String, RejoinAnswer> all = new TreeMap<>(turn.rejoining.answers);
+  static void receiveAnswer(StepContext step, String from, RejoinAnswer message) {
+    if (step.rejoining != null && message.life() == step.log.life()) {
+      SortedMap<String, RejoinAnswer> all = new TreeMap<>(step.rejoining.answers);
       all.put(from, message);
-      turn.rejoining = new Rejoining(all, turn.rejoining.askedAt);
+      step.rejoining = new Rejoining(all, step.rejoining.requestedAt);
     }
   }
 
-  /** Lets it vote, where it may from now on. */
-  static void admit(Turn turn, Append append) {
-    LogState log = turn.log;
+  /** Makes the replica a voter if it holds the complete log of a current leader. */
+  static void becomeVoterIfComplete(StepContext step, Append append) {
+    LogState log = step.log;
     boolean holdsAll = log.accepted().equals(append.epoch()) && log.last() >= append.last()
         && append.life() == log.life();
     boolean founder = append.founder() && append.epoch().equals(append.identity());
-    if (turn.rejoining != null && holdsAll && (founder || turn.rejoining.isCurrent(turn, append))) {
-      turn.log = log.voting();
-      turn.rejoining = null;
+    if (step.rejoining != null && holdsAll && (founder || step.rejoining.isUpToDate(step, append))) {
+      step.log = log.asVoter();
+      step.rejoining = null;
     }
   }
 
-  /** True where a majority has told it of no promise above the epoch of this leader. */
-  private boolean isCurrent(Turn turn, Append append) {
+  /** Whether a majority has answered and none of its promises is above the epoch of this leader. */
+  private boolean isUpToDate(StepContext step, Append append) {
     List<RejoinAnswer> voters = answers.values().stream()
         .filter(a -> a.voter() && a.identity().equals(append.identity())).toList();
-    return voters.size() >= turn.terms.majority()
+    return voters.size() >= step.settings.majority()
         && voters.stream().allMatch(a -> a.fence().compareTo(append.epoch()) <= 0);
   }
 }
--- a/src/main/java/beampoint/fleet/changes/Replica.java
+++ b/src/main/java/beampoint/fleet/changes/Replica.java
@@ -1,7 +1,7 @@
 package beampoint.fleet.changes;
 
+import beampoint.fleet.changes.LogEvent.AllowNewLog;
 import beampoint.fleet.changes.LogEvent.Elected;
-import beampoint.fleet.changes.LogEvent.FoundAnew;
 import beampoint.fleet.changes.LogEvent.LeaseEnded;
 import beampoint.fleet.changes.LogEvent.Promised;
 import beampoint.fleet.changes.LogEvent.Received;
@@ -21,86 +21,92 @@
 
 /**
  * One replica of the change log (after Viewstamped Replication, Liskov and Cowling 2012, with the epochs of
- * {@link beampoint.fleet.lease.Lease} as views). A pure function: a state, a time and an event give the next
- * state and what is to be done. No two entries are committed under one index, whatever the clocks say: the
- * lease only keeps would-be leaders apart.
+ * {@link beampoint.fleet.lease.Lease} as views). A pure function: from a state, a time and an event, it
+ * computes the next state and the actions to carry out. Safety does not depend on clocks: no two entries are
+ * ever committed under one index. The lease only keeps candidates from competing for leadership.
  */
 public final class Replica {
 
-  /** What becomes of an event. */
+  /** The result of an event: the next state and the actions to carry out, in order. */
   public record Step(ReplicaState state, List<LogAction> actions) {}
 
-  private final LogTerms terms;
+  private final LogSettings settings;
   private final String self;
 
-  public Replica(LogTerms terms, String self) {
-    if (!terms.voters().contains(self)) {
-      throw new IllegalArgumentException(self + " is no voter");
+  /**
+   * Creates the state machine of one voter.
+   *
+   * @throws IllegalArgumentException if {@code self} is not a voter
+   */
+  public Replica(LogSettings settings, String self) {
+    if (!settings.voters().contains(self)) {
+      throw new IllegalArgumentException(self + " is not a voter");
     }
-    this.terms = terms;
+    this.settings = settings;
     this.self = self;
   }
 
-  /** The next state; the time never goes back. */
+  /** Handles an event. The time must not decrease between calls. */
   public Step step(ReplicaState state, double now, LogEvent event) {
-    Turn turn = new Turn(terms, self, now, state);
+    StepContext step = new StepContext(settings, self, now, state);
     if (event instanceof Tick) {
-      tick(turn);
+      tick(step);
     } else if (event instanceof Promised e) {
-      Follower.promise(turn, e.epoch());
+      Follower.promise(step, e.epoch());
     } else if (event instanceof Elected e) {
-      Election.won(turn, e.epoch());
+      Election.start(step, e.epoch());
     } else if (event instanceof LeaseEnded) {
-      Leader.stepDown(turn, null);
+      Leader.stepDown(step, null);
     } else if (event instanceof Submit e) {
-      Submissions.submit(turn, e);
-    } else if (event instanceof FoundAnew) {
-      turn.mayFound = true;
-    } else if (event instanceof Received e && terms.voters().contains(e.from()) && !e.from().equals(self)) {
-      receive(turn, e.from(), e.message());
+      Submissions.submit(step, e);
+    } else if (event instanceof AllowNewLog) {
+      step.newLogAllowed = true;
+    } else if (event instanceof Received e && settings.voters().contains(e.from())
+        && !e.from().equals(self)) {
+      receive(step, e.from(), e.message());
     }
-    return new Step(turn.state(), List.copyOf(turn.actions));
+    return new Step(step.state(), List.copyOf(step.actions));
   }
 
-  private static void tick(Turn turn) {
-    Rejoining.ask(turn);
-    CatchUp.ask(turn);
-    if (Leader.leads(turn)) {
-      Leader.tick(turn);
-    } else if (turn.leadership != null) {
-      Election.tick(turn);
+  private static void tick(StepContext step) {
+    Rejoining.sendRequests(step);
+    CatchUp.fetchNext(step);
+    if (Leader.isLeading(step)) {
+      Leader.tick(step);
+    } else if (step.leadership != null) {
+      Election.tick(step);
     }
   }
 
-  private static void receive(Turn turn, String from, LogMessage message) {
+  private static void receive(StepContext step, String from, LogMessage message) {
     if (message instanceof Append m) {
-      Follower.append(turn, from, m);
+      Follower.append(step, from, m);
     } else if (message instanceof Accepted m) {
-      Leader.accepted(turn, from, m);
+      Leader.receiveAccepted(step, from, m);
     } else if (message instanceof Recover m) {
-      Follower.recover(turn, from, m);
+      Follower.recover(step, from, m);
     } else if (message instanceof Recovered m) {
-      Election.recovered(turn, from, m);
+      Election.receiveRecovered(step, from, m);
     } else if (message instanceof Refused m) {
-      Follower.promise(turn, m.fence());
+      Follower.promise(step, m.fence());
     } else {
-      receiveOfCatchingUp(turn, from, message);
+      receiveCatchUp(step, from, message);
     }
   }
 
-  private static void receiveOfCatchingUp(Turn turn, String from, LogMessage message) {
+  private static void receiveCatchUp(StepContext step, String from, LogMessage message) {
     if (message instanceof Fetch m) {
-      CatchUp.give(turn, from, m);
+      CatchUp.serve(step, from, m);
     } else if (message instanceof Committed m) {
-      CatchUp.entries(turn, m);
-      Election.beginIfComplete(turn);
+      CatchUp.receiveEntries(step, m);
+      Election.leadIfComplete(step);
     } else if (message instanceof SnapshotPart m) {
-      CatchUp.part(turn, m);
-      Election.beginIfComplete(turn);
+      CatchUp.receivePart(step, m);
+      Election.leadIfComplete(step);
     } else if (message instanceof Rejoin m) {
-      Rejoining.answer(turn, from, m);
+      Rejoining.reply(step, from, m);
     } else if (message instanceof RejoinAnswer m) {
-      Rejoining.answered(turn, from, m);
+      Rejoining.receiveAnswer(step, from, m);
     }
   }
 }
--- a/src/main/java/beampoint/fleet/changes/Turn.java
+++ b/src/main/java/beampoint/fleet/changes/StepContext.java
@@ -7,10 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One step of a replica while it is being made: its state so far, and what is to be done. */
-final class Turn {
+/** The mutable state of a replica while it handles one event, and the actions collected so far. */
+final class StepContext {
 
-  final LogTerms terms;
+  final LogSettings settings;
   final String self;
   final double now;
   final List<LogAction> actions = new ArrayList<>();
@@ -19,10 +19,10 @@
   CatchUp catchUp;
   Leadership leadership;
   Epoch leader;
-  boolean mayFound;
+  boolean newLogAllowed;
 
-  Turn(LogTerms terms, String self, double now, ReplicaState state) {
-    this.terms = terms;
+  StepContext(LogSettings settings, String self, double now, ReplicaState state) {
+    this.settings = settings;
     this.self = self;
     this.now = now;
     this.log = state.log();
@@ -30,11 +30,11 @@
     this.catchUp = state.catchUp();
     this.leadership = state.leadership();
     this.leader = state.leader();
-    this.mayFound = state.mayFound();
+    this.newLogAllowed = state.newLogAllowed();
   }
 
   ReplicaState state() {
-    return new ReplicaState(log, rejoining, catchUp, leadership, leader, mayFound);
+    return new ReplicaState(log, rejoining, catchUp, leadership, leader, newLogAllowed);
   }
 
   void send(String to, LogMessage message) {
@@ -42,24 +42,24 @@
   }
 
   void sendToOthers(LogMessage message) {
-    for (String voter : terms.voters()) {
+    for (String voter : settings.voters()) {
       if (!voter.equals(self)) {
         send(voter, message);
       }
     }
   }
 
-  /** Goes on to a log with perhaps more committed entries, and delivers these. */
+  /** Replaces the log, delivers the entries that are newly committed in it, and compacts it. */
   void advance(LogState next) {
     if (next.commit() > log.commit()) {
       actions.add(new Deliver(next.identity(), next.between(log.commit() + 1, next.commit())));
     }
-    log = next.compacted(terms.limits());
+    log = next.compacted(settings.limits());
   }
 
-  /** Puts a snapshot in place of entries that were never delivered. */
+  /** Installs a snapshot in place of entries that were never delivered. */
   void install(Snapshot snapshot) {
-    log = log.installed(snapshot);
+    log = log.withSnapshot(snapshot);
     actions.add(new Install(log.identity(), snapshot));
   }
 }
