--- a/src/main/java/beampoint/emulator/ControlEmulation.java
+++ b/src/main/java/beampoint/emulator/ControlEmulation.java
@@ -6,7 +6,7 @@
 import beampoint.fleet.changes.ConfigurationChange;
 import beampoint.fleet.changes.PurgeChange;
 import beampoint.fleet.changes.PurgeScope;
-import beampoint.fleet.distribution.DistributionTerms;
+import beampoint.fleet.distribution.DistributionSettings;
 import java.lang.management.ManagementFactory;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -37,7 +37,7 @@
     Network network = scenario.network();
     this.fleet = new ControlFleet(
         new FleetLayout(size.proxies(), size.sites(), size.zones(), size.regions(), size.controls()),
-        DistributionTerms.usual(), scenario.fanOut(),
+        DistributionSettings.defaults(), scenario.fanOut(),
         new ControlNetwork.Delays(network.site(), network.region(), network.far(), network.jitter()),
         false, scenario.seed());
     fleet.network().trouble(network.loss(), network.repeats(), 0, 0);
--- a/src/main/java/beampoint/emulator/ControlFleet.java
+++ b/src/main/java/beampoint/emulator/ControlFleet.java
@@ -4,18 +4,18 @@
 import beampoint.fleet.distribution.DistributionAction.Send;
 import beampoint.fleet.distribution.DistributionCodec;
 import beampoint.fleet.distribution.DistributionEvent;
-import beampoint.fleet.distribution.DistributionEvent.Follows;
-import beampoint.fleet.distribution.DistributionEvent.Leads;
+import beampoint.fleet.distribution.DistributionEvent.BecameLeader;
+import beampoint.fleet.distribution.DistributionEvent.LostLeadership;
 import beampoint.fleet.distribution.DistributionEvent.ParentsChanged;
 import beampoint.fleet.distribution.DistributionEvent.Received;
 import beampoint.fleet.distribution.DistributionEvent.Tick;
 import beampoint.fleet.distribution.DistributionMessage;
 import beampoint.fleet.distribution.DistributionNode;
-import beampoint.fleet.distribution.DistributionTerms;
+import beampoint.fleet.distribution.DistributionSettings;
 import beampoint.fleet.distribution.DistributionTree;
-import beampoint.fleet.distribution.MessageFormException;
-import beampoint.fleet.distribution.Place;
+import beampoint.fleet.distribution.MalformedMessageException;
 import beampoint.fleet.distribution.ProgressTracker;
+import beampoint.fleet.distribution.TreeMember;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -36,7 +36,7 @@
 
   private final Clock clock = new Clock(0);
   private final FleetLayout layout;
-  private final DistributionTerms terms;
+  private final DistributionSettings terms;
   private final DistributionTree tree;
   private final UniformRandomProvider random;
   private final ControlNetwork network;
@@ -48,8 +48,8 @@
   private final ControlLog log;
 
   /** A fleet whose hosts all have just started. */
-  public ControlFleet(FleetLayout layout, DistributionTerms terms, int fanOut, ControlNetwork.Delays delays,
-      boolean withMembership, long seed) {
+  public ControlFleet(FleetLayout layout, DistributionSettings terms, int fanOut,
+      ControlNetwork.Delays delays, boolean withMembership, long seed) {
     this.layout = layout;
     this.terms = terms;
     this.tree = new DistributionTree(fanOut);
@@ -76,7 +76,7 @@
     double since = reachable(number) ? clock.now() : Double.POSITIVE_INFINITY;
     ChangeChecks.Record record = checks.new Record(clock, since);
     boolean isControl = number < layout.controls();
-    host.begins(new DistributionNode(isControl ? terms.ofControl() : terms, host.place,
+    host.begins(new DistributionNode(isControl ? terms.forControlMachine() : terms, host.place,
         FIRST_LIFE + host.life, 0, record, host.local(clock.now())), record);
     if (isControl) {
       log.started(host);
@@ -174,7 +174,7 @@
 
   private void findParents(ControlHost host) {
     if (host.isUp()) {
-      List<Place> living = new ArrayList<>();
+      List<TreeMember> living = new ArrayList<>();
       for (int other : views.ofInterest(host)) {
         if (!host.dead.contains(layout.place(other).name())) {
           living.add(layout.place(other));
@@ -186,7 +186,7 @@
 
   private void give(ControlHost host, DistributionEvent event) {
     if (host.isUp()) {
-      boolean tellsOfLeader = event instanceof Leads || event instanceof Follows;
+      boolean tellsOfLeader = event instanceof BecameLeader || event instanceof LostLeadership;
       if (host.machine != null && !tellsOfLeader) {
         log.refresh(host);
       }
@@ -222,7 +222,7 @@
   private DistributionMessage read(byte[] bytes) {
     try {
       return codec.read(bytes, bytes.length);
-    } catch (MessageFormException e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/src/main/java/beampoint/emulator/ControlHost.java
+++ b/src/main/java/beampoint/emulator/ControlHost.java
@@ -2,7 +2,7 @@
 
 import beampoint.fleet.changes.ControlNode;
 import beampoint.fleet.distribution.DistributionNode;
-import beampoint.fleet.distribution.Place;
+import beampoint.fleet.distribution.TreeMember;
 import beampoint.fleet.membership.Membership;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -15,7 +15,7 @@
   private static final int SOCKET_BUFFER = 200; // messages that wait for a process that stands still
 
   final int number;
-  final Place place;
+  final TreeMember place;
   final double rate; // of its own clock
   final Traffic traffic = new Traffic();
   final Set<String> dead = new HashSet<>(); // in its own view
@@ -30,7 +30,7 @@
   private long earlier;
   private boolean paused;
 
-  ControlHost(int number, Place place, double rate) {
+  ControlHost(int number, TreeMember place, double rate) {
     this.number = number;
     this.place = place;
     this.rate = rate;
--- a/src/main/java/beampoint/emulator/ControlLog.java
+++ b/src/main/java/beampoint/emulator/ControlLog.java
@@ -158,9 +158,9 @@
     if (leads != host.leads) {
       host.leads = leads;
       deliver.accept(host, leads
-          ? new DistributionEvent.Leads(DistributionNode.logOf(host.machine.state().log().identity()),
+          ? new DistributionEvent.BecameLeader(DistributionNode.logId(host.machine.state().log().identity()),
               layout.proxies())
-          : new DistributionEvent.Follows());
+          : new DistributionEvent.LostLeadership());
     }
     String leader = leads ? host.place.name() : host.machine.state().leader().holder();
     if (!leader.equals(host.leaderKnown)) {
@@ -178,7 +178,7 @@
       } else if (action instanceof Deliver entries) {
         deliver(host, entries);
       } else if (action instanceof Install install) {
-        deliver.accept(host, new Installed(DistributionNode.logOf(install.identity()),
+        deliver.accept(host, new Installed(DistributionNode.logId(install.identity()),
             shortened(install.snapshot())));
       }
     }
@@ -191,7 +191,7 @@
         checks.committed(entry, clock.now());
       }
     }
-    deliver.accept(host, new DistributionEvent.Committed(DistributionNode.logOf(delivered.identity()),
+    deliver.accept(host, new DistributionEvent.Committed(DistributionNode.logId(delivered.identity()),
         delivered.entries()));
   }
 
--- a/src/main/java/beampoint/emulator/FleetLayout.java
+++ b/src/main/java/beampoint/emulator/FleetLayout.java
@@ -1,6 +1,6 @@
 package beampoint.emulator;
 
-import beampoint.fleet.distribution.Place;
+import beampoint.fleet.distribution.TreeMember;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -17,7 +17,7 @@
 public final class FleetLayout {
 
   private final int controls;
-  private final List<Place> places = new ArrayList<>();
+  private final List<TreeMember> places = new ArrayList<>();
   private final List<Integer> zones = new ArrayList<>();
   private final List<Integer> regions = new ArrayList<>();
   private final Map<String, Integer> numbers = new HashMap<>();
@@ -25,7 +25,7 @@
   public FleetLayout(int proxies, int sites, int zonesInAll, int regionsInAll, int controls) {
     this.controls = controls;
     for (int i = 0; i < controls; i++) {
-      add(Place.control(String.format("control-%02d", i), regionName(i % regionsInAll)), i % zonesInAll,
+      add(TreeMember.control(String.format("control-%02d", i), regionName(i % regionsInAll)), i % zonesInAll,
           i % regionsInAll);
     }
     for (int i = 0; i < proxies; i++) {
@@ -33,7 +33,8 @@
       int zone = site % zonesInAll;
       int region = zone % regionsInAll;
       String siteName = String.format("s%03d", site);
-      add(Place.proxy(String.format("%s-p%04d", siteName, i), regionName(region), siteName), zone, region);
+      add(TreeMember.proxy(String.format("%s-p%04d", siteName, i), regionName(region), siteName), zone,
+          region);
     }
   }
 
@@ -41,7 +42,7 @@
     return "region-" + number;
   }
 
-  private void add(Place place, int zone, int region) {
+  private void add(TreeMember place, int zone, int region) {
     numbers.put(place.name(), places.size());
     places.add(place);
     zones.add(zone);
@@ -57,7 +58,7 @@
     return controls;
   }
 
-  public Place place(int host) {
+  public TreeMember place(int host) {
     return places.get(host);
   }
 
@@ -81,7 +82,7 @@
 
   /** The names of all proxies. */
   public Set<String> proxies() {
-    return places.stream().filter(p -> p.role() == Place.Role.PROXY).map(Place::name)
+    return places.stream().filter(p -> p.role() == TreeMember.Role.PROXY).map(TreeMember::name)
         .collect(Collectors.toCollection(TreeSet::new));
   }
 
--- a/src/main/java/beampoint/emulator/MemberDay.java
+++ b/src/main/java/beampoint/emulator/MemberDay.java
@@ -2,7 +2,7 @@
 
 import beampoint.emulator.ControlScenario.Network;
 import beampoint.emulator.ControlScenario.Size;
-import beampoint.fleet.distribution.DistributionTerms;
+import beampoint.fleet.distribution.DistributionSettings;
 
 /** The same day for the state machine of membership, with fewer members than the fleet has. */
 final class MemberDay {
@@ -18,7 +18,7 @@
     ControlFleet fleet = new ControlFleet(
         new FleetLayout(members, Math.min(size.sites(), members), size.zones(), size.regions(),
             size.controls()),
-        DistributionTerms.usual(), scenario.fanOut(),
+        DistributionSettings.defaults(), scenario.fanOut(),
         new ControlNetwork.Delays(network.site(), network.region(), network.far(), network.jitter()), true,
         scenario.seed());
     fleet.network().trouble(network.loss(), network.repeats(), 0, 0);
--- a/src/main/java/beampoint/emulator/SiteNeighbours.java
+++ b/src/main/java/beampoint/emulator/SiteNeighbours.java
@@ -1,6 +1,6 @@
 package beampoint.emulator;
 
-import beampoint.fleet.distribution.Place;
+import beampoint.fleet.distribution.TreeMember;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -24,7 +24,7 @@
   }
 
   /** The hosts of a site, and the control machines. */
-  List<Integer> of(Place place) {
+  List<Integer> of(TreeMember place) {
     return ofSite.get(place.site());
   }
 }
--- a/src/main/java/beampoint/fleet/distribution/AppliedChanges.java
+++ b/src/main/java/beampoint/fleet/distribution/AppliedChanges.java
@@ -17,10 +17,10 @@
   private long refused;
   private long repeats;
 
-  AppliedChanges(DistributionTerms terms, ChangeApplier applier) {
+  AppliedChanges(DistributionSettings terms, ChangeApplier applier) {
     this.applier = applier;
     this.tail = new ChangeTail(terms.tailEntries(), terms.tailBytes());
-    this.mostAhead = terms.aheadEntries();
+    this.mostAhead = terms.maxOutOfOrderEntries();
   }
 
   ChangeTail tail() {
--- a/src/main/java/beampoint/fleet/distribution/ChildLinks.java
+++ b/src/main/java/beampoint/fleet/distribution/ChildLinks.java
@@ -31,10 +31,10 @@
     }
   }
 
-  private final DistributionTerms terms;
+  private final DistributionSettings terms;
   private final Map<String, Child> children = new TreeMap<>();
 
-  ChildLinks(DistributionTerms terms) {
+  ChildLinks(DistributionSettings terms) {
     this.terms = terms;
   }
 
@@ -52,7 +52,7 @@
     if (child != null && report.session() < child.session) {
       return true; // a late report of an earlier subscription
     }
-    if (child == null && children.size() >= terms.mostChildren()) {
+    if (child == null && children.size() >= terms.maxChildren()) {
       return false;
     }
     if (child == null || report.session() > child.session) {
@@ -86,7 +86,7 @@
   }
 
   void forgetSilent(double now) {
-    children.values().removeIf(child -> now - child.heardAt > terms.childSilentAfter());
+    children.values().removeIf(child -> now - child.heardAt > terms.childTimeout());
   }
 
   /** Another log has taken this one's place. */
@@ -100,7 +100,7 @@
     children.forEach((name, child) -> {
       double since = now - child.sentAt;
       boolean hasNews = !child.echoes.isEmpty() || child.sentUpTo < tail.last() && room(child) > 0;
-      if (since >= terms.heartbeatEvery() || hasNews && since >= terms.batchDelay()) {
+      if (since >= terms.heartbeatInterval() || hasNews && since >= terms.minBatchInterval()) {
         skipToSnapshot(child, tail);
         int batches = 0;
         do {
--- a/src/main/java/beampoint/fleet/distribution/DistributionCodec.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionCodec.java
@@ -22,7 +22,7 @@
 /**
  * Messages of the distribution tree in CBOR (RFC 8949): one array that begins with the cluster's name, the
  * version of the form and the kind of message. Any bytes may come: what can't be read is a
- * {@link MessageFormException} and nothing else.
+ * {@link MalformedMessageException} and nothing else.
  */
 public final class DistributionCodec {
 
@@ -128,30 +128,30 @@
   }
 
   /** Reads a message of this cluster. */
-  public DistributionMessage read(byte[] bytes, int length) throws MessageFormException {
+  public DistributionMessage read(byte[] bytes, int length) throws MalformedMessageException {
     if (length > MAX_BYTES) {
-      throw new MessageFormException("longer than a message may be: " + length);
+      throw new MalformedMessageException("longer than a message may be: " + length);
     }
     try (JsonParser parser = FORM.createParser(bytes, 0, length)) {
       MessageReader in = new MessageReader(parser);
       in.expect(JsonToken.START_ARRAY);
       if (!in.name().equals(cluster)) {
-        throw new MessageFormException("of another cluster");
+        throw new MalformedMessageException("of another cluster");
       }
       long version = in.number();
       if (version != VERSION) {
-        throw new MessageFormException("of an unknown version: " + version);
+        throw new MalformedMessageException("of an unknown version: " + version);
       }
       DistributionMessage message = body(in, in.small(UNSUBSCRIBE), in.count());
       in.end();
       return message;
     } catch (IOException | RuntimeException e) {
-      throw new MessageFormException("no message: " + e.getMessage(), e);
+      throw new MalformedMessageException("no message: " + e.getMessage(), e);
     }
   }
 
   private static DistributionMessage body(MessageReader in, int kind, long log)
-      throws IOException, MessageFormException {
+      throws IOException, MalformedMessageException {
     return switch (kind) {
       case REPORT -> report(in, log);
       case BATCH -> batch(in, log);
@@ -159,11 +159,11 @@
       case SNAPSHOT -> new SnapshotReply(log, snapshot(in));
       case REFUSAL -> new Refusal(log, in.count());
       case UNSUBSCRIBE -> new Unsubscribe(log, in.count());
-      default -> throw new MessageFormException("of an unknown kind: " + kind);
+      default -> throw new MalformedMessageException("of an unknown kind: " + kind);
     };
   }
 
-  private static Report report(MessageReader in, long log) throws IOException, MessageFormException {
+  private static Report report(MessageReader in, long log) throws IOException, MalformedMessageException {
     long session = in.count();
     long token = in.count();
     long applied = in.count();
@@ -177,14 +177,14 @@
     return new Report(log, session, token, applied, List.copyOf(progress));
   }
 
-  private static long notNegative(long index) throws MessageFormException {
+  private static long notNegative(long index) throws MalformedMessageException {
     if (index < 0) {
-      throw new MessageFormException("with an index below 0");
+      throw new MalformedMessageException("with an index below 0");
     }
     return index;
   }
 
-  private static Batch batch(MessageReader in, long log) throws IOException, MessageFormException {
+  private static Batch batch(MessageReader in, long log) throws IOException, MalformedMessageException {
     long session = in.count();
     long sourceAge = in.count();
     long head = in.count();
@@ -198,12 +198,13 @@
     return new Batch(log, session, sourceAge, head, sentUpTo, List.copyOf(echoes), EntryForm.read(in));
   }
 
-  private static ConfigurationSnapshot snapshot(MessageReader in) throws IOException, MessageFormException {
+  private static ConfigurationSnapshot snapshot(MessageReader in)
+      throws IOException, MalformedMessageException {
     long index = in.count();
     Epoch epoch = new Epoch(in.count(), in.name(), in.number());
     List<ChangeEntry> entries = EntryForm.read(in);
     if (entries.size() > 1 || !entries.isEmpty() && entries.get(0).index() > index) {
-      throw new MessageFormException("with an odd snapshot");
+      throw new MalformedMessageException("with an odd snapshot");
     }
     return new ConfigurationSnapshot(index, epoch, entries.isEmpty() ? null : entries.get(0));
   }
--- a/src/main/java/beampoint/fleet/distribution/DistributionEvent.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionEvent.java
@@ -23,8 +23,8 @@
   record Installed(long log, ConfigurationSnapshot snapshot) implements DistributionEvent {}
 
   /** It leads the control machines of a log from now on; these proxies are expected to apply every change. */
-  record Leads(long log, Set<String> expected) implements DistributionEvent {}
+  record BecameLeader(long log, Set<String> expected) implements DistributionEvent {}
 
   /** It leads no longer. */
-  record Follows() implements DistributionEvent {}
+  record LostLeadership() implements DistributionEvent {}
 }
--- a/src/main/java/beampoint/fleet/distribution/DistributionNode.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionNode.java
@@ -2,10 +2,10 @@
 
 import beampoint.fleet.changes.ChangeEntry;
 import beampoint.fleet.distribution.DistributionAction.Send;
+import beampoint.fleet.distribution.DistributionEvent.BecameLeader;
 import beampoint.fleet.distribution.DistributionEvent.Committed;
-import beampoint.fleet.distribution.DistributionEvent.Follows;
 import beampoint.fleet.distribution.DistributionEvent.Installed;
-import beampoint.fleet.distribution.DistributionEvent.Leads;
+import beampoint.fleet.distribution.DistributionEvent.LostLeadership;
 import beampoint.fleet.distribution.DistributionEvent.ParentsChanged;
 import beampoint.fleet.distribution.DistributionEvent.Received;
 import beampoint.fleet.distribution.DistributionEvent.Tick;
@@ -31,8 +31,8 @@
   private static final int LOG_BITS = 16; // that tell logs of one epoch's number apart
   private static final int SESSION_BITS = 20; // for the subscriptions of one life
 
-  private final DistributionTerms terms;
-  private final Place self;
+  private final DistributionSettings terms;
+  private final TreeMember self;
   private final AppliedChanges applied;
   private final ParentLink upward;
   private final ChildLinks children;
@@ -56,8 +56,8 @@
    * @param life of its process; a later one has a higher number
    * @param log the identity of the log; 0 where it is not known yet
    */
-  public DistributionNode(DistributionTerms terms, Place self, long life, long log, ChangeApplier applier,
-      double now) {
+  public DistributionNode(DistributionSettings terms, TreeMember self, long life, long log,
+      ChangeApplier applier, double now) {
     this.terms = terms;
     this.self = self;
     this.log = log;
@@ -65,7 +65,7 @@
     this.applied = new AppliedChanges(terms, applier);
     this.upward = new ParentLink(terms, life << SESSION_BITS, now);
     this.children = new ChildLinks(terms);
-    this.snapshots = new SnapshotQueue(terms.snapshotGap());
+    this.snapshots = new SnapshotQueue(terms.snapshotInterval());
     this.freshness = new Freshness(terms);
   }
 
@@ -73,7 +73,7 @@
    * The number by which the tree names a log: a log that was founded later has a higher one, but for two that
    * were founded under epochs of one number.
    */
-  public static long logOf(Epoch identity) {
+  public static long logId(Epoch identity) {
     return identity.number() << LOG_BITS | identity.hashCode() & (1 << LOG_BITS) - 1;
   }
 
@@ -94,10 +94,10 @@
     } else if (event instanceof Installed e) {
       adoptNewer(e.log());
       restore(e.snapshot());
-    } else if (event instanceof Leads e) {
+    } else if (event instanceof BecameLeader e) {
       adoptNewer(e.log());
       tracker = new ProgressTracker(terms, e.expected(), now);
-    } else if (event instanceof Follows) {
+    } else if (event instanceof LostLeadership) {
       tracker = null;
     }
     freshness.observe(now, appliedUpTo());
@@ -169,7 +169,7 @@
   }
 
   private void report() {
-    reportAt = now + terms.reportEvery();
+    reportAt = now + terms.reportInterval();
     reportedAt = now;
     if (upward.parent().isEmpty()) {
       return;
@@ -258,7 +258,7 @@
 
   /** What children said is passed on early, so that their leases are renewed in time. */
   private void reportSoon() {
-    double earliest = Math.max(now, reportedAt + terms.reportEvery() / 2);
+    double earliest = Math.max(now, reportedAt + terms.reportInterval() / 2);
     reportAt = Math.min(reportAt, earliest);
   }
 
@@ -294,7 +294,7 @@
     }
     String source = fetches == 0 ? upward.parent() : sources.get(fetches % sources.size()).name();
     fetches++;
-    fetchAgainAt = now + terms.fetchAgainAfter();
+    fetchAgainAt = now + terms.fetchTimeout();
     send(source, new Fetch(log, appliedUpTo() + 1));
   }
 
--- a/src/main/java/beampoint/fleet/distribution/DistributionTree.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionTree.java
@@ -39,7 +39,7 @@
    * @param living who lives, the member itself among them or not
    * @param leader the control machine that leads; empty where that is not known
    */
-  public List<Parent> parents(Place self, Collection<Place> living, String leader) {
+  public List<Parent> parents(TreeMember self, Collection<TreeMember> living, String leader) {
     if (self.isControl()) {
       return leader.isEmpty() || leader.equals(self.name()) ? List.of()
           : List.of(new Parent(leader, true));
@@ -54,17 +54,17 @@
     return List.copyOf(parents.subList(0, Math.min(parents.size(), MAX_PARENTS)));
   }
 
-  private static List<Parent> controls(Place self, Collection<Place> living, boolean ofOwnRegion) {
+  private static List<Parent> controls(TreeMember self, Collection<TreeMember> living, boolean ofOwnRegion) {
     return Rendezvous.ranked(self.name(), living.stream()
-        .filter(p -> p.isControl() && p.region().equals(self.region()) == ofOwnRegion).map(Place::name)
+        .filter(p -> p.isControl() && p.region().equals(self.region()) == ofOwnRegion).map(TreeMember::name)
         .toList()).stream().map(name -> new Parent(name, true)).toList();
   }
 
   /** The relay of each proxy of a site that is no relay itself. */
-  private Map<String, String> relays(Place self, Collection<Place> living) {
+  private Map<String, String> relays(TreeMember self, Collection<TreeMember> living) {
     List<String> names = new ArrayList<>(living.stream()
         .filter(p -> !p.isControl() && p.site().equals(self.site()) && !p.name().equals(self.name()))
-        .map(Place::name).toList());
+        .map(TreeMember::name).toList());
     names.add(self.name());
     List<String> ranked = Rendezvous.ranked(self.site(), names);
     int relays = (ranked.size() + fanOut) / (fanOut + 1);
--- a/src/main/java/beampoint/fleet/distribution/EntryForm.java
+++ b/src/main/java/beampoint/fleet/distribution/EntryForm.java
@@ -97,18 +97,19 @@
     }
   }
 
-  private static void readOrigin(MessageReader in, Before before) throws IOException, MessageFormException {
+  private static void readOrigin(MessageReader in, Before before)
+      throws IOException, MalformedMessageException {
     if (in.next() == JsonToken.VALUE_STRING) {
       before.add(in.presentName());
     } else {
       before.present = (int) Math.min(in.presentCount(), before.origins.size());
     }
     if (before.present >= before.origins.size()) {
-      throw new MessageFormException("with a submitter that was not named");
+      throw new MalformedMessageException("with a submitter that was not named");
     }
   }
 
-  static List<ChangeEntry> read(MessageReader in) throws IOException, MessageFormException {
+  static List<ChangeEntry> read(MessageReader in) throws IOException, MalformedMessageException {
     in.expect(JsonToken.START_ARRAY);
     List<ChangeEntry> entries = new ArrayList<>();
     JsonToken token = in.next();
@@ -121,17 +122,17 @@
       entries.add(read(in, index + entries.size(), before));
     }
     if (in.present() != JsonToken.END_ARRAY || entries.isEmpty() || index < 1) {
-      throw new MessageFormException("with entries of another form, or too many");
+      throw new MalformedMessageException("with entries of another form, or too many");
     }
     return List.copyOf(entries);
   }
 
   private static ChangeEntry read(MessageReader in, long index, Before before)
-      throws IOException, MessageFormException {
+      throws IOException, MalformedMessageException {
     long code = in.presentCount();
     int kind = (int) code % NEW_EPOCH;
     if (code >= 2 * NEW_ORIGIN) {
-      throw new MessageFormException("with an unknown kind of change: " + code);
+      throw new MalformedMessageException("with an unknown kind of change: " + code);
     }
     if ((code & NEW_EPOCH) != 0) {
       before.epoch = new Epoch(in.count(), in.name(), in.number());
@@ -151,9 +152,9 @@
         new PurgeChange(version, scope, TextForm.value(in), before.requestedAtMs));
   }
 
-  private static ChangeId id(MessageReader in, Before before) throws IOException, MessageFormException {
+  private static ChangeId id(MessageReader in, Before before) throws IOException, MalformedMessageException {
     if (before.present < 0) {
-      throw new MessageFormException("with an entry of nobody");
+      throw new MalformedMessageException("with an entry of nobody");
     }
     long number = before.numbers.get(before.present) + in.number();
     before.numbers.set(before.present, number);
--- a/src/main/java/beampoint/fleet/distribution/Freshness.java
+++ b/src/main/java/beampoint/fleet/distribution/Freshness.java
@@ -14,7 +14,7 @@
   private long lapses;
   private boolean wasFresh;
 
-  Freshness(DistributionTerms terms) {
+  Freshness(DistributionSettings terms) {
     this.length = terms.heldLease();
   }
 
--- a/src/main/java/beampoint/fleet/distribution/MessageFormException.java
+++ b/src/main/java/beampoint/fleet/distribution/MalformedMessageException.java
@@ -1,15 +1,15 @@
 package beampoint.fleet.distribution;
 
 /** Bytes that are no message of this cluster's distribution, or of no version that this program reads. */
-public final class MessageFormException extends Exception {
+public final class MalformedMessageException extends Exception {
 
   private static final long serialVersionUID = 1L;
 
-  MessageFormException(String problem) {
+  MalformedMessageException(String problem) {
     super(problem);
   }
 
-  MessageFormException(String problem, Throwable cause) {
+  MalformedMessageException(String problem, Throwable cause) {
     super(problem, cause);
   }
 }
--- a/src/main/java/beampoint/fleet/distribution/MessageReader.java
+++ b/src/main/java/beampoint/fleet/distribution/MessageReader.java
@@ -24,65 +24,65 @@
   }
 
   /** The number that the present token is, not negative. */
-  long presentCount() throws IOException, MessageFormException {
+  long presentCount() throws IOException, MalformedMessageException {
     if (in.currentToken() != JsonToken.VALUE_NUMBER_INT || in.getLongValue() < 0) {
-      throw new MessageFormException("cut off, or of another form");
+      throw new MalformedMessageException("cut off, or of another form");
     }
     return in.getLongValue();
   }
 
-  void expect(JsonToken token) throws IOException, MessageFormException {
+  void expect(JsonToken token) throws IOException, MalformedMessageException {
     if (in.nextToken() != token) {
-      throw new MessageFormException("cut off, or of another form");
+      throw new MalformedMessageException("cut off, or of another form");
     }
   }
 
-  void expectPresent(JsonToken token) throws MessageFormException {
+  void expectPresent(JsonToken token) throws MalformedMessageException {
     if (in.currentToken() != token) {
-      throw new MessageFormException("cut off, of another form, or with more than there may be");
+      throw new MalformedMessageException("cut off, of another form, or with more than there may be");
     }
   }
 
-  void end() throws IOException, MessageFormException {
+  void end() throws IOException, MalformedMessageException {
     expect(JsonToken.END_ARRAY);
     if (in.nextToken() != null) {
-      throw new MessageFormException("with more than there may be");
+      throw new MalformedMessageException("with more than there may be");
     }
   }
 
-  long number() throws IOException, MessageFormException {
+  long number() throws IOException, MalformedMessageException {
     expect(JsonToken.VALUE_NUMBER_INT);
     return in.getLongValue();
   }
 
   /** A number that is not negative. */
-  long count() throws IOException, MessageFormException {
+  long count() throws IOException, MalformedMessageException {
     long count = number();
     if (count < 0) {
-      throw new MessageFormException("with a negative number: " + count);
+      throw new MalformedMessageException("with a negative number: " + count);
     }
     return count;
   }
 
-  int small(int most) throws IOException, MessageFormException {
+  int small(int most) throws IOException, MalformedMessageException {
     long number = number();
     if (number < 0 || number > most) {
-      throw new MessageFormException("with a number out of its range: " + number);
+      throw new MalformedMessageException("with a number out of its range: " + number);
     }
     return (int) number;
   }
 
   /** A name of printable ASCII. */
-  String name() throws IOException, MessageFormException {
+  String name() throws IOException, MalformedMessageException {
     expect(JsonToken.VALUE_STRING);
     return presentName();
   }
 
   /** The name that the present token is. */
-  String presentName() throws IOException, MessageFormException {
+  String presentName() throws IOException, MalformedMessageException {
     String name = in.getText();
     if (name.length() > MAX_NAME || !name.chars().allMatch(c -> c >= ' ' && c <= '~')) {
-      throw new MessageFormException("with a text that is no name");
+      throw new MalformedMessageException("with a text that is no name");
     }
     return name;
   }
--- a/src/main/java/beampoint/fleet/distribution/ParentLink.java
+++ b/src/main/java/beampoint/fleet/distribution/ParentLink.java
@@ -13,7 +13,7 @@
 
   private static final Parent NONE = new Parent("", false);
 
-  private final DistributionTerms terms;
+  private final DistributionSettings terms;
   private final Map<String, Double> failedUntil = new HashMap<>();
   private List<Parent> candidates = List.of();
   private Parent parent = NONE;
@@ -22,7 +22,7 @@
   private double sourceHeardAt;
 
   /** A link without a parent; sessions begin above those of the member's earlier lives. */
-  ParentLink(DistributionTerms terms, long firstSession, double now) {
+  ParentLink(DistributionSettings terms, long firstSession, double now) {
     this.terms = terms;
     this.session = firstSession;
     this.heardAt = now;
@@ -73,12 +73,12 @@
   }
 
   private boolean isSilent(double now) {
-    return now - heardAt > terms.parentSilentAfter() || now - sourceHeardAt > terms.orphanAfter();
+    return now - heardAt > terms.parentTimeout() || now - sourceHeardAt > terms.sourceTimeout();
   }
 
   /** The parent gave no sign of life, or refused. */
   void failed(double now) {
-    failedUntil.put(parent.name(), now + terms.retryParentAfter());
+    failedUntil.put(parent.name(), now + terms.parentRetryDelay());
   }
 
   /** The first that did not fail; where all did, the one whose failure is the oldest. */
--- a/src/main/java/beampoint/fleet/distribution/ProgressTracker.java
+++ b/src/main/java/beampoint/fleet/distribution/ProgressTracker.java
@@ -26,13 +26,13 @@
     }
   }
 
-  private final DistributionTerms terms;
+  private final DistributionSettings terms;
   private final Map<String, Proxy> proxies = new TreeMap<>();
   private final TreeMap<Long, Set<String>> refusals = new TreeMap<>();
   private long unknown;
 
   /** Begins at a time: whoever led before may have seen reports up to then, and made proxies fresh by it. */
-  ProgressTracker(DistributionTerms terms, Set<String> expected, double now) {
+  ProgressTracker(DistributionSettings terms, Set<String> expected, double now) {
     this.terms = terms;
     expected.forEach(name -> proxies.put(name, new Proxy(name, now)));
   }
--- a/src/main/java/beampoint/fleet/distribution/TextForm.java
+++ b/src/main/java/beampoint/fleet/distribution/TextForm.java
@@ -29,14 +29,14 @@
     }
   }
 
-  static String value(MessageReader in) throws IOException, MessageFormException {
+  static String value(MessageReader in) throws IOException, MalformedMessageException {
     JsonToken token = in.next();
     if (token == JsonToken.VALUE_STRING) {
       return in.text();
     }
     byte[] bytes = token == JsonToken.VALUE_EMBEDDED_OBJECT ? in.bytes() : new byte[0];
     if (bytes.length == 0 || bytes.length > PurgeChange.MAX_VALUE_BYTES) {
-      throw new MessageFormException("with a value of another form");
+      throw new MalformedMessageException("with a value of another form");
     }
     return HexFormat.of().formatHex(bytes);
   }
@@ -62,29 +62,29 @@
     }
   }
 
-  static String document(MessageReader in) throws IOException, MessageFormException {
+  static String document(MessageReader in) throws IOException, MalformedMessageException {
     JsonToken token = in.next();
     if (token == JsonToken.VALUE_STRING) {
       return in.text();
     } else if (token == JsonToken.VALUE_EMBEDDED_OBJECT) {
       return new String(inflated(in.bytes()), StandardCharsets.UTF_8);
     }
-    throw new MessageFormException("with a document of another form");
+    throw new MalformedMessageException("with a document of another form");
   }
 
   /** Guards against few bytes that would become very many. */
-  private static byte[] inflated(byte[] bytes) throws MessageFormException {
+  private static byte[] inflated(byte[] bytes) throws MalformedMessageException {
     Inflater inflater = new Inflater();
     try {
       inflater.setInput(bytes);
       byte[] out = new byte[ConfigurationChange.MAX_DOCUMENT_BYTES + 1];
       int length = inflater.inflate(out);
       if (!inflater.finished() || length > ConfigurationChange.MAX_DOCUMENT_BYTES) {
-        throw new MessageFormException("with a document that is too long, or cut off");
+        throw new MalformedMessageException("with a document that is too long, or cut off");
       }
       return Arrays.copyOf(out, length);
     } catch (DataFormatException e) {
-      throw new MessageFormException("with a document that can't be inflated", e);
+      throw new MalformedMessageException("with a document that can't be inflated", e);
     } finally {
       inflater.end();
     }
--- a/src/main/java/beampoint/fleet/distribution/Place.java
+++ b/src/main/java/beampoint/fleet/distribution/TreeMember.java
@@ -6,19 +6,19 @@
  * @param region the region of its site
  * @param site empty for a control machine, which serves a whole region
  */
-public record Place(String name, Role role, String region, String site) {
+public record TreeMember(String name, Role role, String region, String site) {
 
   /** What a member is in the tree. */
   public enum Role { CONTROL, PROXY }
 
   /** A control machine. */
-  public static Place control(String name, String region) {
-    return new Place(name, Role.CONTROL, region, "");
+  public static TreeMember control(String name, String region) {
+    return new TreeMember(name, Role.CONTROL, region, "");
   }
 
   /** A proxy of a site. */
-  public static Place proxy(String name, String region, String site) {
-    return new Place(name, Role.PROXY, region, site);
+  public static TreeMember proxy(String name, String region, String site) {
+    return new TreeMember(name, Role.PROXY, region, site);
   }
 
   boolean isControl() {
--- a/src/test/java/beampoint/emulator/ControlFleetTest.java
+++ b/src/test/java/beampoint/emulator/ControlFleetTest.java
@@ -5,7 +5,7 @@
 
 import beampoint.fleet.changes.PurgeChange;
 import beampoint.fleet.changes.PurgeScope;
-import beampoint.fleet.distribution.DistributionTerms;
+import beampoint.fleet.distribution.DistributionSettings;
 import java.util.List;
 import java.util.Random;
 import java.util.stream.LongStream;
@@ -27,13 +27,13 @@
   }
 
   /** A control machine keeps 19 s of changes, so that who was away for longer needs a snapshot. */
-  private static DistributionTerms shortTails() {
-    DistributionTerms usual = DistributionTerms.usual();
-    return new DistributionTerms(usual.batchDelay(), usual.heartbeatEvery(), usual.reportEvery(),
-        usual.parentSilentAfter(), usual.orphanAfter(), usual.retryParentAfter(), usual.childSilentAfter(),
-        usual.fetchAgainAfter(), usual.lease(), usual.drift(), usual.burst(), usual.window(),
-        usual.batchBytes(), 64, usual.tailBytes(), usual.aheadEntries(), usual.mostChildren(),
-        usual.snapshotGap());
+  private static DistributionSettings shortTails() {
+    DistributionSettings usual = DistributionSettings.defaults();
+    return new DistributionSettings(usual.minBatchInterval(), usual.heartbeatInterval(),
+        usual.reportInterval(), usual.parentTimeout(), usual.sourceTimeout(), usual.parentRetryDelay(),
+        usual.childTimeout(), usual.fetchTimeout(), usual.lease(), usual.drift(), usual.burst(),
+        usual.window(), usual.batchBytes(), 64, usual.tailBytes(), usual.maxOutOfOrderEntries(),
+        usual.maxChildren(), usual.snapshotInterval());
   }
 
   private static void purge(ControlFleet fleet, int number) {
--- a/src/test/java/beampoint/fleet/distribution/AppliedChangesTest.java
+++ b/src/test/java/beampoint/fleet/distribution/AppliedChangesTest.java
@@ -53,7 +53,7 @@
   @Property(tries = 300, seed = "3")
   void anyOrderWithRepeatsGivesTheLog(@ForAll @IntRange(min = 1, max = 200) int count, @ForAll long seed) {
     seen.clear();
-    AppliedChanges applied = new AppliedChanges(DistributionTerms.usual(), applier);
+    AppliedChanges applied = new AppliedChanges(DistributionSettings.defaults(), applier);
     List<ChangeEntry> entries = new ArrayList<>();
     LongStream.rangeClosed(1, count).forEach(i -> entries.addAll(List.of(purge(i), purge(i))));
     Collections.shuffle(entries, new Random(seed));
@@ -65,16 +65,16 @@
 
   @Test
   void whatIsTooFarAheadIsNotKept() {
-    AppliedChanges applied = new AppliedChanges(DistributionTerms.usual(), applier);
-    applied.take(purge(DistributionTerms.usual().aheadEntries() + 1));
+    AppliedChanges applied = new AppliedChanges(DistributionSettings.defaults(), applier);
+    applied.take(purge(DistributionSettings.defaults().maxOutOfOrderEntries() + 1));
     assertFalse(applied.hasGap());
-    applied.take(purge(DistributionTerms.usual().aheadEntries()));
+    applied.take(purge(DistributionSettings.defaults().maxOutOfOrderEntries()));
     assertTrue(applied.hasGap());
   }
 
   @Test
   void aSnapshotTakesThePlaceOfEntriesAndWhatWaitedGoesOn() {
-    AppliedChanges applied = new AppliedChanges(DistributionTerms.usual(), applier);
+    AppliedChanges applied = new AppliedChanges(DistributionSettings.defaults(), applier);
     applied.take(purge(1));
     applied.take(purge(11));
     assertTrue(applied.restore(new ConfigurationSnapshot(10, EPOCH, null)));
@@ -85,7 +85,7 @@
 
   @Test
   void aRefusedConfigurationIsNamedUntilAnotherIsTaken() {
-    AppliedChanges applied = new AppliedChanges(DistributionTerms.usual(), applier);
+    AppliedChanges applied = new AppliedChanges(DistributionSettings.defaults(), applier);
     applied.take(configuration(1, "good"));
     applied.take(configuration(2, "bad"));
     applied.take(purge(3));
--- a/src/test/java/beampoint/fleet/distribution/DistributionCodecTest.java
+++ b/src/test/java/beampoint/fleet/distribution/DistributionCodecTest.java
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aMessageIsReadAsItWasWritten() throws MessageFormException {
+  void aMessageIsReadAsItWasWritten() throws MalformedMessageException {
     for (DistributionMessage message : messages()) {
       byte[] bytes = CODEC.write(message);
       assertEquals(message, CODEC.read(bytes, bytes.length));
@@ -70,22 +70,22 @@
     for (DistributionMessage message : messages()) {
       byte[] bytes = CODEC.write(message);
       DistributionCodec other = new DistributionCodec("south");
-      assertThrows(MessageFormException.class, () -> other.read(bytes, bytes.length));
+      assertThrows(MalformedMessageException.class, () -> other.read(bytes, bytes.length));
       for (int length = 0; length < bytes.length; length++) {
         int cut = length;
-        assertThrows(MessageFormException.class, () -> CODEC.read(bytes, cut), "cut to " + cut);
+        assertThrows(MalformedMessageException.class, () -> CODEC.read(bytes, cut), "cut to " + cut);
       }
       byte[] next = bytes.clone();
       next[7] = 2; // the version, behind the array's start and the name
-      assertThrows(MessageFormException.class, () -> CODEC.read(next, next.length));
+      assertThrows(MalformedMessageException.class, () -> CODEC.read(next, next.length));
       byte[] longer = Arrays.copyOf(bytes, bytes.length + 1);
-      assertThrows(MessageFormException.class, () -> CODEC.read(longer, longer.length));
+      assertThrows(MalformedMessageException.class, () -> CODEC.read(longer, longer.length));
     }
     int tooLong = DistributionCodec.MAX_BYTES + 1;
-    assertThrows(MessageFormException.class, () -> CODEC.read(new byte[tooLong], tooLong));
+    assertThrows(MalformedMessageException.class, () -> CODEC.read(new byte[tooLong], tooLong));
   }
 
-  /** Hostile bytes cost themselves: nothing but a MessageFormException comes of any. */
+  /** Hostile bytes cost themselves: nothing but a MalformedMessageException comes of any. */
   @Test
   void aHundredThousandOddMessagesAreReadOrRefused() {
     Random random = new Random(11);
@@ -100,7 +100,7 @@
         DistributionMessage read = CODEC.read(odd, random.nextInt(10) == 0 ? odd.length / 2 : odd.length);
         byte[] again = CODEC.write(read);
         assertEquals(read, CODEC.read(again, again.length));
-      } catch (MessageFormException e) {
+      } catch (MalformedMessageException e) {
         refused++;
       }
     }
--- a/src/test/java/beampoint/fleet/distribution/DistributionNodeTest.java
+++ b/src/test/java/beampoint/fleet/distribution/DistributionNodeTest.java
@@ -10,8 +10,8 @@
 import beampoint.fleet.changes.PurgeChange;
 import beampoint.fleet.changes.PurgeScope;
 import beampoint.fleet.distribution.DistributionAction.Send;
+import beampoint.fleet.distribution.DistributionEvent.BecameLeader;
 import beampoint.fleet.distribution.DistributionEvent.Committed;
-import beampoint.fleet.distribution.DistributionEvent.Leads;
 import beampoint.fleet.distribution.DistributionEvent.ParentsChanged;
 import beampoint.fleet.distribution.DistributionEvent.Received;
 import beampoint.fleet.distribution.DistributionEvent.Tick;
@@ -51,16 +51,16 @@
   }
 
   private static DistributionNode proxy(double now) {
-    DistributionNode node = new DistributionNode(DistributionTerms.usual(),
-        Place.proxy("p1", "r", "s"), 3, LOG, TAKES_ALL, now);
+    DistributionNode node = new DistributionNode(DistributionSettings.defaults(),
+        TreeMember.proxy("p1", "r", "s"), 3, LOG, TAKES_ALL, now);
     node.handle(now, new ParentsChanged(List.of(new Parent("c1", true), new Parent("c2", true))));
     return node;
   }
 
   private static DistributionNode leader(Set<String> expected) {
-    DistributionNode node = new DistributionNode(DistributionTerms.usual().ofControl(),
-        Place.control("c1", "r"), 1, LOG, TAKES_ALL, 0);
-    node.handle(0, new Leads(LOG, expected));
+    DistributionNode node = new DistributionNode(DistributionSettings.defaults().forControlMachine(),
+        TreeMember.control("c1", "r"), 1, LOG, TAKES_ALL, 0);
+    node.handle(0, new BecameLeader(LOG, expected));
     return node;
   }
 
@@ -154,7 +154,8 @@
     }
     assertTrue(last - quick < 20, "the quick child is behind by " + (last - quick));
     long sentToSlow = toSlow.stream().mapToLong(a -> ((Batch) ((Send) a).message()).entries().size()).sum();
-    assertEquals(DistributionTerms.usual().window(), sentToSlow, "more than a window without an answer");
+    assertEquals(DistributionSettings.defaults().window(), sentToSlow,
+        "more than a window without an answer");
     List<DistributionAction> answer = leader.handle(400_001, new Received("slow", new Fetch(LOG, 2)));
     assertEquals(last, ((SnapshotReply) sent(answer, "slow").get(0)).snapshot().index());
   }
@@ -163,19 +164,19 @@
   void childrenBeyondTheMostAreRefused() {
     DistributionNode node = proxy(0);
     List<DistributionAction> last = List.of();
-    for (int i = 0; i <= DistributionTerms.usual().mostChildren(); i++) {
+    for (int i = 0; i <= DistributionSettings.defaults().maxChildren(); i++) {
       last = node.handle(10, new Received("child-" + i, new Report(LOG, 7, 1, 0, List.of())));
     }
-    assertEquals(DistributionTerms.usual().mostChildren(), node.children().size());
+    assertEquals(DistributionSettings.defaults().maxChildren(), node.children().size());
     assertEquals(List.of(new Refusal(LOG, 7)),
-        sent(last, "child-" + DistributionTerms.usual().mostChildren()));
+        sent(last, "child-" + DistributionSettings.defaults().maxChildren()));
   }
 
   /** A proxy whose own parent is a proxy feeds nobody, so there is no circle of proxies. */
   @Test
   void whoIsFedByAProxyFeedsNobody() {
-    DistributionNode node = new DistributionNode(DistributionTerms.usual(),
-        Place.proxy("p1", "r", "s"), 3, LOG, TAKES_ALL, 0);
+    DistributionNode node = new DistributionNode(DistributionSettings.defaults(),
+        TreeMember.proxy("p1", "r", "s"), 3, LOG, TAKES_ALL, 0);
     node.handle(0, new ParentsChanged(List.of(new Parent("p2", false), new Parent("c1", true))));
     assertEquals(List.of(new Refusal(LOG, 7)),
         sent(node.handle(10, new Received("p2", new Report(LOG, 7, 1, 0, List.of()))), "p2"));
--- a/src/test/java/beampoint/fleet/distribution/DistributionTreeTest.java
+++ b/src/test/java/beampoint/fleet/distribution/DistributionTreeTest.java
@@ -18,13 +18,13 @@
 /** Whoever shares a view agrees on the tree, and no member has more children than the fan-out. */
 class DistributionTreeTest {
 
-  private static List<Place> fleet(int proxies, int sites) {
-    List<Place> all = new ArrayList<>();
+  private static List<TreeMember> fleet(int proxies, int sites) {
+    List<TreeMember> all = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      all.add(Place.control("c" + i, "r" + i % 2));
+      all.add(TreeMember.control("c" + i, "r" + i % 2));
     }
     for (int i = 0; i < proxies; i++) {
-      all.add(Place.proxy("p" + i, "r" + i % sites % 2, "s" + i % sites));
+      all.add(TreeMember.proxy("p" + i, "r" + i % sites % 2, "s" + i % sites));
     }
     return all;
   }
@@ -33,13 +33,13 @@
   void everyProxyHasAWayToAControlMachineWithinTheFanOut(@ForAll @IntRange(min = 1, max = 60) int proxies,
       @ForAll @IntRange(min = 1, max = 4) int sites, @ForAll @IntRange(min = 0, max = 4) int fanOut,
       @ForAll long seed) {
-    List<Place> all = fleet(proxies, sites);
-    List<Place> shuffled = new ArrayList<>(all);
+    List<TreeMember> all = fleet(proxies, sites);
+    List<TreeMember> shuffled = new ArrayList<>(all);
     Collections.shuffle(shuffled, new Random(seed));
     DistributionTree tree = new DistributionTree(fanOut);
     Map<String, Integer> children = new HashMap<>();
     Map<String, String> chosen = new HashMap<>();
-    for (Place place : all) {
+    for (TreeMember place : all) {
       List<Parent> parents = tree.parents(place, all, "c0");
       assertEquals(parents, tree.parents(place, shuffled, "c0"), "the order of a view makes no difference");
       if (!place.isControl()) {
@@ -57,14 +57,14 @@
 
   @Test
   void aProxyPrefersTheControlMachinesOfItsRegion() {
-    List<Place> all = fleet(1, 1);
+    List<TreeMember> all = fleet(1, 1);
     List<Parent> parents = new DistributionTree(2).parents(all.get(4), all, "c1");
     assertEquals(Set.of("c0", "c2"), Set.of(parents.get(0).name(), parents.get(1).name()));
   }
 
   @Test
   void controlMachinesSubscribeToTheirLeaderAlone() {
-    List<Place> all = fleet(3, 1);
+    List<TreeMember> all = fleet(3, 1);
     DistributionTree tree = new DistributionTree(2);
     assertEquals(List.of(), tree.parents(all.get(0), all, "c0"));
     assertEquals(List.of(new Parent("c0", true)), tree.parents(all.get(1), all, "c0"));
