--- a/src/main/java/beampoint/cli/EmulateCommand.java
+++ b/src/main/java/beampoint/cli/EmulateCommand.java
@@ -49,7 +49,7 @@
   public Integer call() {
     Report report;
     try {
-      if (ControlScenario.isOne(scenarioFile)) {
+      if (ControlScenario.isControlScenario(scenarioFile)) {
         return runControl(ControlScenario.read(scenarioFile));
       }
       Scenario scenario = Scenario.read(scenarioFile);
@@ -71,8 +71,8 @@
       throw new InputException("a scenario of model 'control' runs in virtual time only, without --loopback");
     }
     ControlReport report = ControlEmulation.run(seed == null ? scenario : scenario.withSeed(seed));
-    print(report.broken(), report.figures());
-    return report.broken().isEmpty() ? 0 : RULE_BROKEN;
+    print(report.brokenLimits(), report.figures());
+    return report.brokenLimits().isEmpty() ? 0 : RULE_BROKEN;
   }
 
   private void print(List<String> brokenRules, Map<String, ?> figures) {
--- a/src/main/java/beampoint/emulator/ControlEmulation.java
+++ b/src/main/java/beampoint/emulator/ControlEmulation.java
@@ -40,7 +40,7 @@
         DistributionSettings.defaults(), scenario.fanOut(),
         new ControlNetwork.Delays(network.site(), network.region(), network.far(), network.jitter()),
         false, scenario.seed());
-    fleet.network().trouble(network.loss(), network.repeats(), 0, 0);
+    fleet.network().setMessageFaults(network.loss(), network.repeats(), 0, 0);
   }
 
   /** Plays a day. */
--- a/src/main/java/beampoint/emulator/ControlFleet.java
+++ b/src/main/java/beampoint/emulator/ControlFleet.java
@@ -57,7 +57,7 @@
     this.network = new ControlNetwork(layout, delays, RandomSource.XO_SHI_RO_256_PP.create(seed + 1));
     for (int i = 0; i < layout.hosts(); i++) {
       double rate = 1 + CLOCK_SCATTER * (2 * random.nextDouble() - 1);
-      hosts.add(new ControlHost(i, layout.place(i), rate));
+      hosts.add(new ControlHost(i, layout.member(i), rate));
     }
     this.views = withMembership
         ? new MembershipViews(clock, layout, hosts, network, random, this::findParents)
@@ -76,8 +76,8 @@
     double since = reachable(number) ? clock.now() : Double.POSITIVE_INFINITY;
     ChangeChecks.Record record = checks.new Record(clock, since);
     boolean isControl = number < layout.controls();
-    host.begins(new DistributionNode(isControl ? terms.forControlMachine() : terms, host.place,
-        FIRST_LIFE + host.life, 0, record, host.local(clock.now())), record);
+    host.begins(new DistributionNode(isControl ? terms.forControlMachine() : terms, host.member,
+        FIRST_LIFE + host.life, 0, record, host.localTime(clock.now())), record);
     if (isControl) {
       log.started(host);
     }
@@ -116,9 +116,9 @@
   }
 
   /** Mends all links; hosts that are down stay so. */
-  public void mendNetwork() {
+  public void healNetwork() {
     network.mendAll();
-    network.trouble(0, 0, 0, 0);
+    network.setMessageFaults(0, 0, 0, 0);
     hosts.forEach(this::reachableAgain);
   }
 
@@ -176,21 +176,21 @@
     if (host.isUp()) {
       List<TreeMember> living = new ArrayList<>();
       for (int other : views.ofInterest(host)) {
-        if (!host.dead.contains(layout.place(other).name())) {
-          living.add(layout.place(other));
+        if (!host.dead.contains(layout.member(other).name())) {
+          living.add(layout.member(other));
         }
       }
-      give(host, new ParentsChanged(tree.parents(host.place, living, host.leaderKnown)));
+      give(host, new ParentsChanged(tree.parents(host.member, living, host.leaderKnown)));
     }
   }
 
   private void give(ControlHost host, DistributionEvent event) {
     if (host.isUp()) {
       boolean tellsOfLeader = event instanceof BecameLeader || event instanceof LostLeadership;
-      if (host.machine != null && !tellsOfLeader) {
+      if (host.controlNode != null && !tellsOfLeader) {
         log.refresh(host);
       }
-      host.node.handle(host.local(clock.now()), event).forEach(action -> {
+      host.node.handle(host.localTime(clock.now()), event).forEach(action -> {
         if (action instanceof Send send) {
           send(host, hosts.get(layout.number(send.to())), send.message());
         }
@@ -214,7 +214,7 @@
     long life = to.life;
     to.whenAwake(() -> {
       if (to.life == life) {
-        give(to, new Received(from.place.name(), read(bytes)));
+        give(to, new Received(from.member.name(), read(bytes)));
       }
     });
   }
@@ -231,7 +231,7 @@
     int leader = log.leader();
     ProgressTracker tracker = leader < 0 ? null : hosts.get(leader).node.tracker();
     if (tracker != null) {
-      progressChecks.check(clock.now(), tracker, hosts.get(leader).local(clock.now()));
+      progressChecks.check(clock.now(), tracker, hosts.get(leader).localTime(clock.now()));
     }
     clock.after(CHECK_EVERY, this::check);
   }
--- a/src/main/java/beampoint/emulator/ControlHost.java
+++ b/src/main/java/beampoint/emulator/ControlHost.java
@@ -15,13 +15,13 @@
   private static final int SOCKET_BUFFER = 200; // messages that wait for a process that stands still
 
   final int number;
-  final TreeMember place;
+  final TreeMember member;
   final double rate; // of its own clock
   final Traffic traffic = new Traffic();
   final Set<String> dead = new HashSet<>(); // in its own view
   private final List<Runnable> waiting = new ArrayList<>();
   Membership membership; // null where who sees whom follows a model
-  ControlNode machine; // of the change log; null at a proxy
+  ControlNode controlNode; // of the change log; null at a proxy
   boolean leads; // as the tree was told
   String leaderKnown = "";
   DistributionNode node; // null while it is down
@@ -30,9 +30,9 @@
   private long earlier;
   private boolean paused;
 
-  ControlHost(int number, TreeMember place, double rate) {
+  ControlHost(int number, TreeMember member, double rate) {
     this.number = number;
-    this.place = place;
+    this.member = member;
     this.rate = rate;
   }
 
@@ -48,7 +48,7 @@
   void ended() {
     node = null;
     membership = null;
-    machine = null;
+    controlNode = null;
     leads = false;
     paused = false;
     waiting.clear();
@@ -87,7 +87,7 @@
   }
 
   /** A time by its own clock. */
-  double local(double now) {
+  double localTime(double now) {
     return now * rate;
   }
 }
--- a/src/main/java/beampoint/emulator/ControlLog.java
+++ b/src/main/java/beampoint/emulator/ControlLog.java
@@ -77,15 +77,15 @@
     this.leaderChanged = leaderChanged;
     SortedSet<String> voters = new TreeSet<>();
     for (int i = 0; i < layout.controls(); i++) {
-      voters.add(layout.place(i).name());
+      voters.add(layout.member(i).name());
     }
     this.terms = new LogTerms(voters, RETRY, LogLimits.USUAL);
     this.leaseTerms = new LeaseSettings(voters, LEASE, DRIFT);
   }
 
   void started(ControlHost host) {
-    host.machine = new ControlNode(terms, leaseTerms, host.place.name(), host.life,
-        ReplicaState.started(host.life), host.local(clock.now()), new Random(random.nextLong()));
+    host.controlNode = new ControlNode(terms, leaseTerms, host.member.name(), host.life,
+        ReplicaState.started(host.life), host.localTime(clock.now()), new Random(random.nextLong()));
     host.leaderKnown = "";
     host.leads = false;
     long life = host.life;
@@ -95,7 +95,7 @@
   private void tick(ControlHost host, long life) {
     if (host.isUp() && host.life == life) {
       if (!host.isPaused()) {
-        carryOut(host, host.machine.tick(host.local(clock.now())));
+        carryOut(host, host.controlNode.tick(host.localTime(clock.now())));
       }
       clock.after(TICK, () -> tick(host, life));
     }
@@ -105,7 +105,7 @@
 
   /** Submits a change until it is committed. */
   void submit(Change change) {
-    String origin = layout.place(random.nextInt(layout.controls())).name();
+    String origin = layout.member(random.nextInt(layout.controls())).name();
     ChangeId id = new ChangeId(origin, ++submitted);
     pending.put(id, new Pending(change, clock.now()));
     tryToCommit(id);
@@ -118,7 +118,7 @@
     int leader = leader();
     if (leader >= 0) {
       ControlHost host = hosts.get(leader);
-      carryOut(host, host.machine.submit(host.local(clock.now()), id, pending.get(id).change()));
+      carryOut(host, host.controlNode.submit(host.localTime(clock.now()), id, pending.get(id).change()));
     }
     clock.after(SUBMIT_AGAIN, () -> tryToCommit(id));
   }
@@ -145,7 +145,7 @@
   /** The control machine that leads now; -1 for none. */
   int leader() {
     for (ControlHost host : hosts.subList(0, layout.controls())) {
-      if (host.isUp() && !host.isPaused() && host.machine.leads(host.local(clock.now()))) {
+      if (host.isUp() && !host.isPaused() && host.controlNode.leads(host.localTime(clock.now()))) {
         return host.number;
       }
     }
@@ -154,15 +154,15 @@
 
   /** Lets the tree know who leads, before anything else happens at a host. */
   void refresh(ControlHost host) {
-    boolean leads = host.machine.leads(host.local(clock.now()));
+    boolean leads = host.controlNode.leads(host.localTime(clock.now()));
     if (leads != host.leads) {
       host.leads = leads;
       deliver.accept(host, leads
-          ? new DistributionEvent.BecameLeader(DistributionNode.logId(host.machine.state().log().identity()),
-              layout.proxies())
+          ? new DistributionEvent.BecameLeader(
+              DistributionNode.logId(host.controlNode.state().log().identity()), layout.proxies())
           : new DistributionEvent.LostLeadership());
     }
-    String leader = leads ? host.place.name() : host.machine.state().leader().holder();
+    String leader = leads ? host.member.name() : host.controlNode.state().leader().holder();
     if (!leader.equals(host.leaderKnown)) {
       host.leaderKnown = leader;
       leaderChanged.accept(host);
@@ -215,7 +215,7 @@
       long life = to.life;
       to.whenAwake(() -> {
         if (to.life == life) {
-          carryOut(to, to.machine.received(to.local(clock.now()), from.place.name(), read(bytes)));
+          carryOut(to, to.controlNode.received(to.localTime(clock.now()), from.member.name(), read(bytes)));
         }
       });
     }
--- a/src/main/java/beampoint/emulator/ControlNetwork.java
+++ b/src/main/java/beampoint/emulator/ControlNetwork.java
@@ -35,7 +35,7 @@
   }
 
   /** The parts of all messages that are lost and repeated, and that come up to so much later. */
-  void trouble(double partLost, double partRepeated, double partLate, double upTo) {
+  void setMessageFaults(double partLost, double partRepeated, double partLate, double upTo) {
     lost = partLost;
     repeated = partRepeated;
     late = partLate;
@@ -79,7 +79,7 @@
 
   double delay(int from, int to) {
     double usual = delays.far();
-    if (layout.place(from).site().equals(layout.place(to).site()) && layout.zone(from) == layout.zone(to)) {
+    if (layout.member(from).site().equals(layout.member(to).site()) && layout.zone(from) == layout.zone(to)) {
       usual = delays.site();
     } else if (layout.region(from) == layout.region(to)) {
       usual = delays.region();
--- a/src/main/java/beampoint/emulator/ControlReport.java
+++ b/src/main/java/beampoint/emulator/ControlReport.java
@@ -10,7 +10,7 @@
 public final class ControlReport {
 
   private final Map<String, Double> figures = new LinkedHashMap<>();
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> brokenLimits = new ArrayList<>();
 
   void figure(String name, double value) {
     figures.put(name, value);
@@ -20,7 +20,7 @@
   void figure(String name, double value, double most) {
     figure(name, value);
     if (!(value <= most)) {
-      broken.add(name + " is " + shown(value) + ", more than " + shown(most));
+      brokenLimits.add(name + " is " + shown(value) + ", more than " + shown(most));
     }
   }
 
@@ -30,8 +30,8 @@
   }
 
   /** What broke a limit, in the order of the figures. */
-  public List<String> broken() {
-    return List.copyOf(broken);
+  public List<String> brokenLimits() {
+    return List.copyOf(brokenLimits);
   }
 
   /** All figures by name. */
--- a/src/main/java/beampoint/emulator/ControlScenario.java
+++ b/src/main/java/beampoint/emulator/ControlScenario.java
@@ -47,7 +47,7 @@
   public record Fault(What what, int place, double at, double length) {}
 
   /** True where a file is a scenario of this kind. */
-  public static boolean isOne(Path file) throws InputException {
+  public static boolean isControlScenario(Path file) throws InputException {
     return Yaml.read(file).text("model", "requests").equals(MODEL);
   }
 
--- a/src/main/java/beampoint/emulator/FleetLayout.java
+++ b/src/main/java/beampoint/emulator/FleetLayout.java
@@ -17,7 +17,7 @@
 public final class FleetLayout {
 
   private final int controls;
-  private final List<TreeMember> places = new ArrayList<>();
+  private final List<TreeMember> members = new ArrayList<>();
   private final List<Integer> zones = new ArrayList<>();
   private final List<Integer> regions = new ArrayList<>();
   private final Map<String, Integer> numbers = new HashMap<>();
@@ -42,24 +42,24 @@
     return "region-" + number;
   }
 
-  private void add(TreeMember place, int zone, int region) {
-    numbers.put(place.name(), places.size());
-    places.add(place);
+  private void add(TreeMember member, int zone, int region) {
+    numbers.put(member.name(), members.size());
+    members.add(member);
     zones.add(zone);
     regions.add(region);
   }
 
   /** How many hosts there are, control machines and proxies. */
   public int hosts() {
-    return places.size();
+    return members.size();
   }
 
   public int controls() {
     return controls;
   }
 
-  public TreeMember place(int host) {
-    return places.get(host);
+  public TreeMember member(int host) {
+    return members.get(host);
   }
 
   public int zone(int host) {
@@ -82,7 +82,7 @@
 
   /** The names of all proxies. */
   public Set<String> proxies() {
-    return places.stream().filter(p -> p.role() == TreeMember.Role.PROXY).map(TreeMember::name)
+    return members.stream().filter(p -> p.role() == TreeMember.Role.PROXY).map(TreeMember::name)
         .collect(Collectors.toCollection(TreeSet::new));
   }
 
--- a/src/main/java/beampoint/emulator/MemberDay.java
+++ b/src/main/java/beampoint/emulator/MemberDay.java
@@ -21,7 +21,7 @@
         DistributionSettings.defaults(), scenario.fanOut(),
         new ControlNetwork.Delays(network.site(), network.region(), network.far(), network.jitter()), true,
         scenario.seed());
-    fleet.network().trouble(network.loss(), network.repeats(), 0, 0);
+    fleet.network().setMessageFaults(network.loss(), network.repeats(), 0, 0);
     fleet.at(scenario.warmUp(), fleet::countFromNow);
     scenario.faults().forEach(fault -> FaultPlan.plan(fleet, fault));
     fleet.runTo(scenario.length());
--- a/src/main/java/beampoint/emulator/MemberFleet.java
+++ b/src/main/java/beampoint/emulator/MemberFleet.java
@@ -28,11 +28,12 @@
 public final class MemberFleet {
 
   /**
-   * Who was declared dead, or became known as dead, to whom and when; {@code lived} tells that it was wrong.
+   * Who was declared dead, or became known as dead, to whom and when; {@code wasAlive} tells that it
+   * was wrong.
    *
    * @param ranFor for how long the member had run since it was started, in ms; 0 where it was down
    */
-  public record Death(double at, int of, int by, boolean lived, double ranFor) {}
+  public record Death(double at, int member, int observer, boolean wasAlive, double ranFor) {}
 
   /** What one member was told, and when. */
   public record TimedEvent(double at, MemberEvent event) {}
@@ -70,7 +71,7 @@
   private final MemberTraffic traffic;
   private final MemberWire wire = new MemberWire(new Codec("emulated"));
   private LongSupplier nanoClock = () -> 0;
-  private long machineNanos;
+  private long stateMachineNanos;
 
   /** So many members that all know each other's addresses, and have heard of none yet. */
   public MemberFleet(int members, MembershipSettings terms, long seed) {
@@ -135,14 +136,14 @@
     host.waiting.clear();
     host.seed = seeds.nextLong();
     host.startedAt = clock.now();
-    host.membership = asAtItsStart(member);
+    host.membership = initialMembership(member);
     host.living.set(0, known.size());
     int life = host.life;
     clock.after(random.nextDouble() * terms.tickInterval(), () -> tick(host, life));
   }
 
   /** A machine as the member's present one was at its start: the same events give the same actions. */
-  public Membership asAtItsStart(int member) {
+  public Membership initialMembership(int member) {
     Host host = hosts.get(member);
     return new Membership(terms, name(member), known.get(member).address(), known,
         RandomSource.XO_SHI_RO_256_PP.create(host.seed), host.startedAt);
@@ -155,13 +156,13 @@
   }
 
   /** Measures the state machines' own time, apart from the emulator's, by a clock of the caller's. */
-  public void measureBy(LongSupplier nanoseconds) {
+  public void measureWith(LongSupplier nanoseconds) {
     nanoClock = nanoseconds;
   }
 
   /** What the state machines have taken so far. */
-  public long machineNanos() {
-    return machineNanos;
+  public long stateMachineNanos() {
+    return stateMachineNanos;
   }
 
   public void kill(int member) {
@@ -189,11 +190,11 @@
   }
 
   /** Sets the part of the messages from one member to another that is lost; 1 cuts the link. */
-  public void lose(int from, int to, double part) {
+  public void setLoss(int from, int to, double part) {
     losses[from][to] = part;
   }
 
-  public void loseEverywhere(double part) {
+  public void setLossEverywhere(double part) {
     Arrays.stream(losses).forEach(row -> Arrays.fill(row, part));
   }
 
@@ -217,12 +218,12 @@
   }
 
   /** True where all that run see the same members live. */
-  public boolean isOfOneView() {
-    return isOfOneView(member -> true);
+  public boolean viewsAgree() {
+    return viewsAgree(member -> true);
   }
 
   /** True where all that run, of some members, see the same members live. */
-  public boolean isOfOneView(IntPredicate among) {
+  public boolean viewsAgree(IntPredicate among) {
     return hosts.stream().filter(host -> host.membership != null && among.test(host.number))
         .map(host -> host.living).distinct().count() <= 1;
   }
@@ -274,7 +275,7 @@
     }
     long begin = nanoClock.getAsLong();
     List<MemberAction> actions = host.membership.handle(clock.now(), event);
-    machineNanos += nanoClock.getAsLong() - begin;
+    stateMachineNanos += nanoClock.getAsLong() - begin;
     actions.forEach(action -> carryOut(host, action));
   }
 
--- a/src/main/java/beampoint/emulator/MemberTraffic.java
+++ b/src/main/java/beampoint/emulator/MemberTraffic.java
@@ -29,7 +29,7 @@
       worst[member] = Math.max(worst[member], bytes[member]);
     }
 
-    void forgetWorst() {
+    void resetWorstSeconds() {
       Arrays.fill(worst, 0);
     }
 
@@ -62,9 +62,9 @@
   }
 
   /** Begins anew with the worst seconds. */
-  public void forgetWorst() {
-    all.forgetWorst();
-    datagrams.forgetWorst();
+  public void resetWorstSeconds() {
+    all.resetWorstSeconds();
+    datagrams.resetWorstSeconds();
   }
 
   /** What a member sent in its worst second, for the member for which that is the most. */
--- a/src/main/java/beampoint/emulator/MembershipViews.java
+++ b/src/main/java/beampoint/emulator/MembershipViews.java
@@ -55,7 +55,7 @@
     this.neighbours = new SiteNeighbours(layout);
     this.changedAt = new double[layout.hosts()];
     for (int i = 0; i < layout.hosts(); i++) {
-      String name = layout.place(i).name();
+      String name = layout.member(i).name();
       known.add(new MemberState(name, "10." + i / 62_500 + "." + i / 250 % 250 + "." + i % 250 + ":7946",
           Status.ALIVE, 0, false, name));
     }
@@ -63,14 +63,14 @@
 
   @Override
   public List<Integer> ofInterest(ControlHost host) {
-    return neighbours.of(host.place);
+    return neighbours.of(host.member);
   }
 
   @Override
   public void started(ControlHost host) {
     host.dead.clear();
-    host.membership = new Membership(terms, host.place.name(), known.get(host.number).address(), known,
-        RandomSource.XO_SHI_RO_256_PP.create(random.nextLong()), host.local(clock.now()));
+    host.membership = new Membership(terms, host.member.name(), known.get(host.number).address(), known,
+        RandomSource.XO_SHI_RO_256_PP.create(random.nextLong()), host.localTime(clock.now()));
     long life = host.life;
     clock.after(random.nextDouble() * terms.tickInterval(), () -> tick(host, life));
   }
@@ -99,7 +99,7 @@
 
   private void give(ControlHost host, MemberEvent event) {
     if (host.isUp()) {
-      host.membership.handle(host.local(clock.now()), event).forEach(action -> carryOut(host, action));
+      host.membership.handle(host.localTime(clock.now()), event).forEach(action -> carryOut(host, action));
     }
   }
 
@@ -117,7 +117,7 @@
     int other = layout.number(news.member());
     boolean isDead = news.status() == Status.DEAD || news.status() == Status.LEFT;
     if (isDead) {
-      boolean isOwn = news.reporter().equals(host.place.name());
+      boolean isOwn = news.reporter().equals(host.member.name());
       boolean lives = hosts.get(other).isUp() && reaches(host, hosts.get(other));
       double since = clock.now() - Math.max(changedAt[host.number], changedAt[other]);
       if (!lives && network.island(host.number) == 0) {
@@ -127,7 +127,7 @@
       }
     }
     boolean isOther = isDead ? host.dead.add(news.member()) : host.dead.remove(news.member());
-    if (isOther && neighbours.of(host.place).contains(other)) {
+    if (isOther && neighbours.of(host.member).contains(other)) {
       viewChanged.accept(host);
     }
   }
--- a/src/main/java/beampoint/emulator/ModelledViews.java
+++ b/src/main/java/beampoint/emulator/ModelledViews.java
@@ -37,7 +37,7 @@
 
   @Override
   public List<Integer> ofInterest(ControlHost host) {
-    return neighbours.of(host.place);
+    return neighbours.of(host.member);
   }
 
   @Override
@@ -68,7 +68,7 @@
     for (int number : ofInterest(host)) {
       ControlHost other = hosts.get(number);
       boolean isGone = !other.isUp() || network.island(number) != network.island(host.number);
-      String name = layout.place(number).name();
+      String name = layout.member(number).name();
       isOther |= isGone ? withDeaths && host.dead.add(name) : host.dead.remove(name);
     }
     if (isOther) {
--- a/src/main/java/beampoint/emulator/ProgressChecks.java
+++ b/src/main/java/beampoint/emulator/ProgressChecks.java
@@ -28,10 +28,10 @@
 
   void check(double now, ProgressTracker tracker, double leadersNow) {
     if (proxies.isEmpty()) {
-      hosts.forEach(host -> proxies.put(host.place.name(), host));
+      hosts.forEach(host -> proxies.put(host.member.name(), host));
     }
     for (ControlHost host : hosts) {
-      MemberProgress progress = tracker.progress(host.place.name());
+      MemberProgress progress = tracker.progress(host.member.name());
       if (progress != null && progress.appliedUpTo() > host.mostApplied()) {
         falseDone++;
       }
@@ -40,7 +40,7 @@
     fencedSeen += fenced.size();
     for (String name : fenced) {
       ControlHost host = proxies.get(name);
-      if (host.isUp() && host.node.isFresh(host.local(now))) {
+      if (host.isUp() && host.node.isFresh(host.localTime(now))) {
         fencedFresh++;
       }
     }
--- a/src/main/java/beampoint/emulator/SiteNeighbours.java
+++ b/src/main/java/beampoint/emulator/SiteNeighbours.java
@@ -17,7 +17,7 @@
       if (i < layout.controls()) {
         controls.add(i);
       } else {
-        ofSite.computeIfAbsent(layout.place(i).site(), site -> new ArrayList<>(controls)).add(i);
+        ofSite.computeIfAbsent(layout.member(i).site(), site -> new ArrayList<>(controls)).add(i);
       }
     }
     ofSite.put("", controls);
--- a/src/test/java/beampoint/emulator/ControlFleetTest.java
+++ b/src/test/java/beampoint/emulator/ControlFleetTest.java
@@ -62,7 +62,7 @@
   private static void assertAllReached(ControlFleet fleet) {
     long last = fleet.checks().log().size();
     for (ControlHost host : fleet.hosts()) {
-      assertEquals(last, host.isUp() ? host.node.appliedUpTo() : last, host.place.name());
+      assertEquals(last, host.isUp() ? host.node.appliedUpTo() : last, host.member.name());
     }
   }
 
@@ -80,10 +80,10 @@
     assertEquals(last, fleet.node(fleet.leader()).tracker().doneEverywhereUpTo());
     assertTrue(fleet.node(fleet.leader()).tracker().completion(last, fleet.now()).isDoneEverywhere());
     for (ControlHost host : fleet.hosts().subList(5, 45)) {
-      assertTrue(host.node.isFresh(host.local(fleet.now())), host.place.name());
+      assertTrue(host.node.isFresh(host.localTime(fleet.now())), host.member.name());
       assertEquals(0, host.node.lapses());
       double bytes = host.traffic.meanOfSecond(fleet.now());
-      assertTrue(bytes < 1_000 + 1_000 * host.node.children().size(), host.place.name() + ": " + bytes);
+      assertTrue(bytes < 1_000 + 1_000 * host.node.children().size(), host.member.name() + ": " + bytes);
     }
   }
 
@@ -98,7 +98,7 @@
       case 3 -> isolate(fleet, List.of(proxy), 1_000 + 25_000 * random.nextDouble());
       case 4 -> cutOneWay(fleet, host, random.nextInt(fleet.layout().hosts()), 5_000 * random.nextDouble());
       case 5 -> trouble(fleet, fleet.leader(), random);
-      default -> fleet.network().trouble(0.05 * random.nextDouble(), 0.05 * random.nextDouble(),
+      default -> fleet.network().setMessageFaults(0.05 * random.nextDouble(), 0.05 * random.nextDouble(),
           0.1 * random.nextDouble(), 3_000);
     }
     fleet.changed(List.of());
@@ -115,7 +115,7 @@
 
   private static boolean allControlsRun(ControlFleet fleet) {
     return fleet.hosts().subList(0, fleet.layout().controls()).stream()
-        .allMatch(h -> h.isUp() && h.machine.state().log().voter());
+        .allMatch(h -> h.isUp() && h.controlNode.state().log().voter());
   }
 
   private static void restart(ControlFleet fleet, int proxy, double downFor) {
@@ -162,7 +162,7 @@
       assertSound(fleet);
     }
     fleet.runTo(fleet.now() + 30_000); // until all troubles are over
-    fleet.mendNetwork();
+    fleet.healNetwork();
     fleet.changed(List.of());
     fleet.runTo(fleet.now() + 20_000);
     assertSound(fleet);
--- a/src/test/java/beampoint/emulator/ControlScenarioTest.java
+++ b/src/test/java/beampoint/emulator/ControlScenarioTest.java
@@ -68,11 +68,11 @@
   @Test
   void theGivenScenarioIsSoundAndOfTheWholeSize() throws InputException {
     Path file = Path.of("deploy/scenarios/fleet-size.yaml");
-    assertTrue(ControlScenario.isOne(file));
+    assertTrue(ControlScenario.isControlScenario(file));
     ControlScenario day = ControlScenario.read(file);
     assertEquals(new ControlScenario.Size(2_300, 180, 31, 8, 13), day.size());
     assertEquals(27, day.changes().purges());
-    assertTrue(!ControlScenario.isOne(Path.of("deploy/scenarios/release-day.yaml")));
+    assertTrue(!ControlScenario.isControlScenario(Path.of("deploy/scenarios/release-day.yaml")));
   }
 
   static LongStream seeds() {
@@ -83,7 +83,7 @@
   @MethodSource("seeds")
   void aSmallFleetKeepsTheLimits(long seed) throws InputException {
     ControlReport report = ControlEmulation.run(ControlScenario.parse("day.yaml", DAY).withSeed(seed));
-    assertEquals(List.of(), report.broken());
+    assertEquals(List.of(), report.brokenLimits());
     assertTrue(report.value("changes.purges") > 800, "purges: " + report.value("changes.purges"));
     assertTrue(report.value("changes.purge_max_ms") > 0);
   }
@@ -92,7 +92,8 @@
   void aBrokenLimitIsTold() throws InputException {
     String strict = DAY.replace("purge_ms: 2400", "purge_ms: 10");
     ControlReport report = ControlEmulation.run(ControlScenario.parse("day.yaml", strict));
-    assertEquals(1, report.broken().stream().filter(b -> b.startsWith("changes.purge_max_ms is ")).count());
+    assertEquals(1,
+        report.brokenLimits().stream().filter(b -> b.startsWith("changes.purge_max_ms is ")).count());
   }
 
   @Test
--- a/src/test/java/beampoint/emulator/MemberFaults.java
+++ b/src/test/java/beampoint/emulator/MemberFaults.java
@@ -40,7 +40,7 @@
     this.topology = topology;
     this.seed = seed;
     this.fleet = MemberFleet.settled(topology.members(), MembershipSettings.defaults(), seed);
-    fleet.loseEverywhere(LOSS);
+    fleet.setLossEverywhere(LOSS);
   }
 
   /** All members of a zone are gone at once. */
@@ -87,14 +87,14 @@
     int oneOutside = topology.membersOf(inside.negate())[0];
     return fleet.membership(oneInside).liveCount() == cutOff
         && fleet.membership(oneOutside).liveCount() == topology.members() - cutOff
-        && fleet.isOfOneView(inside) && fleet.isOfOneView(inside.negate());
+        && fleet.viewsAgree(inside) && fleet.viewsAgree(inside.negate());
   }
 
   private void setLossBetweenSides(IntPredicate inside, double part) {
     for (int from : topology.membersOf(inside)) {
       for (int to : topology.membersOf(inside.negate())) {
-        fleet.lose(from, to, part);
-        fleet.lose(to, from, part);
+        fleet.setLoss(from, to, part);
+        fleet.setLoss(to, from, part);
       }
     }
   }
@@ -121,7 +121,7 @@
       fleet.runTo(SETTLED_AT);
     }
     faultAt = fleet.now();
-    fleet.traffic().forgetWorst();
+    fleet.traffic().resetWorstSeconds();
     bytesBefore = fleet.traffic().datagramBytes() + fleet.traffic().viewBytes();
   }
 
@@ -129,7 +129,7 @@
     double begin = fleet.now();
     while (fleet.now() < begin + GIVE_UP_AFTER) {
       fleet.runTo(fleet.now() + LOOK_EVERY);
-      if (fleet.isOfOneView() && fleet.membership(oneThatRuns()).liveCount() == living) {
+      if (fleet.viewsAgree() && fleet.membership(oneThatRuns()).liveCount() == living) {
         return fleet.now() - begin;
       }
     }
@@ -146,7 +146,7 @@
 
   private Outcome outcome(String fault, int affected, double after, IntPredicate cutOff) {
     long falsePositives = fleet.deaths().stream().filter(death -> death.ranFor() >= HEARD_WITHIN)
-        .filter(death -> cutOff.test(death.of()) == cutOff.test(death.by())).count();
+        .filter(death -> cutOff.test(death.member()) == cutOff.test(death.observer())).count();
     long bytes = fleet.traffic().datagramBytes() + fleet.traffic().viewBytes() - bytesBefore;
     double mean = bytes * 1_000.0 / (fleet.now() - faultAt) / topology.members();
     return new Outcome(fault, affected, falsePositives, fleet.deaths().size(), after,
--- a/src/test/java/beampoint/emulator/MemberFleetTest.java
+++ b/src/test/java/beampoint/emulator/MemberFleetTest.java
@@ -21,7 +21,7 @@
   }
 
   private static List<Death> falsePositives(MemberFleet fleet) {
-    return fleet.deaths().stream().filter(Death::lived).toList();
+    return fleet.deaths().stream().filter(Death::wasAlive).toList();
   }
 
   @Test
@@ -30,8 +30,8 @@
       MemberFleet fleet = fleet(members, members);
       fleet.kill(1);
       fleet.runTo(10_000);
-      assertEquals(members - 1, fleet.deaths().stream().filter(d -> d.of() == 1).count());
-      assertTrue(fleet.isOfOneView());
+      assertEquals(members - 1, fleet.deaths().stream().filter(d -> d.member() == 1).count());
+      assertTrue(fleet.viewsAgree());
       assertEquals(List.of(), falsePositives(fleet));
     }
   }
@@ -57,19 +57,19 @@
       int members = 20;
       MemberFleet fleet = fleet(members, seed);
       Random random = new Random(seed);
-      fleet.loseEverywhere(0.05);
+      fleet.setLossEverywhere(0.05);
       fleet.delay(1, 60, 0.1); // late, overtaken, repeated
       for (int i = 0; i < 60; i++) {
         int one = random.nextInt(members);
         int other = (one + 1 + random.nextInt(members - 1)) % members;
         int still = random.nextInt(members);
         double at = fleet.now();
-        fleet.lose(one, other, 1);
+        fleet.setLoss(one, other, 1);
         fleet.pause(still);
         fleet.runTo(at + 500 + random.nextInt(2_500));
         fleet.resume(still);
         fleet.runTo(at + 10_000);
-        fleet.lose(one, other, 0.05);
+        fleet.setLoss(one, other, 0.05);
       }
       assertEquals(List.of(), falsePositives(fleet));
     }
@@ -79,13 +79,13 @@
   void whoHearsNobodyStaysAliveInTheViewOfTheOthersAndAccusesNobody() {
     for (int members : new int[] {3, 14, 60}) {
       MemberFleet fleet = fleet(members, members);
-      IntStream.range(0, members).forEach(i -> fleet.lose(i, 2, 1));
+      IntStream.range(0, members).forEach(i -> fleet.setLoss(i, 2, 1));
       fleet.runTo(60_000);
       assertEquals(List.of(), fleet.deaths());
       assertTrue(fleet.membership(2).self().notReceiving());
-      IntStream.range(0, members).forEach(i -> fleet.lose(i, 2, 0));
+      IntStream.range(0, members).forEach(i -> fleet.setLoss(i, 2, 0));
       fleet.runTo(70_000);
-      assertTrue(!fleet.membership(2).self().notReceiving() && fleet.isOfOneView());
+      assertTrue(!fleet.membership(2).self().notReceiving() && fleet.viewsAgree());
     }
   }
 
@@ -94,13 +94,13 @@
   void whoHearsAgainAfterItWasDeafGivesThoseItSuspectsTheirWholeTime() {
     for (long seed = 0; seed < 10; seed++) {
       MemberFleet fleet = fleet(3, seed);
-      fleet.lose(1, 0, 1); // n0 suspects n1, and only n2 could help
+      fleet.setLoss(1, 0, 1); // n0 suspects n1, and only n2 could help
       fleet.pause(2);
       fleet.runTo(7_600);
-      fleet.lose(2, 0, 1); // before it hears of a refutation it hears nobody
+      fleet.setLoss(2, 0, 1); // before it hears of a refutation it hears nobody
       fleet.resume(2);
       fleet.runTo(14_000);
-      fleet.lose(2, 0, 0);
+      fleet.setLoss(2, 0, 0);
       fleet.runTo(20_000);
       assertEquals(List.of(), fleet.deaths());
     }
@@ -109,13 +109,13 @@
   @Test
   void whoIsHeardByNobodyPoisonsNobodysViewAndReturns() {
     MemberFleet fleet = fleet(14, 9);
-    IntStream.range(0, 14).forEach(i -> fleet.lose(2, i, 1));
+    IntStream.range(0, 14).forEach(i -> fleet.setLoss(2, i, 1));
     fleet.runTo(60_000);
-    assertTrue(fleet.deaths().stream().allMatch(d -> d.of() == 2), "only the mute one is held for dead");
+    assertTrue(fleet.deaths().stream().allMatch(d -> d.member() == 2), "only the mute one is held for dead");
     assertTrue(fleet.membership(2).mayBeIsolated());
-    IntStream.range(0, 14).forEach(i -> fleet.lose(2, i, 0));
+    IntStream.range(0, 14).forEach(i -> fleet.setLoss(2, i, 0));
     fleet.runTo(70_000);
-    assertTrue(fleet.isOfOneView());
+    assertTrue(fleet.viewsAgree());
     assertEquals(14, fleet.membership(5).liveCount());
   }
 
@@ -124,18 +124,18 @@
     MemberFleet fleet = fleet(30, 4);
     for (int i = 0; i < 10; i++) {
       for (int j = 10; j < 30; j++) {
-        fleet.lose(i, j, 1);
-        fleet.lose(j, i, 1);
+        fleet.setLoss(i, j, 1);
+        fleet.setLoss(j, i, 1);
       }
     }
     fleet.runTo(65_000);
     assertEquals(20, fleet.membership(15).liveCount());
     assertEquals(10, fleet.membership(5).liveCount());
-    fleet.loseEverywhere(0);
+    fleet.setLossEverywhere(0);
     double healed = 0;
     for (double t = 65_100; t <= 75_000 && healed == 0; t += 100) {
       fleet.runTo(t);
-      healed = fleet.isOfOneView() && fleet.membership(5).liveCount() == 30 ? t - 65_000 : 0;
+      healed = fleet.viewsAgree() && fleet.membership(5).liveCount() == 30 ? t - 65_000 : 0;
     }
     assertTrue(healed > 0);
   }
@@ -150,7 +150,7 @@
     IntStream.range(0, 28).forEach(fleet::start);
     fleet.runTo(30_000);
     assertEquals(40, fleet.membership(30).liveCount());
-    assertTrue(fleet.isOfOneView());
+    assertTrue(fleet.viewsAgree());
   }
 
   @Test
--- a/src/test/java/beampoint/emulator/MemberScaleStudy.java
+++ b/src/test/java/beampoint/emulator/MemberScaleStudy.java
@@ -82,25 +82,25 @@
   /** A fleet that has run for long, and then crashes of single members. */
   private void measureFleet(int index, int members) throws MalformedMessageException {
     MemberFleet fleet = MemberFleet.settled(members, TERMS, SEED);
-    fleet.measureBy(System::nanoTime);
-    fleet.loseEverywhere(LOSS);
+    fleet.measureWith(System::nanoTime);
+    fleet.setLossEverywhere(LOSS);
     Map<Integer, List<TimedEvent>> recorded = new LinkedHashMap<>();
     for (int i = 0; i < REPLAYED_MEMBERS; i++) {
       int member = i * members / REPLAYED_MEMBERS;
       recorded.put(member, fleet.record(member));
     }
     fleet.runTo(MEASURED_FROM);
-    fleet.traffic().forgetWorst();
+    fleet.traffic().resetWorstSeconds();
     long datagrams = fleet.traffic().datagramBytes();
     long views = fleet.traffic().viewBytes();
     long messages = fleet.messages();
-    long machine = fleet.machineNanos();
+    long machine = fleet.stateMachineNanos();
     long wall = System.nanoTime();
     long cpu = THREADS.getCurrentThreadCpuTime();
     fleet.runTo(MEASURED_TO);
     cpu = THREADS.getCurrentThreadCpuTime() - cpu;
     wall = System.nanoTime() - wall;
-    double machineShare = (fleet.machineNanos() - machine) / (double) wall;
+    double machineShare = (fleet.stateMachineNanos() - machine) / (double) wall;
     double memberSeconds = members * (MEASURED_TO - MEASURED_FROM) / 1_000;
     replay(index, fleet, recorded);
     put("CPU ms a member a second, machine in the fleet", index, cpu * machineShare / 1e6 / memberSeconds);
@@ -113,14 +113,14 @@
     put("bytes a member a second, all", index, datagramBytes + viewBytes);
     put("bytes in a member's worst second", index, fleet.traffic().worstSecond());
     put("crash known to all, ms, worst of " + CRASHES, index, crashes(fleet, members));
-    long falsePositives = fleet.deaths().stream().filter(Death::lived).count();
+    long falsePositives = fleet.deaths().stream().filter(Death::wasAlive).count();
     put("false positives", index, falsePositives);
   }
 
   /** All members start at once, and each is news to all others. */
   private void massStart(int index, int members) {
     MemberFleet fleet = new MemberFleet(members, TERMS, SEED);
-    fleet.loseEverywhere(LOSS);
+    fleet.setLossEverywhere(LOSS);
     fleet.runTo(MEASURED_FROM);
     long datagrams = fleet.traffic().datagramBytes();
     long cpu = THREADS.getCurrentThreadCpuTime();
@@ -160,8 +160,8 @@
       double at = fleet.now();
       fleet.kill(victim);
       fleet.runTo(at + AFTER_CRASH);
-      List<Death> known = fleet.deaths().stream().filter(d -> d.of() == victim).toList();
-      long knowing = known.stream().map(Death::by).distinct().count();
+      List<Death> known = fleet.deaths().stream().filter(d -> d.member() == victim).toList();
+      long knowing = known.stream().map(Death::observer).distinct().count();
       double last = known.stream().mapToDouble(Death::at).max().orElse(0) - at;
       worst = Math.max(worst, knowing < others ? Double.POSITIVE_INFINITY : last);
     }
@@ -200,9 +200,9 @@
     double[] ofViews = new double[REPLAYS];
     double[] withCodec = new double[REPLAYS];
     for (int i = 0; i < REPLAYS; i++) {
-      all[i] = replayOnce(fleet.asAtItsStart(member), recorded, null);
+      all[i] = replayOnce(fleet.initialMembership(member), recorded, null);
       ofViews[i] = nanosOfViews;
-      withCodec[i] = replayOnce(fleet.asAtItsStart(member), recorded, written);
+      withCodec[i] = replayOnce(fleet.initialMembership(member), recorded, written);
     }
     return new Replayed(median(all), median(ofViews), median(withCodec));
   }
--- a/src/test/java/beampoint/emulator/MemberStudy.java
+++ b/src/test/java/beampoint/emulator/MemberStudy.java
@@ -33,15 +33,15 @@
         List<Double> all = new ArrayList<>(IntStream.range(0, Math.min(RUNS, 40_000 / members)).parallel()
             .mapToObj(seed -> {
               MemberFleet fleet = new MemberFleet(members, terms, seed);
-              fleet.loseEverywhere(0.01);
+              fleet.setLossEverywhere(0.01);
               fleet.runTo(5_000 + 37.0 * seed);
               double at = fleet.now();
               fleet.kill(seed % members);
               fleet.runTo(at + 20_000);
-              long knowing = fleet.deaths().stream().filter(d -> d.of() == seed % members).map(Death::by)
-                  .distinct().count();
+              long knowing = fleet.deaths().stream().filter(d -> d.member() == seed % members)
+                  .map(Death::observer).distinct().count();
               return knowing < members - 1 ? 99_999.0 : fleet.deaths().stream()
-                  .filter(d -> d.of() == seed % members).mapToDouble(Death::at).max().orElse(0) - at;
+                  .filter(d -> d.member() == seed % members).mapToDouble(Death::at).max().orElse(0) - at;
             }).toList());
         System.out.println("crash " + members + (terms == USUAL ? " usual " : " plain ") + quantiles(all));
       }
@@ -52,25 +52,25 @@
   private static MemberFleet troubles(int members, MembershipSettings terms, long seed) {
     MemberFleet fleet = new MemberFleet(members, terms, seed);
     Random random = new Random(seed);
-    fleet.loseEverywhere(0.05);
+    fleet.setLossEverywhere(0.05);
     fleet.runTo(5_000);
     for (int i = 0; i < 60; i++) {
       double at = fleet.now();
       int one = random.nextInt(members);
       int other = (one + 1 + random.nextInt(members - 1)) % members;
       int still = random.nextInt(members);
-      fleet.lose(one, other, 1);
+      fleet.setLoss(one, other, 1);
       fleet.pause(still);
       if (i % 6 == 0) {
-        fleet.loseEverywhere(0.3); // a burst
+        fleet.setLossEverywhere(0.3); // a burst
         fleet.runTo(at + 500);
-        fleet.loseEverywhere(0.05);
-        fleet.lose(one, other, 1);
+        fleet.setLossEverywhere(0.05);
+        fleet.setLoss(one, other, 1);
       }
       fleet.runTo(at + 500 + random.nextInt(2_500));
       fleet.resume(still);
       fleet.runTo(at + 10_000);
-      fleet.lose(one, other, 0.05);
+      fleet.setLoss(one, other, 0.05);
     }
     return fleet;
   }
@@ -81,7 +81,8 @@
       for (MembershipSettings terms : List.of(USUAL, USUAL.withoutSuspicion())) {
         int runs = terms == USUAL ? RUNS : Math.min(RUNS, 20);
         long falsePositives = IntStream.range(0, runs).parallel()
-            .mapToLong(seed -> troubles(members, terms, seed).deaths().stream().filter(Death::lived).count())
+            .mapToLong(seed -> troubles(members, terms, seed).deaths().stream().filter(Death::wasAlive)
+                .count())
             .sum();
         System.out.println("false positives " + members + (terms == USUAL ? " usual " : " plain ")
             + falsePositives + " in " + runs + " runs");
@@ -97,15 +98,15 @@
             MemberFleet fleet = new MemberFleet(members, USUAL, seed);
             for (int i = 0; i < members / 3; i++) {
               for (int j = members / 3; j < members; j++) {
-                fleet.lose(i, j, 1);
-                fleet.lose(j, i, 1);
+                fleet.setLoss(i, j, 1);
+                fleet.setLoss(j, i, 1);
               }
             }
             fleet.runTo(65_000);
-            fleet.loseEverywhere(0.01);
+            fleet.setLossEverywhere(0.01);
             for (double time = 100; time <= 20_000; time += 100) {
               fleet.runTo(65_000 + time);
-              if (fleet.isOfOneView() && fleet.membership(0).liveCount() == members) {
+              if (fleet.viewsAgree() && fleet.membership(0).liveCount() == members) {
                 return time;
               }
             }
@@ -197,7 +198,7 @@
   void traffic() {
     for (int members : new int[] {3, 14, 100, 400}) {
       MemberFleet fleet = new MemberFleet(members, USUAL, 1);
-      fleet.loseEverywhere(0.01);
+      fleet.setLossEverywhere(0.01);
       fleet.runTo(60_000);
       long messages = fleet.messages();
       long bytes = fleet.bytes();
