--- a/src/main/java/beampoint/fleet/distribution/AppliedChanges.java
+++ b/src/main/java/beampoint/fleet/distribution/AppliedChanges.java
@@ -5,91 +5,97 @@
 import java.util.TreeMap;
 
 /**
- * What this member has put into force: every entry once and in order, whatever repeats and overtakes on the
- * way. Entries that come too early wait, a bounded number of them.
+ * The entries that this member has applied: each one once and in the order of the log, although messages may
+ * be duplicated or reordered. A bounded number of entries that arrive early is held back until their
+ * predecessors arrive.
  */
 final class AppliedChanges {
 
   private final ChangeApplier applier;
   private final ChangeTail tail;
-  private final TreeMap<Long, ChangeEntry> ahead = new TreeMap<>();
-  private final int mostAhead;
-  private long refused;
-  private long repeats;
+  private final TreeMap<Long, ChangeEntry> outOfOrder = new TreeMap<>();
+  private final int maxOutOfOrder;
+  private long refusedIndex;
+  private long duplicates;
 
-  AppliedChanges(DistributionSettings terms, ChangeApplier applier) {
+  AppliedChanges(DistributionSettings settings, ChangeApplier applier) {
     this.applier = applier;
-    this.tail = new ChangeTail(terms.tailEntries(), terms.tailBytes());
-    this.mostAhead = terms.maxOutOfOrderEntries();
+    this.tail = new ChangeTail(settings.tailEntries(), settings.tailBytes());
+    this.maxOutOfOrder = settings.maxOutOfOrderEntries();
   }
 
   ChangeTail tail() {
     return tail;
   }
 
-  long upTo() {
+  /** The index of the last applied entry. */
+  long appliedUpTo() {
     return tail.last();
   }
 
-  /** The last change of configuration, where it was refused; else 0. */
-  long refused() {
-    return refused;
+  /** The index of the last configuration change if the applier refused it; otherwise 0. */
+  long refusedIndex() {
+    return refusedIndex;
   }
 
-  /** How many entries came that had been applied before. */
-  long repeats() {
-    return repeats;
+  /** The number of received entries that had been applied before. */
+  long duplicates() {
+    return duplicates;
   }
 
-  /** True where an entry waits for one that did not come. */
+  /** Whether an entry is held back because one before it is missing. */
   boolean hasGap() {
-    return !ahead.isEmpty();
+    return !outOfOrder.isEmpty();
   }
 
-  void take(ChangeEntry entry) {
-    if (entry.index() <= upTo()) {
-      repeats++;
-    } else if (entry.index() == upTo() + 1) {
+  /**
+   * Applies an entry if it is the next one, together with those held back for it. Otherwise it is held back,
+   * or ignored if it was applied before or is too far ahead.
+   */
+  void accept(ChangeEntry entry) {
+    if (entry.index() <= appliedUpTo()) {
+      duplicates++;
+    } else if (entry.index() == appliedUpTo() + 1) {
       apply(entry);
-      applyWaiting();
-    } else if (entry.index() <= upTo() + mostAhead) {
-      ahead.put(entry.index(), entry);
+      applyOutOfOrder();
+    } else if (entry.index() <= appliedUpTo() + maxOutOfOrder) {
+      outOfOrder.put(entry.index(), entry);
     }
   }
 
   private void apply(ChangeEntry entry) {
-    note(entry, applier.apply(entry));
+    recordOutcome(entry, applier.apply(entry));
     tail.append(entry);
   }
 
-  private void note(ChangeEntry entry, ChangeApplier.Outcome outcome) {
+  private void recordOutcome(ChangeEntry entry, ChangeApplier.Outcome outcome) {
     if (entry != null && entry.change() instanceof ConfigurationChange) {
-      refused = outcome == ChangeApplier.Outcome.REFUSED ? entry.index() : 0;
+      refusedIndex = outcome == ChangeApplier.Outcome.REFUSED ? entry.index() : 0;
     }
   }
 
-  private void applyWaiting() {
-    ahead.headMap(upTo(), true).clear();
-    while (!ahead.isEmpty() && ahead.firstKey() == upTo() + 1) {
-      apply(ahead.pollFirstEntry().getValue());
+  private void applyOutOfOrder() {
+    outOfOrder.headMap(appliedUpTo(), true).clear();
+    while (!outOfOrder.isEmpty() && outOfOrder.firstKey() == appliedUpTo() + 1) {
+      apply(outOfOrder.pollFirstEntry().getValue());
     }
   }
 
-  /** Puts a snapshot into force, where it is ahead of what is applied; true where it was. */
+  /** Applies a snapshot if it is ahead of the applied entries; returns whether it was. */
   boolean restore(ConfigurationSnapshot snapshot) {
-    if (snapshot.index() <= upTo()) {
+    if (snapshot.index() <= appliedUpTo()) {
       return false;
     }
-    note(snapshot.configuration(), applier.restore(snapshot));
+    recordOutcome(snapshot.configuration(), applier.restore(snapshot));
     tail.restart(snapshot);
-    applyWaiting();
+    applyOutOfOrder();
     return true;
   }
 
-  /** Another log has taken this one's place. */
-  void forget() {
-    ahead.clear();
+  /** Starts again at the empty log, because another log has replaced this one. */
+  void reset() {
+    outOfOrder.clear();
     tail.restart(ConfigurationSnapshot.EMPTY);
-    refused = 0;
+    refusedIndex = 0;
   }
 }
--- a/src/main/java/beampoint/fleet/distribution/ChangeApplier.java
+++ b/src/main/java/beampoint/fleet/distribution/ChangeApplier.java
@@ -2,21 +2,21 @@
 
 import beampoint.fleet.changes.ChangeEntry;
 
-/** Puts changes into force at this member; called in the order of the log, once for each entry. */
+/** Applies changes at this member. It is called once for each entry, in the order of the log. */
 public interface ChangeApplier {
 
-  /** What became of a change. */
+  /** The result of applying a change. */
   enum Outcome { APPLIED, REFUSED }
 
   /**
-   * Puts a change into force. A configuration is checked whole before any of it holds; where it is refused
-   * the one before stays in force.
+   * Applies a change. A configuration is validated as a whole before any part of it takes effect; if it is
+   * refused, the previous configuration stays in force.
    */
   Outcome apply(ChangeEntry entry);
 
   /**
-   * Puts a snapshot into force in place of the entries up to its index, which never come: whatever a purge
-   * among them may have named is to be held for purged.
+   * Applies a snapshot in place of the entries up to its index, which are never delivered. Any of them may
+   * have been a purge, so everything that such a purge could name must be considered purged.
    */
   Outcome restore(ConfigurationSnapshot snapshot);
 }
--- a/src/main/java/beampoint/fleet/distribution/ChangeTail.java
+++ b/src/main/java/beampoint/fleet/distribution/ChangeTail.java
@@ -7,42 +7,44 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The last entries that were applied, in full, on a snapshot of those before; of bounded size. */
+/** The most recent applied entries in full, on top of a snapshot of those before; bounded in size. */
 final class ChangeTail {
 
-  private static final int ENTRY_OVERHEAD = 12; // bytes of an entry in a message, beside its text, about
+  /** Approximate bytes of an entry in a message, apart from its text. */
+  private static final int ENTRY_OVERHEAD_BYTES = 12;
 
-  private static final int DEFLATED = 3; // a document becomes so many times shorter, about
+  /** Approximate factor by which deflating shortens a document. */
+  private static final int COMPRESSION_RATIO = 3;
 
   private final ChangeEntry[] ring;
-  private final int mostBytes;
+  private final int maxBytes;
   private ConfigurationSnapshot base = ConfigurationSnapshot.EMPTY;
-  private ChangeEntry configuration; // the last one, here or in the snapshot; or null
+  private ChangeEntry configuration; // the latest one, in the tail or in the snapshot; null if there is none
   private Epoch epoch = Epoch.NONE; // of the last entry
   private long last;
   private int bytes;
 
-  ChangeTail(int mostEntries, int mostBytes) {
-    this.ring = new ChangeEntry[mostEntries];
-    this.mostBytes = mostBytes;
+  ChangeTail(int maxEntries, int maxBytes) {
+    this.ring = new ChangeEntry[maxEntries];
+    this.maxBytes = maxBytes;
   }
 
-  /** What stands for the entries before the first that is kept. */
+  /** The snapshot of the entries before the first one in the tail. */
   ConfigurationSnapshot base() {
     return base;
   }
 
-  /** What stands for all entries up to the last. */
+  /** A snapshot of all entries up to the last one. */
   ConfigurationSnapshot latest() {
     return new ConfigurationSnapshot(last, epoch, configuration);
   }
 
-  /** The last entry's index. */
+  /** The index of the last entry. */
   long last() {
     return last;
   }
 
-  /** Starts anew from a snapshot. */
+  /** Replaces the whole tail by a snapshot. */
   void restart(ConfigurationSnapshot snapshot) {
     Arrays.fill(ring, null);
     base = snapshot;
@@ -52,16 +54,16 @@
     bytes = 0;
   }
 
-  /** Takes the next entry. */
+  /** Appends the next entry and drops the oldest ones as far as the bounds require it. */
   void append(ChangeEntry entry) {
     if (entry.index() != last + 1) {
-      throw new IllegalArgumentException("entry " + entry.index() + " after " + last);
+      throw new IllegalArgumentException("entry " + entry.index() + " does not follow entry " + last);
     }
-    while (last - base.index() == ring.length || bytes > 0 && bytes + weight(entry) > mostBytes) {
+    while (last - base.index() == ring.length || bytes > 0 && bytes + storedBytes(entry) > maxBytes) {
       dropFirst();
     }
     ring[slot(entry.index())] = entry;
-    bytes += weight(entry);
+    bytes += storedBytes(entry);
     last = entry.index();
     epoch = entry.epoch();
     configuration = entry.change() instanceof ConfigurationChange ? entry : configuration;
@@ -70,7 +72,7 @@
   private void dropFirst() {
     ChangeEntry first = ring[slot(base.index() + 1)];
     ring[slot(first.index())] = null;
-    bytes -= weight(first);
+    bytes -= storedBytes(first);
     base = new ConfigurationSnapshot(first.index(), first.epoch(),
         first.change() instanceof ConfigurationChange ? first : base.configuration());
   }
@@ -79,14 +81,18 @@
     return (int) (index % ring.length);
   }
 
-  /** Entries from an index on, of about so many bytes: one at the least where there is any. */
-  List<ChangeEntry> from(long index, int most, int mostBytesOfThem) {
+  /**
+   * Returns consecutive entries, starting at an index or, if that is no longer in the tail, at the first one.
+   *
+   * @param maxMessageBytes the approximate limit for their bytes in a message; a single entry may exceed it
+   */
+  List<ChangeEntry> entriesFrom(long index, int maxEntries, int maxMessageBytes) {
     List<ChangeEntry> entries = new ArrayList<>();
     int size = 0;
-    for (long i = Math.max(index, base.index() + 1); i <= last && entries.size() < most; i++) {
+    for (long i = Math.max(index, base.index() + 1); i <= last && entries.size() < maxEntries; i++) {
       ChangeEntry entry = ring[slot(i)];
-      size += sentWeight(entry);
-      if (size > mostBytesOfThem && !entries.isEmpty()) {
+      size += messageBytes(entry);
+      if (size > maxMessageBytes && !entries.isEmpty()) {
         break;
       }
       entries.add(entry);
@@ -94,13 +100,14 @@
     return entries;
   }
 
-  /** About its bytes in a message, where documents are deflated. */
-  private static int sentWeight(ChangeEntry entry) {
+  /** The approximate bytes of an entry in a message, where documents are deflated. */
+  private static int messageBytes(ChangeEntry entry) {
     int weight = entry.change().weight();
-    return ENTRY_OVERHEAD + (entry.change() instanceof ConfigurationChange ? weight / DEFLATED : weight);
+    return ENTRY_OVERHEAD_BYTES
+        + (entry.change() instanceof ConfigurationChange ? weight / COMPRESSION_RATIO : weight);
   }
 
-  private static int weight(ChangeEntry entry) {
-    return ENTRY_OVERHEAD + entry.change().weight();
+  private static int storedBytes(ChangeEntry entry) {
+    return ENTRY_OVERHEAD_BYTES + entry.change().weight();
   }
 }
--- a/src/main/java/beampoint/fleet/distribution/Completion.java
+++ b/src/main/java/beampoint/fleet/distribution/Completion.java
@@ -3,25 +3,28 @@
 import java.util.List;
 
 /**
- * How far one change is, as the leader knows it.
+ * The progress of one change across the fleet, as known to the leader. The lists of names are cut off after a
+ * maximum length.
  *
- * @param expected how many proxies are expected to apply it
- * @param applied how many have
- * @param missing those that have not and may still serve without it, the first ones of them
- * @param missingCount how many these are in all
- * @param fenced those that have not and know that they are not fresh, the first ones of them
- * @param fencedCount how many these are in all
- * @param refused those that found the change bad and kept what they had, the first ones of them
+ * @param expected the number of proxies that are expected to apply the change
+ * @param applied the number of proxies that have applied it
+ * @param missing proxies that have not applied it and may still serve without it
+ * @param missingCount the number of all such proxies
+ * @param fenced proxies that have not applied it and know that they are not fresh
+ * @param fencedCount the number of all such proxies
+ * @param refused proxies that refused the change as invalid and kept the previous state
  */
 public record Completion(long index, int expected, int applied, List<String> missing, int missingCount,
     List<String> fenced, int fencedCount, List<String> refused) {
 
-  /** Every expected proxy has put it into force. */
+  /** Whether every expected proxy has applied the change. */
   public boolean isDoneEverywhere() {
     return applied == expected;
   }
 
-  /** Every expected proxy has put it into force or is fenced; the fenced ones are not done. */
+  /**
+   * Whether every expected proxy has applied the change or is fenced; a fenced proxy does not count as done.
+   */
   public boolean isDoneOrFenced() {
     return applied + fencedCount == expected;
   }
--- a/src/main/java/beampoint/fleet/distribution/DistributionAction.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionAction.java
@@ -1,6 +1,6 @@
 package beampoint.fleet.distribution;
 
-/** What a member of the tree wants done; applying goes through its {@link ChangeApplier}. */
+/** An action that a member of the tree requests; changes are applied through its {@link ChangeApplier}. */
 public sealed interface DistributionAction {
 
   /** Sends a message to a member. */
--- a/src/main/java/beampoint/fleet/distribution/DistributionCodec.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionCodec.java
@@ -20,13 +20,13 @@
 import java.util.List;
 
 /**
- * Messages of the distribution tree in CBOR (RFC 8949): one array that begins with the cluster's name, the
- * version of the form and the kind of message. Any bytes may come: what can't be read is a
- * {@link MalformedMessageException} and nothing else.
+ * Encodes and decodes the messages of the distribution tree in CBOR (RFC 8949). A message is one array that
+ * begins with the name of the cluster, the version of the format and the kind of message. The input may be
+ * arbitrary bytes: decoding fails with a {@link MalformedMessageException} and no other exception.
  */
 public final class DistributionCodec {
 
-  /** The most bytes of a message; what does not fit a datagram goes over a connection. */
+  /** The maximum size of a message. Messages that do not fit into a datagram are sent over a connection. */
   public static final int MAX_BYTES = 80 * 1024;
 
   private static final int VERSION = 1;
@@ -39,55 +39,57 @@
   private static final int SNAPSHOT = 4;
   private static final int REFUSAL = 5;
   private static final int UNSUBSCRIBE = 6;
-  private static final CBORFactory FORM = CBORFactory.builder()
+  private static final CBORFactory CBOR = CBORFactory.builder()
       .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH)
           .maxStringLength(ConfigurationChange.MAX_DOCUMENT_BYTES).maxNumberLength(20).build())
       .build();
 
   private final String cluster;
 
+  /** Creates a codec that accepts messages of one cluster only. */
   public DistributionCodec(String cluster) {
     this.cluster = cluster;
   }
 
-  /** The bytes of a message. */
+  /** Encodes a message. */
   public byte[] write(DistributionMessage message) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    try (JsonGenerator out = FORM.createGenerator(bytes)) {
+    try (JsonGenerator out = CBOR.createGenerator(bytes)) {
       out.writeStartArray();
       out.writeString(cluster);
       out.writeNumber(VERSION);
-      writeBody(out, message);
+      writeKindAndBody(out, message);
       out.writeEndArray();
     } catch (IOException e) {
-      throw new IllegalStateException("bytes in memory can't be written", e);
+      throw new IllegalStateException("failed to encode a message in memory", e);
     }
     return bytes.toByteArray();
   }
 
-  private static void writeBody(JsonGenerator out, DistributionMessage message) throws IOException {
+  private static void writeKindAndBody(JsonGenerator out, DistributionMessage message) throws IOException {
     if (message instanceof Report m) {
-      begin(out, REPORT, m);
+      writeHeader(out, REPORT, m);
       write(out, m);
     } else if (message instanceof Batch m) {
-      begin(out, BATCH, m);
+      writeHeader(out, BATCH, m);
       write(out, m);
     } else if (message instanceof Fetch m) {
-      begin(out, FETCH, m);
+      writeHeader(out, FETCH, m);
       out.writeNumber(m.from());
     } else if (message instanceof SnapshotReply m) {
-      begin(out, SNAPSHOT, m);
+      writeHeader(out, SNAPSHOT, m);
       write(out, m.snapshot());
     } else if (message instanceof Refusal m) {
-      begin(out, REFUSAL, m);
+      writeHeader(out, REFUSAL, m);
       out.writeNumber(m.session());
     } else if (message instanceof Unsubscribe m) {
-      begin(out, UNSUBSCRIBE, m);
+      writeHeader(out, UNSUBSCRIBE, m);
       out.writeNumber(m.session());
     }
   }
 
-  private static void begin(JsonGenerator out, int kind, DistributionMessage message) throws IOException {
+  private static void writeHeader(JsonGenerator out, int kind, DistributionMessage message)
+      throws IOException {
     out.writeNumber(kind);
     out.writeNumber(message.log());
   }
@@ -116,7 +118,7 @@
       out.writeNumber(echo);
     }
     out.writeEndArray();
-    EntryForm.write(out, batch.entries());
+    EntryCodec.write(out, batch.entries());
   }
 
   private static void write(JsonGenerator out, ConfigurationSnapshot snapshot) throws IOException {
@@ -124,87 +126,93 @@
     out.writeNumber(snapshot.epoch().number());
     out.writeString(snapshot.epoch().holder());
     out.writeNumber(snapshot.epoch().life());
-    EntryForm.write(out, snapshot.configuration() == null ? List.of() : List.of(snapshot.configuration()));
+    EntryCodec.write(out, snapshot.configuration() == null ? List.of() : List.of(snapshot.configuration()));
   }
 
-  /** Reads a message of this cluster. */
+  /**
+   * Decodes a message of this cluster.
+   *
+   * @throws MalformedMessageException if the bytes are not such a message, or have another version
+   */
   public DistributionMessage read(byte[] bytes, int length) throws MalformedMessageException {
     if (length > MAX_BYTES) {
-      throw new MalformedMessageException("longer than a message may be: " + length);
+      throw new MalformedMessageException("message of " + length + " bytes is longer than " + MAX_BYTES);
     }
-    try (JsonParser parser = FORM.createParser(bytes, 0, length)) {
+    try (JsonParser parser = CBOR.createParser(bytes, 0, length)) {
       MessageReader in = new MessageReader(parser);
       in.expect(JsonToken.START_ARRAY);
-      if (!in.name().equals(cluster)) {
-        throw new MalformedMessageException("of another cluster");
+      if (!in.readName().equals(cluster)) {
+        throw new MalformedMessageException("message of another cluster");
       }
-      long version = in.number();
+      long version = in.readLong();
       if (version != VERSION) {
-        throw new MalformedMessageException("of an unknown version: " + version);
+        throw new MalformedMessageException(
+            "message version " + version + " is not the supported version " + VERSION);
       }
-      DistributionMessage message = body(in, in.small(UNSUBSCRIBE), in.count());
-      in.end();
+      DistributionMessage message = readBody(in, in.readInt(UNSUBSCRIBE), in.readNonNegative());
+      in.expectEnd();
       return message;
     } catch (IOException | RuntimeException e) {
-      throw new MalformedMessageException("no message: " + e.getMessage(), e);
+      throw new MalformedMessageException("malformed message: " + e.getMessage(), e);
     }
   }
 
-  private static DistributionMessage body(MessageReader in, int kind, long log)
+  private static DistributionMessage readBody(MessageReader in, int kind, long log)
       throws IOException, MalformedMessageException {
     return switch (kind) {
-      case REPORT -> report(in, log);
-      case BATCH -> batch(in, log);
-      case FETCH -> new Fetch(log, in.count());
-      case SNAPSHOT -> new SnapshotReply(log, snapshot(in));
-      case REFUSAL -> new Refusal(log, in.count());
-      case UNSUBSCRIBE -> new Unsubscribe(log, in.count());
-      default -> throw new MalformedMessageException("of an unknown kind: " + kind);
+      case REPORT -> readReport(in, log);
+      case BATCH -> readBatch(in, log);
+      case FETCH -> new Fetch(log, in.readNonNegative());
+      case SNAPSHOT -> new SnapshotReply(log, readSnapshot(in));
+      case REFUSAL -> new Refusal(log, in.readNonNegative());
+      case UNSUBSCRIBE -> new Unsubscribe(log, in.readNonNegative());
+      default -> throw new MalformedMessageException("unknown kind of message: " + kind);
     };
   }
 
-  private static Report report(MessageReader in, long log) throws IOException, MalformedMessageException {
-    long session = in.count();
-    long token = in.count();
-    long applied = in.count();
+  private static Report readReport(MessageReader in, long log) throws IOException, MalformedMessageException {
+    long session = in.readNonNegative();
+    long token = in.readNonNegative();
+    long applied = in.readNonNegative();
     in.expect(JsonToken.START_ARRAY);
     List<MemberProgress> progress = new ArrayList<>();
     while (in.next() == JsonToken.VALUE_STRING && progress.size() < MAX_PROGRESS) {
-      progress.add(new MemberProgress(in.presentName(), in.count(), notNegative(applied + in.number()),
-          in.count()));
+      progress.add(new MemberProgress(in.currentName(), in.readNonNegative(),
+          checkNotNegative(applied + in.readLong()), in.readNonNegative()));
     }
-    in.expectPresent(JsonToken.END_ARRAY);
+    in.expectCurrent(JsonToken.END_ARRAY);
     return new Report(log, session, token, applied, List.copyOf(progress));
   }
 
-  private static long notNegative(long index) throws MalformedMessageException {
+  private static long checkNotNegative(long index) throws MalformedMessageException {
     if (index < 0) {
-      throw new MalformedMessageException("with an index below 0");
+      throw new MalformedMessageException("negative index: " + index);
     }
     return index;
   }
 
-  private static Batch batch(MessageReader in, long log) throws IOException, MalformedMessageException {
-    long session = in.count();
-    long sourceAge = in.count();
-    long head = in.count();
-    long sentUpTo = notNegative(head - in.number());
+  private static Batch readBatch(MessageReader in, long log) throws IOException, MalformedMessageException {
+    long session = in.readNonNegative();
+    long sourceAge = in.readNonNegative();
+    long head = in.readNonNegative();
+    long sentUpTo = checkNotNegative(head - in.readLong());
     in.expect(JsonToken.START_ARRAY);
     List<Long> echoes = new ArrayList<>();
     while (in.next() == JsonToken.VALUE_NUMBER_INT && echoes.size() < MAX_ECHOES) {
-      echoes.add(in.presentCount());
+      echoes.add(in.currentNonNegative());
     }
-    in.expectPresent(JsonToken.END_ARRAY);
-    return new Batch(log, session, sourceAge, head, sentUpTo, List.copyOf(echoes), EntryForm.read(in));
+    in.expectCurrent(JsonToken.END_ARRAY);
+    return new Batch(log, session, sourceAge, head, sentUpTo, List.copyOf(echoes), EntryCodec.read(in));
   }
 
-  private static ConfigurationSnapshot snapshot(MessageReader in)
+  private static ConfigurationSnapshot readSnapshot(MessageReader in)
       throws IOException, MalformedMessageException {
-    long index = in.count();
-    Epoch epoch = new Epoch(in.count(), in.name(), in.number());
-    List<ChangeEntry> entries = EntryForm.read(in);
+    long index = in.readNonNegative();
+    Epoch epoch = new Epoch(in.readNonNegative(), in.readName(), in.readLong());
+    List<ChangeEntry> entries = EntryCodec.read(in);
     if (entries.size() > 1 || !entries.isEmpty() && entries.get(0).index() > index) {
-      throw new MalformedMessageException("with an odd snapshot");
+      throw new MalformedMessageException(
+          "snapshot with several entries, or with an entry after its index " + index);
     }
     return new ConfigurationSnapshot(index, epoch, entries.isEmpty() ? null : entries.get(0));
   }
--- a/src/main/java/beampoint/fleet/distribution/DistributionEvent.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionEvent.java
@@ -4,27 +4,31 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a member of the tree observes. */
+/** An input to a member of the tree. */
 public sealed interface DistributionEvent {
 
-  /** Some time has passed. */
+  /** Time has passed; to be delivered at regular intervals. */
   record Tick() implements DistributionEvent {}
 
-  /** A message has come. */
+  /** A message has been received. */
   record Received(String from, DistributionMessage message) implements DistributionEvent {}
 
-  /** Whom it may subscribe to, the best first, as {@link DistributionTree} has it. */
+  /** The members to which this one may subscribe, in order of preference; see {@link DistributionTree}. */
   record ParentsChanged(List<Parent> parents) implements DistributionEvent {}
 
-  /** Its own copy of a log has these entries committed. */
+  /** Entries have been committed in this member's own replica of a log. */
   record Committed(long log, List<ChangeEntry> entries) implements DistributionEvent {}
 
-  /** Its own copy of a log begins anew from a snapshot. */
+  /** This member's own replica of a log has been replaced by a snapshot. */
   record Installed(long log, ConfigurationSnapshot snapshot) implements DistributionEvent {}
 
-  /** It leads the control machines of a log from now on; these proxies are expected to apply every change. */
+  /**
+   * This member has become the leader of a log.
+   *
+   * @param expected the proxies that are expected to apply every change
+   */
   record BecameLeader(long log, Set<String> expected) implements DistributionEvent {}
 
-  /** It leads no longer. */
+  /** This member is no longer the leader. */
   record LostLeadership() implements DistributionEvent {}
 }
--- a/src/main/java/beampoint/fleet/distribution/DistributionMessage.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionMessage.java
@@ -4,47 +4,48 @@
 import java.util.List;
 
 /**
- * What members of the tree say to each other. Each message names the log: entries of another log are not
- * mixed in.
+ * A message between members of the tree. Each message names its log, so that entries of different logs are
+ * not mixed.
  */
 public sealed interface DistributionMessage {
 
-  /** The log's identity; a log that replaces another has a higher one. */
+  /** The id of the log; a log that replaces another has a higher one. */
   long log();
 
   /**
-   * A child subscribes, or stays subscribed, and tells how far the proxies below it are.
+   * Creates or renews a child's subscription and reports the progress of the proxies below it.
    *
    * @param session chosen by the child, higher for each subscription
-   * @param token numbers the child's reports; the parent repeats it once the leader has seen the report
-   * @param appliedUpTo what the child itself needs nothing of any more
-   * @param progress of the child and those below it of whom it heard since its last report
+   * @param token the number of this report; the parent echoes it once the leader has received the report
+   * @param appliedUpTo the last entry that the child itself has applied, with all before it
+   * @param progress the progress of the child and of those members below it that have reported since its last
+   *     report
    */
   record Report(long log, long session, long token, long appliedUpTo, List<MemberProgress> progress)
       implements DistributionMessage {}
 
   /**
-   * Entries for a child, which are also a heartbeat; or the answer to a fetch.
+   * Entries for a child, which also serve as a heartbeat; or the reply to a fetch.
    *
-   * @param session the child's; 0 in the answer to a fetch
-   * @param sourceAge how long ago, in ms, the sender heard from its own parent
+   * @param session the session of the child; 0 in the reply to a fetch
+   * @param sourceAge the age in ms of the sender's latest information from the leader
    * @param head the last entry that the sender has
-   * @param sentUpTo the last entry that it has sent to this child, with this batch
-   * @param echoes tokens of the child's reports that the leader has seen
-   * @param entries consecutive ones
+   * @param sentUpTo the last entry that the sender has sent to this child, including this batch
+   * @param echoes tokens of the child's reports that the leader has received
+   * @param entries consecutive entries
    */
   record Batch(long log, long session, long sourceAge, long head, long sentUpTo, List<Long> echoes,
       List<ChangeEntry> entries) implements DistributionMessage {}
 
-  /** Asks for entries from an index on. */
+  /** Requests entries from an index on. */
   record Fetch(long log, long from) implements DistributionMessage {}
 
-  /** Answers a fetch of entries that the sender has no longer. */
+  /** The reply to a fetch of entries that the sender no longer has. */
   record SnapshotReply(long log, ConfigurationSnapshot snapshot) implements DistributionMessage {}
 
-  /** A parent does not take, or no longer has, the child of a session. */
+  /** The parent does not accept, or no longer has, the child of a session. */
   record Refusal(long log, long session) implements DistributionMessage {}
 
-  /** A child has found another parent. */
+  /** The child has subscribed to another parent. */
   record Unsubscribe(long log, long session) implements DistributionMessage {}
 }
--- a/src/main/java/beampoint/fleet/distribution/DistributionNode.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionNode.java
@@ -15,195 +15,195 @@
 import beampoint.fleet.distribution.DistributionMessage.Report;
 import beampoint.fleet.distribution.DistributionMessage.SnapshotReply;
 import beampoint.fleet.distribution.DistributionMessage.Unsubscribe;
-import beampoint.fleet.distribution.ReportParts.Part;
-import beampoint.fleet.distribution.ReportParts.Passed;
+import beampoint.fleet.distribution.ReportForwarder.ChildReport;
+import beampoint.fleet.distribution.ReportForwarder.OutgoingReport;
 import beampoint.fleet.facts.Epoch;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * One member of the distribution tree: a proxy, or a control machine. It subscribes to a parent, applies what
- * comes, passes it on to its own children, and reports up how far it and those below it are. A state machine:
- * a time and an event in, actions out.
+ * One member of the distribution tree: a proxy or a control machine. It subscribes to a parent, applies the
+ * entries that it receives, passes them on to its own children, and reports its progress and that of the
+ * members below it to its parent. A state machine: it takes a time and an event, and returns actions.
  */
 public final class DistributionNode {
 
-  private static final int LOG_BITS = 16; // that tell logs of one epoch's number apart
-  private static final int SESSION_BITS = 20; // for the subscriptions of one life
+  private static final int LOG_BITS = 16; // distinguish the logs of epochs that have the same number
+  private static final int SESSION_BITS = 20; // number the subscriptions of one process
 
-  private final DistributionSettings terms;
+  private final DistributionSettings settings;
   private final TreeMember self;
   private final AppliedChanges applied;
-  private final ParentLink upward;
-  private final ChildLinks children;
-  private final ReportParts reports = new ReportParts();
+  private final ParentSubscription parent;
+  private final ChildSubscriptions children;
+  private final ReportForwarder reports = new ReportForwarder();
   private final SnapshotQueue snapshots;
-  private final Freshness freshness;
-  private final List<DistributionAction> out = new ArrayList<>();
-  private ProgressTracker tracker; // null while it does not lead
+  private final FreshnessLease freshness;
+  private final List<DistributionAction> actions = new ArrayList<>();
+  private ProgressTracker tracker; // null while this member is not the leader
   private double now;
   private long log;
-  private long head; // the last entry that it heard of
-  private long sentUpTo; // by the present parent
-  private double reportAt;
-  private double reportedAt;
-  private double fetchAgainAt;
-  private int fetches; // without an answer
+  private long head; // the last entry known to this member, applied or not
+  private long sentUpTo; // the last entry sent by the current parent
+  private double nextReportAt;
+  private double lastReportAt;
+  private double nextFetchAt;
+  private int unansweredFetches;
 
   /**
-   * A member that has applied nothing.
+   * Creates a member that has applied nothing.
    *
-   * @param life of its process; a later one has a higher number
-   * @param log the identity of the log; 0 where it is not known yet
+   * @param life the number of its process; a later one has a higher number
+   * @param log the id of the log; 0 if it is not known yet
    */
-  public DistributionNode(DistributionSettings terms, TreeMember self, long life, long log,
+  public DistributionNode(DistributionSettings settings, TreeMember self, long life, long log,
       ChangeApplier applier, double now) {
-    this.terms = terms;
+    this.settings = settings;
     this.self = self;
     this.log = log;
     this.now = now;
-    this.applied = new AppliedChanges(terms, applier);
-    this.upward = new ParentLink(terms, life << SESSION_BITS, now);
-    this.children = new ChildLinks(terms);
-    this.snapshots = new SnapshotQueue(terms.snapshotInterval());
-    this.freshness = new Freshness(terms);
+    this.applied = new AppliedChanges(settings, applier);
+    this.parent = new ParentSubscription(settings, life << SESSION_BITS, now);
+    this.children = new ChildSubscriptions(settings);
+    this.snapshots = new SnapshotQueue(settings.snapshotInterval());
+    this.freshness = new FreshnessLease(settings);
   }
 
   /**
-   * The number by which the tree names a log: a log that was founded later has a higher one, but for two that
-   * were founded under epochs of one number.
+   * Returns the id of a log in the tree. A log that was founded later has a higher id, unless both were
+   * founded under epochs with the same number.
    */
   public static long logId(Epoch identity) {
     return identity.number() << LOG_BITS | identity.hashCode() & (1 << LOG_BITS) - 1;
   }
 
-  /** Takes one event; the time never goes back. */
+  /** Handles one event and returns the resulting actions. The time must not go back. */
   public List<DistributionAction> handle(double time, DistributionEvent event) {
     now = time;
-    out.clear();
+    actions.clear();
     if (event instanceof Tick) {
       tick();
     } else if (event instanceof Received e) {
       receive(e.from(), e.message());
     } else if (event instanceof ParentsChanged e) {
-      upward.candidates(e.parents());
+      parent.setCandidates(e.parents());
       chooseParent();
     } else if (event instanceof Committed e) {
-      adoptNewer(e.log());
-      take(e.entries());
+      adoptNewerLog(e.log());
+      accept(e.entries());
     } else if (event instanceof Installed e) {
-      adoptNewer(e.log());
+      adoptNewerLog(e.log());
       restore(e.snapshot());
     } else if (event instanceof BecameLeader e) {
-      adoptNewer(e.log());
-      tracker = new ProgressTracker(terms, e.expected(), now);
+      adoptNewerLog(e.log());
+      tracker = new ProgressTracker(settings, e.expected(), now);
     } else if (event instanceof LostLeadership) {
       tracker = null;
     }
     freshness.observe(now, appliedUpTo());
-    return List.copyOf(out);
+    return List.copyOf(actions);
   }
 
-  /** The last entry that it has put into force, with all before it. */
+  /** The index of the last entry that this member has applied, with all before it. */
   public long appliedUpTo() {
-    return applied.upTo();
+    return applied.appliedUpTo();
   }
 
-  /** Whether the leader may count on it: false as soon as its lease is over, by its own clock. */
+  /** Whether this member is fresh: false as soon as its lease has expired by its own clock. */
   public boolean isFresh(double time) {
     return freshness.isFresh(time, appliedUpTo());
   }
 
-  /** How often its lease has run out. */
+  /** How often this member has stopped being fresh. */
   public long lapses() {
     return freshness.lapses();
   }
 
-  /** How often an entry came that had been applied before. */
-  public long repeats() {
-    return applied.repeats();
+  /** The number of received entries that had been applied before. */
+  public long duplicates() {
+    return applied.duplicates();
   }
 
-  /** Its parent; empty for none. */
+  /** The name of the current parent; empty if there is none. */
   public String parent() {
-    return upward.parent();
+    return parent.name();
   }
 
-  /** Who has subscribed to it. */
+  /** The names of the members that have subscribed to this one. */
   public List<String> children() {
     return children.names();
   }
 
-  /** What it knows of all proxies as the leader; null where it does not lead. */
+  /** The progress of all proxies, as known to the leader; null if this member is not the leader. */
   public ProgressTracker tracker() {
     return tracker;
   }
 
-  // ---- Steps ----------------------------------------------------------------------------------------------
+  // ---- Periodic work --------------------------------------------------------------------------------------
 
   private void tick() {
     chooseParent();
-    children.forgetSilent(now);
-    long sourceAge = tracker != null ? 0 : (long) Math.ceil(upward.sourceAge(now));
-    out.addAll(children.due(now, log, sourceAge, applied.tail()));
+    children.removeTimedOut(now);
+    long sourceAge = tracker != null ? 0 : (long) Math.ceil(parent.sourceAge(now));
+    actions.addAll(children.dueBatches(now, log, sourceAge, applied.tail()));
     sendSnapshots();
-    if (now >= reportAt) {
+    if (now >= nextReportAt) {
       report();
     }
-    if (now >= fetchAgainAt && isBehindWhatWasSent()) {
+    if (now >= nextFetchAt && isMissingEntries()) {
       fetch();
     }
   }
 
   private void chooseParent() {
-    String before = upward.parent();
-    long session = upward.session();
-    if (upward.choose(now)) {
+    String previous = parent.name();
+    long session = parent.session();
+    if (parent.choose(now)) {
       reports.restart();
       sentUpTo = 0;
-      if (!before.isEmpty()) {
-        send(before, new Unsubscribe(log, session));
+      if (!previous.isEmpty()) {
+        send(previous, new Unsubscribe(log, session));
       }
       report();
     }
   }
 
   private void report() {
-    reportAt = now + terms.reportInterval();
-    reportedAt = now;
-    if (upward.parent().isEmpty()) {
+    nextReportAt = now + settings.reportInterval();
+    lastReportAt = now;
+    if (parent.name().isEmpty()) {
       return;
     }
     boolean isFirst = true;
     do {
-      Part part = reports.next(now, isFirst && !self.isControl());
+      OutgoingReport report = reports.next(now, isFirst && !self.isControl());
       List<MemberProgress> progress = new ArrayList<>();
-      if (part.hasSelf()) {
-        progress.add(MemberProgress.ofSender(appliedUpTo(), applied.refused()));
+      if (report.includesSelf()) {
+        progress.add(MemberProgress.ofSender(appliedUpTo(), applied.refusedIndex()));
       }
-      progress.addAll(part.progress());
-      send(upward.parent(), new Report(log, upward.session(), part.token(), appliedUpTo(), progress));
+      progress.addAll(report.progress());
+      send(parent.name(), new Report(log, parent.session(), report.token(), appliedUpTo(), progress));
       isFirst = false;
-    } while (reports.hasWaiting());
+    } while (reports.hasPending());
   }
 
-  // ---- What comes -----------------------------------------------------------------------------------------
+  // ---- Received messages ----------------------------------------------------------------------------------
 
   private void receive(String from, DistributionMessage message) {
     if (message instanceof Report m) {
-      takeReport(from, m);
+      receiveReport(from, m);
     } else if (message instanceof Unsubscribe m) {
       children.unsubscribe(from, m.session());
-    } else if (message instanceof Refusal m && upward.isFrom(from, m.session())) {
-      upward.failed(now);
-    } else if (isSource(from)) {
-      adoptNewer(message.log());
+    } else if (message instanceof Refusal m && parent.isCurrent(from, m.session())) {
+      parent.markFailed(now);
+    } else if (isCandidate(from)) {
+      adoptNewerLog(message.log());
     }
     if (message.log() != log) {
       return;
     }
     if (message instanceof Batch m) {
-      takeBatch(from, m);
+      receiveBatch(from, m);
     } else if (message instanceof Fetch m) {
       answer(from, m);
     } else if (message instanceof SnapshotReply m) {
@@ -218,132 +218,136 @@
     }
   }
 
-  private boolean isSource(String name) {
-    return upward.candidates().stream().anyMatch(parent -> parent.name().equals(name));
+  private boolean isCandidate(String name) {
+    return parent.candidates().stream().anyMatch(candidate -> candidate.name().equals(name));
   }
 
-  /** The control machines have begun another log: what this member holds is of none. */
-  private void adoptNewer(long other) {
+  /** Discards all state of the present log if the control machines have started a newer one. */
+  private void adoptNewerLog(long other) {
     if (other <= log) {
       return;
     }
     log = other;
     head = 0;
     sentUpTo = 0;
-    applied.forget();
+    applied.reset();
     freshness.revoke();
     reports.restart();
     children.clear();
   }
 
-  private void takeReport(String from, Report report) {
-    boolean mayFeed = self.isControl() || upward.isFedByControl();
-    if (!mayFeed || !children.take(now, from, report, log)) {
+  private void receiveReport(String from, Report report) {
+    boolean mayHaveChildren = self.isControl() || parent.isControl();
+    if (!mayHaveChildren || !children.accept(now, from, report, log)) {
       send(from, new Refusal(log, report.session()));
       return;
     }
     if (report.log() != log || log == 0) {
-      return; // how far it is in another log says nothing here, and without a log nothing is applied
+      return; // progress in another log does not apply here, and without a log nothing has been applied
     }
     List<MemberProgress> progress = report.progress().stream()
-        .map(p -> p.isOfSender() ? p.of(from, report.session() >> SESSION_BITS) : p).toList();
+        .map(p -> p.isOfSender() ? p.withMember(from, report.session() >> SESSION_BITS) : p).toList();
     if (tracker != null) {
-      tracker.heard(now, progress);
+      tracker.record(now, progress);
       children.echo(from, report.session(), report.token());
     } else if (!progress.isEmpty()) {
-      reports.add(new Passed(from, report.session(), report.token(), progress));
+      reports.add(new ChildReport(from, report.session(), report.token(), progress));
       reportSoon();
     }
   }
 
-  /** What children said is passed on early, so that their leases are renewed in time. */
+  /** Brings the next report forward, so that the leases of the children are renewed in time. */
   private void reportSoon() {
-    double earliest = Math.max(now, reportedAt + terms.reportInterval() / 2);
-    reportAt = Math.min(reportAt, earliest);
+    double earliest = Math.max(now, lastReportAt + settings.reportInterval() / 2);
+    nextReportAt = Math.min(nextReportAt, earliest);
   }
 
-  private void takeBatch(String from, Batch batch) {
-    boolean isParents = upward.isFrom(from, batch.session());
+  private void receiveBatch(String from, Batch batch) {
+    boolean isFromParent = parent.isCurrent(from, batch.session());
     head = Math.max(head, batch.head());
-    if (isParents) {
-      upward.heard(now, batch.sourceAge());
+    if (isFromParent) {
+      parent.heard(now, batch.sourceAge());
       sentUpTo = Math.max(sentUpTo, batch.sentUpTo());
-      batch.echoes().forEach(this::echoed);
+      batch.echoes().forEach(this::confirm);
     }
     long before = appliedUpTo();
-    take(batch.entries());
+    accept(batch.entries());
     if (batch.session() == 0 && appliedUpTo() > before) {
       fetchAnswered();
     }
-    if (isBehindWhatWasSent() && now >= fetchAgainAt) {
+    if (isMissingEntries() && now >= nextFetchAt) {
       fetch();
     }
   }
 
-  // ---- Entries that did not come --------------------------------------------------------------------------
+  // ---- Missing entries ------------------------------------------------------------------------------------
 
-  private boolean isBehindWhatWasSent() {
+  private boolean isMissingEntries() {
     return appliedUpTo() < sentUpTo || applied.hasGap();
   }
 
-  /** Asks for the oldest that is lacking: the parent first, then by turns all that it may subscribe to. */
+  /**
+   * Requests the oldest missing entry: first from the parent and, while there is no answer, from all
+   * candidates in turn.
+   */
   private void fetch() {
-    List<Parent> sources = upward.candidates();
-    if (sources.isEmpty()) {
+    List<Parent> candidates = parent.candidates();
+    if (candidates.isEmpty()) {
       return;
     }
-    String source = fetches == 0 ? upward.parent() : sources.get(fetches % sources.size()).name();
-    fetches++;
-    fetchAgainAt = now + terms.fetchTimeout();
+    String source = unansweredFetches == 0 ? parent.name()
+        : candidates.get(unansweredFetches % candidates.size()).name();
+    unansweredFetches++;
+    nextFetchAt = now + settings.fetchTimeout();
     send(source, new Fetch(log, appliedUpTo() + 1));
   }
 
-  /** The next may be asked for: one answer is on its way at a time. */
+  /** Allows the next fetch at once; there is one outstanding fetch at a time. */
   private void fetchAnswered() {
-    fetches = 0;
-    fetchAgainAt = now;
+    unansweredFetches = 0;
+    nextFetchAt = now;
   }
 
   private void answer(String to, Fetch fetch) {
     ChangeTail tail = applied.tail();
-    boolean begins = fetch.from() == 1 && tail.last() > terms.window();
-    if (begins || fetch.from() <= tail.base().index()) {
+    boolean startsFromNothing = fetch.from() == 1 && tail.last() > settings.window();
+    if (startsFromNothing || fetch.from() <= tail.base().index()) {
       snapshots.add(to);
       sendSnapshots();
       return;
     }
-    List<ChangeEntry> entries = tail.from(fetch.from(), terms.window(), terms.batchBytes());
+    List<ChangeEntry> entries = tail.entriesFrom(fetch.from(), settings.window(), settings.batchBytes());
     if (!entries.isEmpty()) {
       send(to, new Batch(log, 0, 0, tail.last(), 0, List.of(), entries));
     }
   }
 
   private void sendSnapshots() {
-    snapshots.due(now).forEach(to -> send(to, new SnapshotReply(log, applied.tail().latest())));
+    snapshots.takeDue(now).forEach(to -> send(to, new SnapshotReply(log, applied.tail().latest())));
   }
 
   private void send(String to, DistributionMessage message) {
-    out.add(new Send(to, message));
+    actions.add(new Send(to, message));
   }
 
-  private void take(List<ChangeEntry> entries) {
+  private void accept(List<ChangeEntry> entries) {
     for (ChangeEntry entry : entries) {
-      applied.take(entry);
+      applied.accept(entry);
     }
     head = Math.max(head, appliedUpTo());
   }
 
-  /** The leader has seen one of its reports, and with it those of children that went along. */
-  private void echoed(long token) {
-    Part part = reports.echoed(token);
-    if (part == null) {
+  /** Handles an echo: the leader has received one of this member's reports and the child reports in it. */
+  private void confirm(long token) {
+    OutgoingReport report = reports.confirm(token);
+    if (report == null) {
       return;
     }
-    if (part.hasSelf()) {
-      freshness.renew(now, part.sentAt(), head);
+    if (report.includesSelf()) {
+      freshness.renew(now, report.sentAt(), head);
     }
-    for (Passed passed : part.passed()) {
-      children.echo(passed.child(), passed.session(), passed.token());
+    for (ChildReport childReport : report.childReports()) {
+      children.echo(childReport.child(), childReport.session(), childReport.token());
     }
   }
 }
--- /dev/null
+++ b/src/main/java/beampoint/fleet/distribution/EntryCodec.java
@@ -0,0 +1,165 @@
+package beampoint.fleet.distribution;
+
+import beampoint.fleet.changes.Change;
+import beampoint.fleet.changes.ChangeEntry;
+import beampoint.fleet.changes.ChangeId;
+import beampoint.fleet.changes.ConfigurationChange;
+import beampoint.fleet.changes.PurgeChange;
+import beampoint.fleet.changes.PurgeScope;
+import beampoint.fleet.facts.Epoch;
+import com.fasterxml.jackson.core.JsonGenerator;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Encodes and decodes consecutive entries. The index of an entry follows from the first one; its epoch and
+ * its submitter are written only if they differ from those of the previous entry. Times and numbers are
+ * written as differences.
+ */
+final class EntryCodec {
+
+  static final int MAX_ENTRIES = 4_096;
+  private static final int CONFIGURATION = PurgeScope.values().length; // lower kinds are purges of a scope
+  private static final int NEW_EPOCH = 4;
+  private static final int NEW_ORIGIN = 8;
+  private static final int MAX_VERSION = 1_000_000;
+
+  private EntryCodec() {}
+
+  /** The values of the preceding entries to which the next entry refers. */
+  private static final class Context {
+    private Epoch epoch = Epoch.NONE;
+    private long requestedAtMs;
+    private final List<String> origins = new ArrayList<>();
+    private final List<Long> lastNumbers = new ArrayList<>(); // by origin
+    private int currentOrigin = -1; // the index in origins of that of the previous entry; -1 if there is none
+
+    private void addOrigin(String origin) {
+      currentOrigin = origins.size();
+      origins.add(origin);
+      lastNumbers.add(0L);
+    }
+
+    private boolean isCurrentOrigin(String origin) {
+      return currentOrigin >= 0 && origins.get(currentOrigin).equals(origin);
+    }
+  }
+
+  static void write(JsonGenerator out, List<ChangeEntry> entries) throws IOException {
+    out.writeStartArray();
+    if (!entries.isEmpty()) {
+      out.writeNumber(entries.get(0).index());
+    }
+    Context context = new Context();
+    for (ChangeEntry entry : entries) {
+      write(out, entry, context);
+    }
+    out.writeEndArray();
+  }
+
+  private static void write(JsonGenerator out, ChangeEntry entry, Context context) throws IOException {
+    Change change = entry.change();
+    boolean hasEpoch = !entry.epoch().equals(context.epoch);
+    boolean hasOrigin = !context.isCurrentOrigin(entry.id().origin());
+    int kind = change instanceof PurgeChange purge ? purge.scope().ordinal() : CONFIGURATION;
+    out.writeNumber(kind + (hasEpoch ? NEW_EPOCH : 0) + (hasOrigin ? NEW_ORIGIN : 0));
+    if (hasEpoch) {
+      out.writeNumber(entry.epoch().number());
+      out.writeString(entry.epoch().holder());
+      out.writeNumber(entry.epoch().life());
+      context.epoch = entry.epoch();
+    }
+    if (hasOrigin) {
+      writeOrigin(out, entry.id().origin(), context);
+    }
+    out.writeNumber(entry.id().number() - context.lastNumbers.get(context.currentOrigin));
+    context.lastNumbers.set(context.currentOrigin, entry.id().number());
+    out.writeNumber(change.formatVersion());
+    if (change instanceof PurgeChange purge) {
+      out.writeNumber(purge.requestedAtMs() - context.requestedAtMs);
+      context.requestedAtMs = purge.requestedAtMs();
+      TextCodec.writeValue(out, purge.value());
+    } else if (change instanceof ConfigurationChange configuration) {
+      TextCodec.writeDocument(out, configuration.document());
+    }
+  }
+
+  /** Writes an origin by its name the first time, and from then on by its position among those written. */
+  private static void writeOrigin(JsonGenerator out, String origin, Context context) throws IOException {
+    int index = context.origins.indexOf(origin);
+    if (index >= 0) {
+      out.writeNumber(index);
+      context.currentOrigin = index;
+    } else {
+      out.writeString(origin);
+      context.addOrigin(origin);
+    }
+  }
+
+  private static void readOrigin(MessageReader in, Context context)
+      throws IOException, MalformedMessageException {
+    if (in.next() == JsonToken.VALUE_STRING) {
+      context.addOrigin(in.currentName());
+    } else {
+      context.currentOrigin = (int) Math.min(in.currentNonNegative(), context.origins.size());
+    }
+    if (context.currentOrigin >= context.origins.size()) {
+      throw new MalformedMessageException("reference to an unknown submitter");
+    }
+  }
+
+  static List<ChangeEntry> read(MessageReader in) throws IOException, MalformedMessageException {
+    in.expect(JsonToken.START_ARRAY);
+    List<ChangeEntry> entries = new ArrayList<>();
+    JsonToken token = in.next();
+    if (token == JsonToken.END_ARRAY) {
+      return entries;
+    }
+    long index = in.currentNonNegative();
+    Context context = new Context();
+    while (in.next() == JsonToken.VALUE_NUMBER_INT && entries.size() < MAX_ENTRIES) {
+      entries.add(read(in, index + entries.size(), context));
+    }
+    if (in.current() != JsonToken.END_ARRAY || entries.isEmpty() || index < 1) {
+      throw new MalformedMessageException("malformed list of entries, or more than " + MAX_ENTRIES);
+    }
+    return List.copyOf(entries);
+  }
+
+  private static ChangeEntry read(MessageReader in, long index, Context context)
+      throws IOException, MalformedMessageException {
+    long code = in.currentNonNegative();
+    int kind = (int) code % NEW_EPOCH;
+    if (code >= 2 * NEW_ORIGIN) {
+      throw new MalformedMessageException("unknown kind of change: " + code);
+    }
+    if ((code & NEW_EPOCH) != 0) {
+      context.epoch = new Epoch(in.readNonNegative(), in.readName(), in.readLong());
+    }
+    if ((code & NEW_ORIGIN) != 0) {
+      readOrigin(in, context);
+    }
+    ChangeId id = readId(in, context);
+    int version = in.readInt(MAX_VERSION);
+    if (kind == CONFIGURATION) {
+      String document = TextCodec.readDocument(in);
+      return new ChangeEntry(index, context.epoch, id, new ConfigurationChange(version, document));
+    }
+    context.requestedAtMs += in.readLong();
+    PurgeScope scope = PurgeScope.values()[kind];
+    return new ChangeEntry(index, context.epoch, id,
+        new PurgeChange(version, scope, TextCodec.readValue(in), context.requestedAtMs));
+  }
+
+  private static ChangeId readId(MessageReader in, Context context)
+      throws IOException, MalformedMessageException {
+    if (context.currentOrigin < 0) {
+      throw new MalformedMessageException("entry without a submitter");
+    }
+    long number = context.lastNumbers.get(context.currentOrigin) + in.readLong();
+    context.lastNumbers.set(context.currentOrigin, number);
+    return new ChangeId(context.origins.get(context.currentOrigin), number);
+  }
+}
--- a/src/main/java/beampoint/fleet/distribution/MalformedMessageException.java
+++ b/src/main/java/beampoint/fleet/distribution/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package beampoint.fleet.distribution;
 
-/** Bytes that are no message of this cluster's distribution, or of no version that this program reads. */
+/** The bytes are not a distribution message of this cluster, or not of a version that is supported. */
 public final class MalformedMessageException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/src/main/java/beampoint/fleet/distribution/MemberProgress.java
+++ b/src/main/java/beampoint/fleet/distribution/MemberProgress.java
@@ -1,16 +1,16 @@
 package beampoint.fleet.distribution;
 
 /**
- * How far one proxy is.
+ * The progress of one proxy.
  *
- * @param member its name; empty for whoever sends the report
- * @param life of its process; a later one has a higher number
- * @param appliedUpTo the last entry that it has put into force, with all before it
- * @param refused the last change of configuration, where the proxy refused that; else 0
+ * @param member its name; empty for the sender of the report
+ * @param life the number of its process; a later one has a higher number
+ * @param appliedUpTo the last entry that it has applied, with all before it
+ * @param refused the last configuration change if the proxy refused it; otherwise 0
  */
 public record MemberProgress(String member, long life, long appliedUpTo, long refused) {
 
-  /** Of the sender of a report: its name and life are known by whoever takes the report. */
+  /** The progress of the sender of a report, whose name and life the receiver knows from the message. */
   static MemberProgress ofSender(long appliedUpTo, long refused) {
     return new MemberProgress("", 0, appliedUpTo, refused);
   }
@@ -19,8 +19,8 @@
     return member.isEmpty();
   }
 
-  /** The same, of a member by its name. */
-  MemberProgress of(String name, long itsLife) {
+  /** Returns the same progress with the name and the life of its member. */
+  MemberProgress withMember(String name, long itsLife) {
     return new MemberProgress(name, itsLife, appliedUpTo, refused);
   }
 }
--- a/src/main/java/beampoint/fleet/distribution/MessageReader.java
+++ b/src/main/java/beampoint/fleet/distribution/MessageReader.java
@@ -4,10 +4,10 @@
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 
-/** Reads the parts of a message one by one, each within its bounds. */
+/** Reads the elements of a message one by one and checks each against its limits. */
 final class MessageReader {
 
-  private static final int MAX_NAME = 200;
+  private static final int MAX_NAME_CHARS = 200;
 
   private final JsonParser in;
 
@@ -19,81 +19,84 @@
     return in.nextToken();
   }
 
-  JsonToken present() {
+  JsonToken current() {
     return in.currentToken();
   }
 
-  /** The number that the present token is, not negative. */
-  long presentCount() throws IOException, MalformedMessageException {
+  /** Returns the current token as a number that is not negative. */
+  long currentNonNegative() throws IOException, MalformedMessageException {
     if (in.currentToken() != JsonToken.VALUE_NUMBER_INT || in.getLongValue() < 0) {
-      throw new MalformedMessageException("cut off, or of another form");
+      throw new MalformedMessageException("truncated or malformed: expected a number that is not negative");
     }
     return in.getLongValue();
   }
 
   void expect(JsonToken token) throws IOException, MalformedMessageException {
     if (in.nextToken() != token) {
-      throw new MalformedMessageException("cut off, or of another form");
+      throw new MalformedMessageException("truncated or malformed: expected " + token);
     }
   }
 
-  void expectPresent(JsonToken token) throws MalformedMessageException {
+  void expectCurrent(JsonToken token) throws MalformedMessageException {
     if (in.currentToken() != token) {
-      throw new MalformedMessageException("cut off, of another form, or with more than there may be");
+      throw new MalformedMessageException(
+          "truncated, malformed or with too many elements: expected " + token);
     }
   }
 
-  void end() throws IOException, MalformedMessageException {
+  void expectEnd() throws IOException, MalformedMessageException {
     expect(JsonToken.END_ARRAY);
     if (in.nextToken() != null) {
-      throw new MalformedMessageException("with more than there may be");
+      throw new MalformedMessageException("bytes after the end of the message");
     }
   }
 
-  long number() throws IOException, MalformedMessageException {
+  long readLong() throws IOException, MalformedMessageException {
     expect(JsonToken.VALUE_NUMBER_INT);
     return in.getLongValue();
   }
 
-  /** A number that is not negative. */
-  long count() throws IOException, MalformedMessageException {
-    long count = number();
-    if (count < 0) {
-      throw new MalformedMessageException("with a negative number: " + count);
+  /** Reads a number that is not negative. */
+  long readNonNegative() throws IOException, MalformedMessageException {
+    long number = readLong();
+    if (number < 0) {
+      throw new MalformedMessageException("negative number: " + number);
     }
-    return count;
+    return number;
   }
 
-  int small(int most) throws IOException, MalformedMessageException {
-    long number = number();
-    if (number < 0 || number > most) {
-      throw new MalformedMessageException("with a number out of its range: " + number);
+  /** Reads a number from 0 to a maximum. */
+  int readInt(int max) throws IOException, MalformedMessageException {
+    long number = readLong();
+    if (number < 0 || number > max) {
+      throw new MalformedMessageException("number " + number + " is not from 0 to " + max);
     }
     return (int) number;
   }
 
-  /** A name of printable ASCII. */
-  String name() throws IOException, MalformedMessageException {
+  /** Reads a name of printable ASCII characters. */
+  String readName() throws IOException, MalformedMessageException {
     expect(JsonToken.VALUE_STRING);
-    return presentName();
+    return currentName();
   }
 
-  /** The name that the present token is. */
-  String presentName() throws IOException, MalformedMessageException {
+  /** Returns the current token as a name of printable ASCII characters. */
+  String currentName() throws IOException, MalformedMessageException {
     String name = in.getText();
-    if (name.length() > MAX_NAME || !name.chars().allMatch(c -> c >= ' ' && c <= '~')) {
-      throw new MalformedMessageException("with a text that is no name");
+    if (name.length() > MAX_NAME_CHARS || !name.chars().allMatch(c -> c >= ' ' && c <= '~')) {
+      throw new MalformedMessageException(
+          "name is longer than " + MAX_NAME_CHARS + " characters or not printable ASCII");
     }
     return name;
   }
 
-  /** The text that the present token is. */
-  String text() throws IOException {
+  /** Returns the current token as text. */
+  String currentText() throws IOException {
     return in.getText();
   }
 
-  /** The bytes that the present token is. */
-  byte[] bytes() throws IOException {
+  /** Returns the current token as bytes. */
+  byte[] currentBytes() throws IOException {
     return in.getBinaryValue();
   }
 }
--- a/src/main/java/beampoint/fleet/distribution/Parent.java
+++ b/src/main/java/beampoint/fleet/distribution/Parent.java
@@ -1,8 +1,8 @@
 package beampoint.fleet.distribution;
 
 /**
- * A member that another may subscribe to.
+ * A member to which another may subscribe.
  *
- * @param isControl a control machine; else a proxy of the same site that passes changes on
+ * @param isControl true for a control machine; false for a proxy of the same site that passes changes on
  */
 public record Parent(String name, boolean isControl) {}
--- a/src/main/java/beampoint/fleet/distribution/ProgressTracker.java
+++ b/src/main/java/beampoint/fleet/distribution/ProgressTracker.java
@@ -8,56 +8,60 @@
 import java.util.TreeSet;
 
 /**
- * What the leader knows of every expected proxy: how far it is, and when it was heard of last. A proxy of
- * which nothing was heard for longer than its lease of freshness counts as fenced, and never as done.
+ * The leader's knowledge of every expected proxy: its progress and the time of its last report. A proxy
+ * without a report for longer than its freshness lease counts as fenced, and never as done.
  */
 public final class ProgressTracker {
 
-  private static final int MAX_NAMED = 16;
+  private static final int MAX_NAMES = 16;
   private static final int MAX_REFUSED_CHANGES = 64;
 
   private static final class Proxy {
-    private double heardAt;
+    private double lastHeardAt;
     private MemberProgress progress;
 
-    Proxy(String name, double heardAt) {
-      this.heardAt = heardAt;
+    Proxy(String name, double lastHeardAt) {
+      this.lastHeardAt = lastHeardAt;
       this.progress = new MemberProgress(name, Long.MIN_VALUE, 0, 0);
     }
   }
 
-  private final DistributionSettings terms;
+  private final DistributionSettings settings;
   private final Map<String, Proxy> proxies = new TreeMap<>();
   private final TreeMap<Long, Set<String>> refusals = new TreeMap<>();
-  private long unknown;
-
-  /** Begins at a time: whoever led before may have seen reports up to then, and made proxies fresh by it. */
-  ProgressTracker(DistributionSettings terms, Set<String> expected, double now) {
-    this.terms = terms;
+  private long unknownProxyReports;
+
+  /**
+   * Creates a tracker for a new leader. Each proxy counts as heard from at the time of creation, because the
+   * previous leader may have received reports until then, which made the proxies fresh.
+   */
+  ProgressTracker(DistributionSettings settings, Set<String> expected, double now) {
+    this.settings = settings;
     expected.forEach(name -> proxies.put(name, new Proxy(name, now)));
   }
 
-  void heard(double now, List<MemberProgress> progress) {
-    progress.forEach(each -> heard(now, each));
+  /** Records a report that has just arrived. */
+  void record(double now, List<MemberProgress> progress) {
+    progress.forEach(each -> record(now, each));
   }
 
-  private void heard(double now, MemberProgress progress) {
+  private void record(double now, MemberProgress progress) {
     Proxy proxy = proxies.get(progress.member());
     if (proxy == null) {
-      unknown++;
+      unknownProxyReports++;
       return;
     }
-    proxy.heardAt = now;
-    boolean isNewLife = progress.life() > proxy.progress.life();
-    boolean isFurther = progress.life() == proxy.progress.life()
+    proxy.lastHeardAt = now;
+    boolean isNewerProcess = progress.life() > proxy.progress.life();
+    boolean isNotOlder = progress.life() == proxy.progress.life()
         && progress.appliedUpTo() >= proxy.progress.appliedUpTo();
-    if (isNewLife || isFurther) { // else it was overtaken on its way
+    if (isNewerProcess || isNotOlder) { // otherwise a newer report has arrived before this one
       proxy.progress = progress;
-      noteRefusal(progress);
+      recordRefusal(progress);
     }
   }
 
-  private void noteRefusal(MemberProgress progress) {
+  private void recordRefusal(MemberProgress progress) {
     if (progress.refused() > 0) {
       refusals.computeIfAbsent(progress.refused(), index -> new TreeSet<>()).add(progress.member());
       if (refusals.size() > MAX_REFUSED_CHANGES) {
@@ -67,10 +71,10 @@
   }
 
   private boolean isFenced(Proxy proxy, double now) {
-    return now - proxy.heardAt > terms.fencedAfter();
+    return now - proxy.lastHeardAt > settings.fencingTimeout();
   }
 
-  /** Who is held for fenced now. */
+  /** The names of the proxies that count as fenced at a time. */
   public List<String> fenced(double now) {
     List<String> names = new ArrayList<>();
     proxies.forEach((name, proxy) -> {
@@ -81,24 +85,24 @@
     return names;
   }
 
-  /** The last entry that every expected proxy has applied, the fenced ones too. */
+  /** The last entry that every expected proxy has applied, including fenced ones. */
   public long doneEverywhereUpTo() {
     return proxies.values().stream().mapToLong(p -> p.progress.appliedUpTo()).min().orElse(Long.MAX_VALUE);
   }
 
-  /** The last entry that every expected proxy has applied that is not fenced. */
+  /** The last entry that every expected proxy has applied, except for fenced ones. */
   public long doneOrFencedUpTo(double now) {
     return proxies.values().stream().filter(p -> !isFenced(p, now)).mapToLong(p -> p.progress.appliedUpTo())
         .min().orElse(Long.MAX_VALUE);
   }
 
-  /** How far one proxy is known to be; null for one that is not expected. */
+  /** The known progress of one proxy; null for one that is not expected. */
   public MemberProgress progress(String name) {
     Proxy proxy = proxies.get(name);
     return proxy == null ? null : proxy.progress;
   }
 
-  /** How far one change is. */
+  /** The progress of one change across the fleet. */
   public Completion completion(long index, double now) {
     Set<String> refused = refusals.getOrDefault(index, Set.of());
     List<String> missing = new ArrayList<>();
@@ -111,23 +115,23 @@
         applied++;
       } else if (!isApplied && isFenced(entry.getValue(), now)) {
         fencedCount++;
-        name(fenced, entry.getKey());
+        addName(fenced, entry.getKey());
       } else {
-        name(missing, entry.getKey());
+        addName(missing, entry.getKey());
       }
     }
     return new Completion(index, proxies.size(), applied, missing, proxies.size() - applied - fencedCount,
-        fenced, fencedCount, refused.stream().limit(MAX_NAMED).toList());
+        fenced, fencedCount, refused.stream().limit(MAX_NAMES).toList());
   }
 
-  private static void name(List<String> names, String name) {
-    if (names.size() < MAX_NAMED) {
+  private static void addName(List<String> names, String name) {
+    if (names.size() < MAX_NAMES) {
       names.add(name);
     }
   }
 
-  /** How many reports named a proxy that is not expected. */
-  public long unknown() {
-    return unknown;
+  /** The number of reports about proxies that are not expected. */
+  public long unknownProxyReports() {
+    return unknownProxyReports;
   }
 }
--- a/src/main/java/beampoint/fleet/distribution/Rendezvous.java
+++ b/src/main/java/beampoint/fleet/distribution/RendezvousHash.java
@@ -6,16 +6,16 @@
 
 /**
  * Highest random weight hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
- * 1998): a member that goes takes nothing with it but what was its own.
+ * 1998). Removing a name changes the choice only for the keys that had been assigned to it.
  */
-final class Rendezvous {
+final class RendezvousHash {
 
   private static final long FNV_OFFSET = 0xcbf29ce484222325L;
   private static final long FNV_PRIME = 0x100000001b3L;
 
-  private Rendezvous() {}
+  private RendezvousHash() {}
 
-  /** The names, the one of the highest weight for the key first. */
+  /** Returns the names by descending weight for a key. */
   static List<String> ranked(String key, Collection<String> names) {
     record Weighted(String name, long weight) {}
     return names.stream().map(name -> new Weighted(name, weight(key, name)))
@@ -23,15 +23,17 @@
         .map(Weighted::name).toList();
   }
 
-  /** FNV-1a over both texts, then the finalizer of SplitMix64, so that like names get unlike weights. */
+  /**
+   * FNV-1a over both texts, then the finalizer of SplitMix64, so that similar names get unrelated weights.
+   */
   private static long weight(String key, String name) {
-    long hash = added(added(FNV_OFFSET, key) * FNV_PRIME, name);
+    long hash = fnv1a(fnv1a(FNV_OFFSET, key) * FNV_PRIME, name);
     hash = (hash ^ hash >>> 30) * 0xbf58476d1ce4e5b9L;
     hash = (hash ^ hash >>> 27) * 0x94d049bb133111ebL;
     return hash ^ hash >>> 31;
   }
 
-  private static long added(long start, String text) {
+  private static long fnv1a(long start, String text) {
     long hash = start;
     for (int i = 0; i < text.length(); i++) {
       hash = (hash ^ text.charAt(i)) * FNV_PRIME;
--- a/src/main/java/beampoint/fleet/distribution/SnapshotQueue.java
+++ b/src/main/java/beampoint/fleet/distribution/SnapshotQueue.java
@@ -7,37 +7,43 @@
 import java.util.Set;
 
 /**
- * Who waits for a snapshot. They are sent at a bounded pace, so that a zone that starts again takes nothing
- * from those that are up to date.
+ * The members that wait for a snapshot. Snapshots are sent at a limited rate, so that a zone that restarts
+ * takes no capacity from members that are up to date.
  */
 final class SnapshotQueue {
 
   private static final int MAX_WAITING = 1_024;
-  private static final double CREDIT = 100; // ms of the pace that may be made up for
 
-  private final double gap;
+  /** How far sending may lag behind its schedule and still catch up. */
+  private static final double MAX_CATCH_UP_MS = 100;
+
+  private final double interval;
   private final Set<String> waiting = new LinkedHashSet<>();
   private double nextAt = Double.NEGATIVE_INFINITY;
 
-  /** A queue with so many ms between two snapshots in the mean. */
-  SnapshotQueue(double gap) {
-    this.gap = gap;
+  /**
+   * Creates an empty queue.
+   *
+   * @param interval the mean time between two snapshots in ms
+   */
+  SnapshotQueue(double interval) {
+    this.interval = interval;
   }
 
-  /** Who asks again keeps its place; who finds no room asks again later. */
+  /** Adds a member unless it already waits or the queue is full; a rejected member requests again later. */
   void add(String name) {
     if (waiting.size() < MAX_WAITING) {
       waiting.add(name);
     }
   }
 
-  /** Takes out those whose turn it is. */
-  List<String> due(double now) {
+  /** Removes and returns the members to which a snapshot is due. */
+  List<String> takeDue(double now) {
     List<String> due = new ArrayList<>();
     for (Iterator<String> each = waiting.iterator(); each.hasNext() && now >= nextAt;) {
       due.add(each.next());
       each.remove();
-      nextAt = Math.max(nextAt, now - CREDIT) + gap;
+      nextAt = Math.max(nextAt, now - MAX_CATCH_UP_MS) + interval;
     }
     return due;
   }
--- a/src/main/java/beampoint/fleet/distribution/TextForm.java
+++ b/src/main/java/beampoint/fleet/distribution/TextCodec.java
@@ -13,13 +13,13 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** Texts in as few bytes as is cheap: keys of hexadecimal digits as bytes, long documents deflated. */
-final class TextForm {
+/** Encodes texts compactly: keys of hexadecimal digits as bytes, and long documents deflated. */
+final class TextCodec {
 
   private static final Pattern HEX = Pattern.compile("([0-9a-f]{2}){4,}");
-  private static final int WORTH_DEFLATING = 200; // characters
+  private static final int MIN_DEFLATED_CHARS = 200;
 
-  private TextForm() {}
+  private TextCodec() {}
 
   static void writeValue(JsonGenerator out, String value) throws IOException {
     if (HEX.matcher(value).matches()) {
@@ -29,27 +29,27 @@
     }
   }
 
-  static String value(MessageReader in) throws IOException, MalformedMessageException {
+  static String readValue(MessageReader in) throws IOException, MalformedMessageException {
     JsonToken token = in.next();
     if (token == JsonToken.VALUE_STRING) {
-      return in.text();
+      return in.currentText();
     }
-    byte[] bytes = token == JsonToken.VALUE_EMBEDDED_OBJECT ? in.bytes() : new byte[0];
+    byte[] bytes = token == JsonToken.VALUE_EMBEDDED_OBJECT ? in.currentBytes() : new byte[0];
     if (bytes.length == 0 || bytes.length > PurgeChange.MAX_VALUE_BYTES) {
-      throw new MalformedMessageException("with a value of another form");
+      throw new MalformedMessageException("malformed value of a purge");
     }
     return HexFormat.of().formatHex(bytes);
   }
 
   static void writeDocument(JsonGenerator out, String document) throws IOException {
-    if (document.length() < WORTH_DEFLATING) {
+    if (document.length() < MIN_DEFLATED_CHARS) {
       out.writeString(document);
     } else {
-      out.writeBinary(deflated(document.getBytes(StandardCharsets.UTF_8)));
+      out.writeBinary(deflate(document.getBytes(StandardCharsets.UTF_8)));
     }
   }
 
-  private static byte[] deflated(byte[] bytes) {
+  private static byte[] deflate(byte[] bytes) {
     Deflater deflater = new Deflater();
     try {
       deflater.setInput(bytes);
@@ -62,29 +62,30 @@
     }
   }
 
-  static String document(MessageReader in) throws IOException, MalformedMessageException {
+  static String readDocument(MessageReader in) throws IOException, MalformedMessageException {
     JsonToken token = in.next();
     if (token == JsonToken.VALUE_STRING) {
-      return in.text();
+      return in.currentText();
     } else if (token == JsonToken.VALUE_EMBEDDED_OBJECT) {
-      return new String(inflated(in.bytes()), StandardCharsets.UTF_8);
+      return new String(inflate(in.currentBytes()), StandardCharsets.UTF_8);
     }
-    throw new MalformedMessageException("with a document of another form");
+    throw new MalformedMessageException("document is neither a text nor bytes");
   }
 
-  /** Guards against few bytes that would become very many. */
-  private static byte[] inflated(byte[] bytes) throws MalformedMessageException {
+  /** Inflates a document into a buffer of limited size, because a few bytes may inflate to very many. */
+  private static byte[] inflate(byte[] bytes) throws MalformedMessageException {
     Inflater inflater = new Inflater();
     try {
       inflater.setInput(bytes);
       byte[] out = new byte[ConfigurationChange.MAX_DOCUMENT_BYTES + 1];
       int length = inflater.inflate(out);
       if (!inflater.finished() || length > ConfigurationChange.MAX_DOCUMENT_BYTES) {
-        throw new MalformedMessageException("with a document that is too long, or cut off");
+        throw new MalformedMessageException("document is truncated or longer than "
+            + ConfigurationChange.MAX_DOCUMENT_BYTES + " bytes");
       }
       return Arrays.copyOf(out, length);
     } catch (DataFormatException e) {
-      throw new MalformedMessageException("with a document that can't be inflated", e);
+      throw new MalformedMessageException("document can't be inflated", e);
     } finally {
       inflater.end();
     }
--- a/src/test/java/beampoint/fleet/distribution/AppliedChangesTest.java
+++ b/src/test/java/beampoint/fleet/distribution/AppliedChangesTest.java
@@ -20,23 +20,23 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** What comes in any order and any number of times is applied once and in order, within bounds. */
+/** Entries that arrive in any order and any number of times are applied once and in order, within limits. */
 class AppliedChangesTest {
 
   private static final Epoch EPOCH = new Epoch(1, "c", 1);
 
-  private final List<Long> seen = new ArrayList<>();
+  private final List<Long> appliedIndexes = new ArrayList<>();
   private final ChangeApplier applier = new ChangeApplier() {
     @Override
     public Outcome apply(ChangeEntry entry) {
-      seen.add(entry.index());
+      appliedIndexes.add(entry.index());
       return entry.change() instanceof ConfigurationChange c && c.document().equals("bad") ? Outcome.REFUSED
           : Outcome.APPLIED;
     }
 
     @Override
     public Outcome restore(ConfigurationSnapshot snapshot) {
-      seen.add(-snapshot.index());
+      appliedIndexes.add(-snapshot.index());
       return Outcome.APPLIED;
     }
   };
@@ -51,53 +51,54 @@
   }
 
   @Property(tries = 300, seed = "3")
-  void anyOrderWithRepeatsGivesTheLog(@ForAll @IntRange(min = 1, max = 200) int count, @ForAll long seed) {
-    seen.clear();
+  void entriesInAnyOrderWithDuplicatesAreAppliedOnceInOrder(
+      @ForAll @IntRange(min = 1, max = 200) int count, @ForAll long seed) {
+    appliedIndexes.clear();
     AppliedChanges applied = new AppliedChanges(DistributionSettings.defaults(), applier);
     List<ChangeEntry> entries = new ArrayList<>();
     LongStream.rangeClosed(1, count).forEach(i -> entries.addAll(List.of(purge(i), purge(i))));
     Collections.shuffle(entries, new Random(seed));
-    entries.forEach(applied::take);
-    assertEquals(LongStream.rangeClosed(1, count).boxed().toList(), seen);
+    entries.forEach(applied::accept);
+    assertEquals(LongStream.rangeClosed(1, count).boxed().toList(), appliedIndexes);
     assertFalse(applied.hasGap());
-    assertTrue(applied.repeats() <= count, "a repeat that waited is no repeat of an applied one");
+    assertTrue(applied.duplicates() <= count, "a duplicate of an entry that was held back was counted");
   }
 
   @Test
-  void whatIsTooFarAheadIsNotKept() {
+  void anEntryTooFarAheadIsNotHeldBack() {
     AppliedChanges applied = new AppliedChanges(DistributionSettings.defaults(), applier);
-    applied.take(purge(DistributionSettings.defaults().maxOutOfOrderEntries() + 1));
+    applied.accept(purge(DistributionSettings.defaults().maxOutOfOrderEntries() + 1));
     assertFalse(applied.hasGap());
-    applied.take(purge(DistributionSettings.defaults().maxOutOfOrderEntries()));
+    applied.accept(purge(DistributionSettings.defaults().maxOutOfOrderEntries()));
     assertTrue(applied.hasGap());
   }
 
   @Test
-  void aSnapshotTakesThePlaceOfEntriesAndWhatWaitedGoesOn() {
+  void aSnapshotReplacesEntriesAndThoseHeldBackAreApplied() {
     AppliedChanges applied = new AppliedChanges(DistributionSettings.defaults(), applier);
-    applied.take(purge(1));
-    applied.take(purge(11));
+    applied.accept(purge(1));
+    applied.accept(purge(11));
     assertTrue(applied.restore(new ConfigurationSnapshot(10, EPOCH, null)));
     assertFalse(applied.restore(new ConfigurationSnapshot(9, EPOCH, null)));
-    assertEquals(List.of(1L, -10L, 11L), seen);
-    assertEquals(11, applied.upTo());
+    assertEquals(List.of(1L, -10L, 11L), appliedIndexes);
+    assertEquals(11, applied.appliedUpTo());
   }
 
   @Test
-  void aRefusedConfigurationIsNamedUntilAnotherIsTaken() {
+  void aRefusedConfigurationIsReportedUntilAnotherIsApplied() {
     AppliedChanges applied = new AppliedChanges(DistributionSettings.defaults(), applier);
-    applied.take(configuration(1, "good"));
-    applied.take(configuration(2, "bad"));
-    applied.take(purge(3));
-    assertEquals(2, applied.refused());
-    applied.take(configuration(4, "good"));
-    assertEquals(0, applied.refused());
+    applied.accept(configuration(1, "good"));
+    applied.accept(configuration(2, "bad"));
+    applied.accept(purge(3));
+    assertEquals(2, applied.refusedIndex());
+    applied.accept(configuration(4, "good"));
+    assertEquals(0, applied.refusedIndex());
   }
 
   @Property(tries = 100, seed = "4")
-  void theTailIsBoundedAndItsSnapshotHoldsTheLastConfiguration(
-      @ForAll @IntRange(min = 1, max = 300) int count, @ForAll @IntRange(min = 1, max = 40) int most) {
-    ChangeTail tail = new ChangeTail(most, 2_000);
+  void theTailIsBoundedAndItsSnapshotHasTheLastConfiguration(
+      @ForAll @IntRange(min = 1, max = 300) int count, @ForAll @IntRange(min = 1, max = 40) int maxEntries) {
+    ChangeTail tail = new ChangeTail(maxEntries, 2_000);
     long last = 0;
     for (long i = 1; i <= count; i++) {
       tail.append(i % 7 == 0 ? configuration(i, "document " + i) : purge(i));
@@ -105,8 +106,8 @@
       long dropped = tail.base().index() / 7 * 7;
       assertEquals(dropped, tail.base().configuration() == null ? 0 : tail.base().configuration().index());
       assertEquals(last, tail.latest().configuration() == null ? 0 : tail.latest().configuration().index());
-      assertTrue(i - tail.base().index() <= most);
-      assertEquals(i - tail.base().index(), tail.from(1, Integer.MAX_VALUE, Integer.MAX_VALUE).size());
+      assertTrue(i - tail.base().index() <= maxEntries);
+      assertEquals(i - tail.base().index(), tail.entriesFrom(1, Integer.MAX_VALUE, Integer.MAX_VALUE).size());
     }
   }
 }
--- a/src/test/java/beampoint/fleet/distribution/DistributionCodecTest.java
+++ b/src/test/java/beampoint/fleet/distribution/DistributionCodecTest.java
@@ -23,7 +23,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Messages as bytes, and bytes that are none. */
+/** Encoded messages are decoded to equal ones, and malformed bytes are rejected. */
 class DistributionCodecTest {
 
   private static final DistributionCodec CODEC = new DistributionCodec("north");
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aMessageIsReadAsItWasWritten() throws MalformedMessageException {
+  void aDecodedMessageEqualsTheEncodedOne() throws MalformedMessageException {
     for (DistributionMessage message : messages()) {
       byte[] bytes = CODEC.write(message);
       assertEquals(message, CODEC.read(bytes, bytes.length));
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void anotherClusterAnotherVersionOrWhatIsCutOffIsNoMessage() {
+  void messagesOfAnotherClusterOrVersionAndTruncatedOnesAreRejected() {
     for (DistributionMessage message : messages()) {
       byte[] bytes = CODEC.write(message);
       DistributionCodec other = new DistributionCodec("south");
@@ -76,7 +76,7 @@
         assertThrows(MalformedMessageException.class, () -> CODEC.read(bytes, cut), "cut to " + cut);
       }
       byte[] next = bytes.clone();
-      next[7] = 2; // the version, behind the array's start and the name
+      next[7] = 2; // the version, after the start of the array and the name
       assertThrows(MalformedMessageException.class, () -> CODEC.read(next, next.length));
       byte[] longer = Arrays.copyOf(bytes, bytes.length + 1);
       assertThrows(MalformedMessageException.class, () -> CODEC.read(longer, longer.length));
@@ -85,29 +85,30 @@
     assertThrows(MalformedMessageException.class, () -> CODEC.read(new byte[tooLong], tooLong));
   }
 
-  /** Hostile bytes cost themselves: nothing but a MalformedMessageException comes of any. */
+  /** Randomly changed bytes cause no exception other than a MalformedMessageException. */
   @Test
-  void aHundredThousandOddMessagesAreReadOrRefused() {
+  void aHundredThousandMutatedMessagesAreDecodedOrRejected() {
     Random random = new Random(11);
-    List<byte[]> whole = messages().stream().map(CODEC::write).toList();
-    int refused = 0;
+    List<byte[]> valid = messages().stream().map(CODEC::write).toList();
+    int rejected = 0;
     for (int i = 0; i < 100_000; i++) {
-      byte[] odd = whole.get(i % whole.size()).clone();
+      byte[] mutated = valid.get(i % valid.size()).clone();
       for (int changes = random.nextInt(4); changes >= 0; changes--) {
-        odd[random.nextInt(odd.length)] = (byte) random.nextInt(256);
+        mutated[random.nextInt(mutated.length)] = (byte) random.nextInt(256);
       }
       try {
-        DistributionMessage read = CODEC.read(odd, random.nextInt(10) == 0 ? odd.length / 2 : odd.length);
+        DistributionMessage read = CODEC.read(mutated,
+            random.nextInt(10) == 0 ? mutated.length / 2 : mutated.length);
         byte[] again = CODEC.write(read);
         assertEquals(read, CODEC.read(again, again.length));
       } catch (MalformedMessageException e) {
-        refused++;
+        rejected++;
       }
     }
-    assertTrue(refused > 50_000 && refused < 100_000, "refused: " + refused);
+    assertTrue(rejected > 50_000 && rejected < 100_000, "rejected: " + rejected);
   }
 
-  /** What a purge takes decides how many children a proxy can feed: docs/fleet/distribution.md. */
+  /** The size of a purge determines how many children a proxy can serve: docs/fleet/distribution.md. */
   @Test
   void aBatchOfPurgesIsSmall() {
     Random random = new Random(3);
--- a/src/test/java/beampoint/fleet/distribution/DistributionNodeTest.java
+++ b/src/test/java/beampoint/fleet/distribution/DistributionNodeTest.java
@@ -27,12 +27,12 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** One member of the tree by itself: its parents, its children, its lease and what it reports. */
+/** A single member of the tree: its parents, its children, its lease and its reports. */
 class DistributionNodeTest {
 
   private static final long LOG = 5;
   private static final Epoch EPOCH = new Epoch(1, "c1", 1);
-  private static final ChangeApplier TAKES_ALL = new ChangeApplier() {
+  private static final ChangeApplier APPLIES_ALL_BUT_BAD = new ChangeApplier() {
     @Override
     public Outcome apply(ChangeEntry entry) {
       boolean isBad = entry.change() instanceof ConfigurationChange c && c.document().equals("bad");
@@ -52,14 +52,14 @@
 
   private static DistributionNode proxy(double now) {
     DistributionNode node = new DistributionNode(DistributionSettings.defaults(),
-        TreeMember.proxy("p1", "r", "s"), 3, LOG, TAKES_ALL, now);
+        TreeMember.proxy("p1", "r", "s"), 3, LOG, APPLIES_ALL_BUT_BAD, now);
     node.handle(now, new ParentsChanged(List.of(new Parent("c1", true), new Parent("c2", true))));
     return node;
   }
 
   private static DistributionNode leader(Set<String> expected) {
     DistributionNode node = new DistributionNode(DistributionSettings.defaults().forControlMachine(),
-        TreeMember.control("c1", "r"), 1, LOG, TAKES_ALL, 0);
+        TreeMember.control("c1", "r"), 1, LOG, APPLIES_ALL_BUT_BAD, 0);
     node.handle(0, new BecameLeader(LOG, expected));
     return node;
   }
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void aSilentParentIsReplacedAndTheNextIsToldHowFarItIs() {
+  void aParentThatTimesOutIsReplacedAndTheNextGetsAReportOfTheProgress() {
     DistributionNode node = proxy(0);
     node.handle(10, new Received("c1", batch(node, List.of(), purges(1, 3), 3)));
     List<DistributionAction> actions = new ArrayList<>();
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void aGapIsFetchedByNumberFromTheParentAndThenFromOthers() {
+  void aMissingEntryIsFetchedFromTheParentAndThenFromOtherCandidates() {
     DistributionNode node = proxy(0);
     List<DistributionAction> actions = node.handle(10,
         new Received("c1", batch(node, List.of(), purges(3, 4), 4)));
@@ -102,8 +102,8 @@
   }
 
   @Test
-  void theLeaseRunsFromWhenTheReportWasSentAndNotFromItsEcho() {
-    DistributionNode node = proxy(0); // its first report, of token 1, goes out at 0
+  void theLeaseStartsWhenTheReportIsSentAndNotWhenItIsEchoed() {
+    DistributionNode node = proxy(0); // its first report, with token 1, is sent at 0
     node.handle(800, new Received("c1", batch(node, List.of(1L), purges(1, 1), 1)));
     assertTrue(node.isFresh(1_979));
     assertFalse(node.isFresh(1_981));
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void anEchoOfAnEarlierSubscriptionRenewsNothing() {
+  void anEchoOfAnEarlierSubscriptionDoesNotRenewTheLease() {
     DistributionNode node = proxy(0);
     long old = session(node);
     node.handle(10, new Received("c1", new Refusal(LOG, old)));
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void anotherLogTakesThePlaceOfItsOwnAndEndsTheLease() {
+  void aNewerLogReplacesTheOldOneAndEndsTheLease() {
     DistributionNode node = proxy(0);
     node.handle(10, new Received("c1", batch(node, List.of(1L), purges(1, 5), 5)));
     assertTrue(node.isFresh(11));
@@ -131,37 +131,37 @@
     assertEquals(0, node.appliedUpTo());
     assertFalse(node.isFresh(21));
     node.handle(30, new Received("c1", new Batch(LOG, session(node), 0, 5, 5, List.of(), purges(1, 5))));
-    assertEquals(0, node.appliedUpTo(), "the old log is not mixed in");
+    assertEquals(0, node.appliedUpTo(), "an entry of the old log was applied");
   }
 
-  /** Nothing is kept for a slow child, the others get all, and it is led to a snapshot in the end. */
+  /** No entries are queued for a slow child, the other gets all of them, and the slow one gets a snapshot. */
   @Test
-  void aSlowChildHarmsNobodyAndFallsBackToASnapshot() {
+  void aSlowChildDoesNotDelayOthersAndFallsBackToASnapshot() {
     DistributionNode leader = leader(Set.of("slow", "quick"));
     long last = 0;
-    long quick = 0;
+    long sentToQuick = 0;
     List<DistributionAction> toSlow = new ArrayList<>();
     for (double now = 50; now <= 400_000; now += 50) {
       leader.handle(now, new Committed(LOG, purges(last + 1, last + 2)));
       last += 2;
       leader.handle(now, new Received("slow", new Report(LOG, 9, 1, 1, List.of())));
-      leader.handle(now, new Received("quick", new Report(LOG, 9, 1, quick, List.of())));
+      leader.handle(now, new Received("quick", new Report(LOG, 9, 1, sentToQuick, List.of())));
       List<DistributionAction> actions = leader.handle(now, new Tick());
       for (DistributionMessage message : sent(actions, "quick")) {
-        quick = Math.max(quick, ((Batch) message).sentUpTo());
+        sentToQuick = Math.max(sentToQuick, ((Batch) message).sentUpTo());
       }
       toSlow.addAll(actions.stream().filter(a -> ((Send) a).to().equals("slow")).toList());
     }
-    assertTrue(last - quick < 20, "the quick child is behind by " + (last - quick));
+    assertTrue(last - sentToQuick < 20, "the quick child lags by " + (last - sentToQuick));
     long sentToSlow = toSlow.stream().mapToLong(a -> ((Batch) ((Send) a).message()).entries().size()).sum();
     assertEquals(DistributionSettings.defaults().window(), sentToSlow,
-        "more than a window without an answer");
+        "entries sent to a child that reports no progress");
     List<DistributionAction> answer = leader.handle(400_001, new Received("slow", new Fetch(LOG, 2)));
     assertEquals(last, ((SnapshotReply) sent(answer, "slow").get(0)).snapshot().index());
   }
 
   @Test
-  void childrenBeyondTheMostAreRefused() {
+  void childrenBeyondTheMaximumAreRefused() {
     DistributionNode node = proxy(0);
     List<DistributionAction> last = List.of();
     for (int i = 0; i <= DistributionSettings.defaults().maxChildren(); i++) {
@@ -172,18 +172,18 @@
         sent(last, "child-" + DistributionSettings.defaults().maxChildren()));
   }
 
-  /** A proxy whose own parent is a proxy feeds nobody, so there is no circle of proxies. */
+  /** A proxy whose own parent is a proxy accepts no children, so proxies cannot form a cycle. */
   @Test
-  void whoIsFedByAProxyFeedsNobody() {
+  void aProxyWhoseParentIsAProxyAcceptsNoChildren() {
     DistributionNode node = new DistributionNode(DistributionSettings.defaults(),
-        TreeMember.proxy("p1", "r", "s"), 3, LOG, TAKES_ALL, 0);
+        TreeMember.proxy("p1", "r", "s"), 3, LOG, APPLIES_ALL_BUT_BAD, 0);
     node.handle(0, new ParentsChanged(List.of(new Parent("p2", false), new Parent("c1", true))));
     assertEquals(List.of(new Refusal(LOG, 7)),
         sent(node.handle(10, new Received("p2", new Report(LOG, 7, 1, 0, List.of()))), "p2"));
   }
 
   @Test
-  void theLeaderNamesWhoIsMissingFencedOrHasRefused() {
+  void theLeaderNamesMissingFencedAndRefusingProxies() {
     DistributionNode leader = leader(Set.of("p1", "p2", "p3", "p4"));
     leader.handle(10, new Committed(LOG, List.of(new ChangeEntry(1, EPOCH, new ChangeId("c1", 1),
         new ConfigurationChange(1, "bad")))));
@@ -198,9 +198,9 @@
     assertEquals(0, leader.tracker().doneEverywhereUpTo());
   }
 
-  /** What a proxy said in an earlier life, and came late, does not stand for the present one. */
+  /** A late report of an earlier process of a proxy does not count for the present process. */
   @Test
-  void aLateReportOfAnEarlierLifeCountsForNothing() {
+  void aLateReportOfAnEarlierProcessIsIgnored() {
     DistributionNode leader = leader(Set.of("p1"));
     leader.handle(10, new Committed(LOG, purges(1, 9)));
     leader.handle(20, new Received("c2", new Report(LOG, 1, 1, 9,
--- a/src/test/java/beampoint/fleet/distribution/DistributionTreeTest.java
+++ b/src/test/java/beampoint/fleet/distribution/DistributionTreeTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Whoever shares a view agrees on the tree, and no member has more children than the fan-out. */
+/** Members with the same view agree on the tree, and no proxy has more children than the fan-out. */
 class DistributionTreeTest {
 
   private static List<TreeMember> fleet(int proxies, int sites) {
@@ -30,7 +30,7 @@
   }
 
   @Property(tries = 200, seed = "5")
-  void everyProxyHasAWayToAControlMachineWithinTheFanOut(@ForAll @IntRange(min = 1, max = 60) int proxies,
+  void everyProxyHasAPathToAControlMachineWithinTheFanOut(@ForAll @IntRange(min = 1, max = 60) int proxies,
       @ForAll @IntRange(min = 1, max = 4) int sites, @ForAll @IntRange(min = 0, max = 4) int fanOut,
       @ForAll long seed) {
     List<TreeMember> all = fleet(proxies, sites);
@@ -39,18 +39,18 @@
     DistributionTree tree = new DistributionTree(fanOut);
     Map<String, Integer> children = new HashMap<>();
     Map<String, String> chosen = new HashMap<>();
-    for (TreeMember place : all) {
-      List<Parent> parents = tree.parents(place, all, "c0");
-      assertEquals(parents, tree.parents(place, shuffled, "c0"), "the order of a view makes no difference");
-      if (!place.isControl()) {
-        chosen.put(place.name(), parents.get(0).name());
+    for (TreeMember member : all) {
+      List<Parent> parents = tree.parents(member, all, "c0");
+      assertEquals(parents, tree.parents(member, shuffled, "c0"), "the order of a view makes a difference");
+      if (!member.isControl()) {
+        chosen.put(member.name(), parents.get(0).name());
         children.merge(parents.get(0).name(), 1, Integer::sum);
         assertEquals(4, parents.stream().filter(Parent::isControl).count());
       }
     }
     chosen.forEach((child, parent) -> {
       boolean isRelay = parent.startsWith("c");
-      assertTrue(isRelay || chosen.get(parent).startsWith("c"), child + " is further than two steps");
+      assertTrue(isRelay || chosen.get(parent).startsWith("c"), child + " is more than two steps from a control machine");
       assertTrue(isRelay || children.get(parent) <= fanOut, parent + " has " + children.get(parent));
     });
   }
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void controlMachinesSubscribeToTheirLeaderAlone() {
+  void controlMachinesSubscribeOnlyToTheirLeader() {
     List<TreeMember> all = fleet(3, 1);
     DistributionTree tree = new DistributionTree(2);
     assertEquals(List.of(), tree.parents(all.get(0), all, "c0"));
