--- a/src/main/java/beampoint/emulator/ControlFleet.java
+++ b/src/main/java/beampoint/emulator/ControlFleet.java
@@ -76,7 +76,7 @@
     double since = reachable(number) ? clock.now() : Double.POSITIVE_INFINITY;
     ChangeChecks.Record record = checks.new Record(clock, since);
     boolean isControl = number < layout.controls();
-    host.begins(new DistributionNode(isControl ? terms.forControlMachine() : terms, host.member,
+    host.start(new DistributionNode(isControl ? terms.forControlMachine() : terms, host.member,
         FIRST_LIFE + host.life, 0, record, host.localTime(clock.now())), record);
     if (isControl) {
       log.started(host);
@@ -90,7 +90,7 @@
   /** Ends a host without a word. */
   public void kill(int number) {
     ControlHost host = hosts.get(number);
-    host.ended();
+    host.stop();
     host.record.reachableSince(Double.POSITIVE_INFINITY);
   }
 
@@ -133,7 +133,7 @@
 
   /** Faults leave a majority of the control machines on the mainland. */
   private boolean reachable(int number) {
-    return network.island(number) == 0;
+    return network.partition(number) == 0;
   }
 
   /** Submits a change until it is committed. */
@@ -180,7 +180,7 @@
           living.add(layout.member(other));
         }
       }
-      give(host, new ParentsChanged(tree.parents(host.member, living, host.leaderKnown)));
+      give(host, new ParentsChanged(tree.parents(host.member, living, host.knownLeader)));
     }
   }
 
@@ -207,12 +207,12 @@
   }
 
   private void deliver(ControlHost from, ControlHost to, byte[] bytes) {
-    if (!to.isUp() || network.island(from.number) != network.island(to.number)) {
+    if (!to.isUp() || network.partition(from.number) != network.partition(to.number)) {
       return;
     }
     to.traffic.add(clock.now(), bytes.length);
     long life = to.life;
-    to.whenAwake(() -> {
+    to.runOrDefer(() -> {
       if (to.life == life) {
         give(to, new Received(from.member.name(), read(bytes)));
       }
--- a/src/main/java/beampoint/emulator/ControlHost.java
+++ b/src/main/java/beampoint/emulator/ControlHost.java
@@ -23,7 +23,7 @@
   Membership membership; // null where who sees whom follows a model
   ControlNode controlNode; // of the change log; null at a proxy
   boolean leads; // as the tree was told
-  String leaderKnown = "";
+  String knownLeader = "";
   DistributionNode node; // null while it is down
   ChangeChecks.Record record; // of its present life, or the last one
   long life;
@@ -45,7 +45,7 @@
   }
 
   /** What it was told or had to do meanwhile goes with the old life. */
-  void ended() {
+  void stop() {
     node = null;
     membership = null;
     controlNode = null;
@@ -66,7 +66,7 @@
   }
 
   /** Does it now, or when the process runs again. */
-  void whenAwake(Runnable task) {
+  void runOrDefer(Runnable task) {
     if (!paused) {
       task.run();
     } else if (waiting.size() < SOCKET_BUFFER) {
@@ -75,13 +75,13 @@
   }
 
   /** The last entry that it applied in this life or in one before. */
-  long mostApplied() {
+  long highestApplied() {
     return Math.max(earlier, record.last());
   }
 
   /** Begins another life. */
-  void begins(DistributionNode machine, ChangeChecks.Record applier) {
-    earlier = record == null ? 0 : mostApplied();
+  void start(DistributionNode machine, ChangeChecks.Record applier) {
+    earlier = record == null ? 0 : highestApplied();
     node = machine;
     record = applier;
   }
--- a/src/main/java/beampoint/emulator/ControlLog.java
+++ b/src/main/java/beampoint/emulator/ControlLog.java
@@ -86,7 +86,7 @@
   void started(ControlHost host) {
     host.controlNode = new ControlNode(terms, leaseTerms, host.member.name(), host.life,
         ReplicaState.started(host.life), host.localTime(clock.now()), new Random(random.nextLong()));
-    host.leaderKnown = "";
+    host.knownLeader = "";
     host.leads = false;
     long life = host.life;
     clock.after(random.nextDouble() * TICK, () -> tick(host, life));
@@ -163,8 +163,8 @@
           : new DistributionEvent.LostLeadership());
     }
     String leader = leads ? host.member.name() : host.controlNode.state().leader().holder();
-    if (!leader.equals(host.leaderKnown)) {
-      host.leaderKnown = leader;
+    if (!leader.equals(host.knownLeader)) {
+      host.knownLeader = leader;
       leaderChanged.accept(host);
     }
   }
@@ -210,10 +210,10 @@
   }
 
   private void arrive(ControlHost from, ControlHost to, byte[] bytes) {
-    if (to.isUp() && network.island(from.number) == network.island(to.number)) {
+    if (to.isUp() && network.partition(from.number) == network.partition(to.number)) {
       to.traffic.add(clock.now(), bytes.length);
       long life = to.life;
-      to.whenAwake(() -> {
+      to.runOrDefer(() -> {
         if (to.life == life) {
           carryOut(to, to.controlNode.received(to.localTime(clock.now()), from.member.name(), read(bytes)));
         }
--- a/src/main/java/beampoint/emulator/ControlNetwork.java
+++ b/src/main/java/beampoint/emulator/ControlNetwork.java
@@ -47,7 +47,7 @@
     hosts.forEach(host -> islands[host] = island);
   }
 
-  int island(int host) {
+  int partition(int host) {
     return islands[host];
   }
 
--- a/src/main/java/beampoint/emulator/MemberFleet.java
+++ b/src/main/java/beampoint/emulator/MemberFleet.java
@@ -75,12 +75,12 @@
 
   /** So many members that all know each other's addresses, and have heard of none yet. */
   public MemberFleet(int members, MembershipSettings terms, long seed) {
-    this(terms, seed, known(members, 0));
+    this(terms, seed, initialStates(members, 0));
   }
 
   /** The same long after they were started: none is news to another. */
   public static MemberFleet settled(int members, MembershipSettings terms, long seed) {
-    return new MemberFleet(terms, seed, known(members, FIRST_INCARNATION));
+    return new MemberFleet(terms, seed, initialStates(members, FIRST_INCARNATION));
   }
 
   private MemberFleet(MembershipSettings terms, long seed, List<MemberState> known) {
@@ -98,7 +98,7 @@
   }
 
   /** So many members, as each knows the others; under incarnation 0 before it has heard of them. */
-  public static List<MemberState> known(int members, long incarnation) {
+  public static List<MemberState> initialStates(int members, long incarnation) {
     List<MemberState> known = new ArrayList<>();
     for (int i = 0; i < members; i++) {
       known.add(new MemberState(name(i), "10.0.0." + i + ":7946", Status.ALIVE, incarnation, false, name(i)));
@@ -248,12 +248,12 @@
 
   private void tick(Host host, int life) {
     if (host.life == life && host.membership != null) {
-      whenAwake(host, () -> give(host, new MemberEvent.Tick()));
+      runOrDefer(host, () -> give(host, new MemberEvent.Tick()));
       clock.after(terms.tickInterval(), () -> tick(host, life));
     }
   }
 
-  private void whenAwake(Host host, Runnable task) {
+  private void runOrDefer(Host host, Runnable task) {
     if (!host.paused) {
       task.run();
     } else if (host.waiting.size() < 200) { // as a socket's buffer holds
@@ -313,7 +313,7 @@
 
   private void deliver(Host to, Message message) {
     clock.after(delay + jitter * random.nextDouble(),
-        () -> whenAwake(to, () -> give(to, new MemberEvent.Received(message))));
+        () -> runOrDefer(to, () -> give(to, new MemberEvent.Received(message))));
   }
 
   /** A connection: it stands where both directions do, and loses nothing. */
@@ -328,7 +328,7 @@
         List<MemberState> answer = view(other);
         give(other, new MemberEvent.ViewReceived(asked));
         clock.after(delay + jitter,
-            () -> whenAwake(one, () -> give(one, new MemberEvent.ViewReceived(answer))));
+            () -> runOrDefer(one, () -> give(one, new MemberEvent.ViewReceived(answer))));
       }
     });
   }
--- a/src/main/java/beampoint/emulator/MembershipViews.java
+++ b/src/main/java/beampoint/emulator/MembershipViews.java
@@ -120,7 +120,7 @@
       boolean isOwn = news.reporter().equals(host.member.name());
       boolean lives = hosts.get(other).isUp() && reaches(host, hosts.get(other));
       double since = clock.now() - Math.max(changedAt[host.number], changedAt[other]);
-      if (!lives && network.island(host.number) == 0) {
+      if (!lives && network.partition(host.number) == 0) {
         detection.recordValue(Math.min(MAX_DETECTION, (long) since));
       } else if (lives && isOwn && since > WRONG_AFTER) {
         wronglyDead++;
@@ -133,7 +133,7 @@
   }
 
   private boolean reaches(ControlHost from, ControlHost to) {
-    return network.island(from.number) == network.island(to.number);
+    return network.partition(from.number) == network.partition(to.number);
   }
 
   private void send(ControlHost from, ControlHost to, Message message) {
@@ -148,7 +148,7 @@
     if (to.isUp() && reaches(from, to)) {
       bytes += sent.length;
       long life = to.life;
-      to.whenAwake(() -> {
+      to.runOrDefer(() -> {
         if (to.life == life) {
           give(to, new MemberEvent.Received(read(sent)));
         }
@@ -177,7 +177,7 @@
         count(answer);
         give(other, new MemberEvent.ViewReceived(asked));
         clock.after(network.delay(other.number, one.number),
-            () -> one.whenAwake(() -> give(one, new MemberEvent.ViewReceived(answer))));
+            () -> one.runOrDefer(() -> give(one, new MemberEvent.ViewReceived(answer))));
       }
     });
   }
--- a/src/main/java/beampoint/emulator/ModelledViews.java
+++ b/src/main/java/beampoint/emulator/ModelledViews.java
@@ -67,7 +67,7 @@
     boolean isOther = false;
     for (int number : ofInterest(host)) {
       ControlHost other = hosts.get(number);
-      boolean isGone = !other.isUp() || network.island(number) != network.island(host.number);
+      boolean isGone = !other.isUp() || network.partition(number) != network.partition(host.number);
       String name = layout.member(number).name();
       isOther |= isGone ? withDeaths && host.dead.add(name) : host.dead.remove(name);
     }
--- a/src/main/java/beampoint/emulator/ProgressChecks.java
+++ b/src/main/java/beampoint/emulator/ProgressChecks.java
@@ -32,7 +32,7 @@
     }
     for (ControlHost host : hosts) {
       MemberProgress progress = tracker.progress(host.member.name());
-      if (progress != null && progress.appliedUpTo() > host.mostApplied()) {
+      if (progress != null && progress.appliedUpTo() > host.highestApplied()) {
         falseDone++;
       }
     }
--- a/src/test/java/beampoint/emulator/MemberScaleStudy.java
+++ b/src/test/java/beampoint/emulator/MemberScaleStudy.java
@@ -61,7 +61,7 @@
       if (SIZES[i] <= MAX_AT_START) {
         massStart(i, SIZES[i]);
       }
-      List<MemberState> known = MemberFleet.known(SIZES[i], 1);
+      List<MemberState> known = MemberFleet.initialStates(SIZES[i], 1);
       put("heap bytes a member's table", i, heapOfOne(known));
       wholeView(i, known);
       System.out.println("done: " + SIZES[i] + " members, seed " + SEED);
