--- a/src/main/java/beampoint/emulator/ChangeChecks.java
+++ b/src/main/java/beampoint/emulator/ChangeChecks.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What was committed when, and whether every proxy applies it once, in order and in time. */
+/** Records committed entries and checks that every proxy applies each one once, in order and in time. */
 final class ChangeChecks {
 
   private final List<ChangeEntry> log = new ArrayList<>();
@@ -22,7 +22,7 @@
   private long snapshots;
   private long applied;
 
-  /** The entries of one life of a proxy. */
+  /** The entries applied by one process of a proxy. */
   final class Record implements ChangeApplier {
 
     private final Clock clock;
@@ -34,7 +34,7 @@
       this.reachableSince = reachableSince;
     }
 
-    /** Infinite while the proxy can't be reached. */
+    /** Sets since when the proxy has been reachable; infinite while it is not. */
     void reachableSince(double time) {
       reachableSince = time;
     }
@@ -59,7 +59,7 @@
       }
       applied++;
       last = entry.index();
-      note(entry.index());
+      recordDelay(entry.index());
       return Outcome.APPLIED;
     }
 
@@ -70,13 +70,13 @@
         twice++;
       }
       for (long index = last + 1; index <= snapshot.index(); index++) {
-        note(index);
+        recordDelay(index);
       }
       last = snapshot.index();
       return Outcome.APPLIED;
     }
 
-    private void note(long index) {
+    private void recordDelay(long index) {
       double committed = committedAt((int) index);
       if (committed < countFrom) {
         return;
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Only what is committed from now on counts among the times. */
+  /** Counts only entries in the measured times that are committed from a time on. */
   void countFrom(double time) {
     countFrom = time;
   }
@@ -109,7 +109,7 @@
     return committedAt.get(index - 1);
   }
 
-  /** The last entry that was committed up to a time. */
+  /** The index of the last entry that was committed up to a time. */
   long lastUpTo(double time) {
     int last = log.size();
     while (last > 0 && committedAt(last) > time) {
@@ -118,37 +118,42 @@
     return last;
   }
 
+  /** The longest time in ms from the commit of a purge until a reachable proxy had applied it. */
   double purgeMax() {
     return purgeMax;
   }
 
+  /** The longest time in ms from the commit of a configuration until a reachable proxy had applied it. */
   double configurationMax() {
     return configurationMax;
   }
 
-  /** From when a proxy could be reached again to when it had applied what was committed before. */
+  /** The longest time in ms from when a proxy became reachable until it had applied an earlier commit. */
   double healedMax() {
     return healedMax;
   }
 
+  /** The number of entries and snapshots that were applied although the proxy already had them. */
   long twice() {
     return twice;
   }
 
+  /** The number of entries that were applied before a predecessor. */
   long outOfOrder() {
     return outOfOrder;
   }
 
-  /** Entries that were never committed, or with another content. */
+  /** The number of applied entries that were never committed, or were committed with other contents. */
   long foreign() {
     return foreign;
   }
 
+  /** The number of applied snapshots. */
   long snapshots() {
     return snapshots;
   }
 
-  /** Entries that proxies applied, over all. */
+  /** The number of entries that all proxies have applied, without those in snapshots. */
   long applied() {
     return applied;
   }
--- a/src/main/java/beampoint/emulator/ControlEmulation.java
+++ b/src/main/java/beampoint/emulator/ControlEmulation.java
@@ -13,16 +13,17 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Plays a day of a fleet's control in virtual time. The same seed gives the same figures, but for the two
- * that are measured of this process: processor time and heap, of the whole model divided among the proxies.
+ * Simulates the control plane of a fleet in virtual time. The same seed gives the same figures, except for
+ * two that are measured of this process: the processor time and the heap of the whole model, divided by the
+ * number of proxies.
  */
 public final class ControlEmulation {
 
-  private static final long TIME_OF_DAY = 1_764_000_000_000L;
-  private static final double FIRST_CHANGE = 3_000; // ms
-  private static final double MEGABYTE = 1 << 20;
-  private static final double PREFIXES = 0.05; // of all purges
-  private static final double TENANTS = 0.02;
+  private static final long WALL_CLOCK_START_MS = 1_764_000_000_000L;
+  private static final double FIRST_CHANGE_MS = 3_000;
+  private static final double BYTES_PER_MIB = 1 << 20;
+  private static final double PREFIX_FRACTION = 0.05; // of all purges
+  private static final double TENANT_FRACTION = 0.02; // of all purges
 
   private final ControlScenario scenario;
   private final ControlFleet fleet;
@@ -43,65 +44,65 @@
     fleet.network().setMessageFaults(network.loss(), network.repeats(), 0, 0);
   }
 
-  /** Plays a day. */
+  /** Runs a scenario and returns its figures. */
   public static ControlReport run(ControlScenario scenario) {
-    return new ControlEmulation(scenario).play();
+    return new ControlEmulation(scenario).run();
   }
 
-  private ControlReport play() {
-    double heapBefore = usedHeap();
-    double cpuBefore = processorTime();
-    fleet.at(FIRST_CHANGE, this::purge);
-    fleet.at(FIRST_CHANGE, this::configure);
+  private ControlReport run() {
+    double heapBefore = usedHeapBytes();
+    double cpuBefore = threadCpuMs();
+    fleet.at(FIRST_CHANGE_MS, this::submitPurge);
+    fleet.at(FIRST_CHANGE_MS, this::submitConfiguration);
     fleet.at(scenario.warmUp(), fleet::countFromNow);
     scenario.faults().forEach(fault -> FaultPlan.plan(fleet, fault));
     fleet.runTo(scenario.length());
-    double cpu = processorTime() - cpuBefore;
-    double proxySeconds = scenario.size().proxies() * scenario.length();
-    return report(cpu / proxySeconds, (usedHeap() - heapBefore) / MEGABYTE / scenario.size().proxies());
+    double cpu = threadCpuMs() - cpuBefore;
+    double proxyMs = scenario.size().proxies() * scenario.length();
+    return report(cpu / proxyMs, (usedHeapBytes() - heapBefore) / BYTES_PER_MIB / scenario.size().proxies());
   }
 
-  private static double usedHeap() {
+  private static double usedHeapBytes() {
     System.gc();
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
 
-  /** Of this thread, in ms. */
-  private static double processorTime() {
+  private static double threadCpuMs() {
     return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() / 1e6;
   }
 
-  // ---- What happens ---------------------------------------------------------------------------------------
+  // ---- Changes --------------------------------------------------------------------------------------------
 
-  private double gap(double perSecond) {
+  /** Returns a random time in ms to the next event of a Poisson process. */
+  private double nextInterval(double perSecond) {
     return -Math.log(1 - random.nextDouble()) * 1_000 / perSecond;
   }
 
-  private void purge() {
+  private void submitPurge() {
     double kind = random.nextDouble();
-    PurgeScope scope = kind < TENANTS ? PurgeScope.TENANT
-        : kind < TENANTS + PREFIXES ? PurgeScope.PREFIX : PurgeScope.KEY;
+    PurgeScope scope = kind < TENANT_FRACTION ? PurgeScope.TENANT
+        : kind < TENANT_FRACTION + PREFIX_FRACTION ? PurgeScope.PREFIX : PurgeScope.KEY;
     String value = switch (scope) {
       case KEY -> String.format("%016x", random.nextLong());
       case PREFIX -> "org/example/module-" + random.nextInt(1_000) + "/";
       default -> "tenant-" + random.nextInt(500);
     };
-    fleet.submit(new PurgeChange(1, scope, value, TIME_OF_DAY + (long) fleet.now()));
+    fleet.submit(new PurgeChange(1, scope, value, WALL_CLOCK_START_MS + (long) fleet.now()));
     purges++;
-    fleet.at(fleet.now() + gap(scenario.changes().purges()), this::purge);
+    fleet.at(fleet.now() + nextInterval(scenario.changes().purges()), this::submitPurge);
   }
 
-  private void configure() {
+  private void submitConfiguration() {
     double rate = scenario.changes().configurations();
     if (rate > 0) {
-      fleet.submit(new ConfigurationChange(1, document()));
+      fleet.submit(new ConfigurationChange(1, configurationDocument()));
       configurations++;
-      fleet.at(fleet.now() + gap(rate), this::configure);
+      fleet.at(fleet.now() + nextInterval(rate), this::submitConfiguration);
     }
   }
 
-  /** A document of settings: names and numbers, as many as its length takes. */
-  private String document() {
+  /** Returns a JSON document of the configured length with random settings. */
+  private String configurationDocument() {
     StringBuilder document = new StringBuilder("{\"edition\": " + configurations);
     while (document.length() < scenario.changes().documentBytes() - 1) {
       document.append(", \"setting_").append(document.length()).append("\": ").append(random.nextInt(1_000));
@@ -109,69 +110,69 @@
     return document.append('}').toString();
   }
 
-  // ---- What was counted -----------------------------------------------------------------------------------
+  // ---- Report ---------------------------------------------------------------------------------------------
 
-  private ControlReport report(double cpuPart, double heapMb) {
+  private ControlReport report(double cpuFraction, double heapMb) {
     Limits limits = scenario.limits();
     ControlReport report = new ControlReport();
     report.figure("fleet.proxies", scenario.size().proxies());
     report.figure("fleet.sites", scenario.size().sites());
     report.figure("fleet.control_machines", scenario.size().controls());
-    report.figure("control.cpu_part", cpuPart, limits.cpuPart());
+    report.figure("control.cpu_part", cpuFraction, limits.cpuFraction());
     report.figure("control.heap_mb", heapMb, limits.heapMb());
-    reportBytes(report, limits);
+    reportTraffic(report, limits);
     ChangeChecks checks = fleet.checks();
     ProgressChecks progress = fleet.progressChecks();
     report.figure("changes.purges", purges);
     report.figure("changes.configurations", configurations);
     report.figure("changes.commit_max_ms", fleet.log().commitMax());
-    report.figure("changes.purge_max_ms", checks.purgeMax(), limits.purge());
-    report.figure("changes.config_max_ms", checks.configurationMax(), limits.configuration());
+    report.figure("changes.purge_max_ms", checks.purgeMax(), limits.purgeMs());
+    report.figure("changes.config_max_ms", checks.configurationMax(), limits.configurationMs());
     report.figure("changes.healed_max_ms", checks.healedMax());
     report.figure("changes.known_max_ms", progress.knownMax());
     report.figure("changes.snapshots", checks.snapshots());
-    report.never("changes.lost", lost());
-    report.never("changes.twice", checks.twice());
-    report.never("changes.out_of_order", checks.outOfOrder());
-    report.never("changes.foreign", checks.foreign());
-    report.never("changes.false_done", progress.falseDone());
-    report.never("changes.fenced_fresh", progress.fencedFresh());
+    report.mustBeZero("changes.lost", lostEntries());
+    report.mustBeZero("changes.twice", checks.twice());
+    report.mustBeZero("changes.out_of_order", checks.outOfOrder());
+    report.mustBeZero("changes.foreign", checks.foreign());
+    report.mustBeZero("changes.false_done", progress.falseDone());
+    report.mustBeZero("changes.fenced_fresh", progress.fencedFresh());
     if (scenario.membership().members() > 0) {
-      MemberDay.play(scenario, report);
+      MembershipEmulation.run(scenario, report);
     }
     return report;
   }
 
-  private void reportBytes(ControlReport report, Limits limits) {
+  private void reportTraffic(ControlReport report, Limits limits) {
     double now = fleet.now();
-    int controls = scenario.size().controls();
-    List<ControlHost> proxies = fleet.hosts().subList(controls, fleet.hosts().size());
-    List<ControlHost> machines = fleet.hosts().subList(0, controls);
-    double members = scenario.membership().bytes();
-    report.figure("control.bytes_s_membership_taken", members);
+    int controlCount = scenario.size().controls();
+    List<ControlHost> proxies = fleet.hosts().subList(controlCount, fleet.hosts().size());
+    List<ControlHost> controlMachines = fleet.hosts().subList(0, controlCount);
+    double membershipBytes = scenario.membership().bytesPerSecond();
+    report.figure("control.bytes_s_membership_taken", membershipBytes);
     report.figure("control.bytes_s_distribution_mean",
         proxies.stream().mapToDouble(h -> h.traffic.meanOfSecond(now)).average().orElse(0));
     report.figure("control.bytes_s_mean",
-        members + proxies.stream().mapToDouble(h -> h.traffic.meanOfSecond(now)).average().orElse(0),
-        limits.bytes());
+        membershipBytes + proxies.stream().mapToDouble(h -> h.traffic.meanOfSecond(now)).average().orElse(0),
+        limits.bytesPerSecond());
     report.figure("control.bytes_s_highest_mean",
-        members + proxies.stream().mapToDouble(h -> h.traffic.meanOfSecond(now)).max().orElse(0),
-        limits.bytes());
+        membershipBytes + proxies.stream().mapToDouble(h -> h.traffic.meanOfSecond(now)).max().orElse(0),
+        limits.bytesPerSecond());
     report.figure("control.bytes_s_worst",
-        members + proxies.stream().mapToDouble(h -> h.traffic.worstSecond()).max().orElse(0));
+        membershipBytes + proxies.stream().mapToDouble(h -> h.traffic.worstSecond()).max().orElse(0));
     report.figure("control.machine_bytes_s_mean",
-        machines.stream().mapToDouble(h -> h.traffic.meanOfSecond(now)).average().orElse(0));
+        controlMachines.stream().mapToDouble(h -> h.traffic.meanOfSecond(now)).average().orElse(0));
     report.figure("control.machine_bytes_s_worst",
-        machines.stream().mapToDouble(h -> h.traffic.worstSecond()).max().orElse(0));
+        controlMachines.stream().mapToDouble(h -> h.traffic.worstSecond()).max().orElse(0));
   }
 
-  /** Entries that a proxy lacks at the end though it can be reached and had the time. */
-  private long lost() {
+  /** The number of entries that hosts lack at the end although they have been reachable for long enough. */
+  private long lostEntries() {
     double now = fleet.now();
     long lost = 0;
     for (ControlHost host : fleet.hosts()) {
-      if (host.isUp() && host.record.reachableSince() <= now - scenario.limits().configuration()) {
-        lost += Math.max(0, fleet.checks().lastUpTo(now - scenario.limits().purge()) - host.record.last());
+      if (host.isUp() && host.record.reachableSince() <= now - scenario.limits().configurationMs()) {
+        lost += Math.max(0, fleet.checks().lastUpTo(now - scenario.limits().purgeMs()) - host.record.last());
       }
     }
     return lost;
--- a/src/main/java/beampoint/emulator/ControlFleet.java
+++ b/src/main/java/beampoint/emulator/ControlFleet.java
@@ -23,20 +23,22 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Control machines and hollow proxies in virtual time, each with the state machine that carries changes; the
- * control machines have the replicated log as well. Hosts may be killed, stand still, be cut off and come
- * back.
+ * Control machines and proxies in virtual time. Each runs the state machine of the distribution tree, and the
+ * control machines run the replicated log as well; the proxies serve no requests. Hosts can be killed,
+ * restarted, paused, partitioned and reconnected.
  */
 public final class ControlFleet {
 
-  private static final long FIRST_LIFE = 1_764_000_000_000L; // as a process that takes its time of start
-  private static final double TICK = 50;
-  private static final double CHECK_EVERY = 250;
-  private static final double CLOCK_SCATTER = 0.004; // under half of the drift that the terms allow for
+  private static final long FIRST_LIFE = 1_764_000_000_000L; // a real process uses its start time
+  private static final double TICK_MS = 50;
+  private static final double CHECK_INTERVAL_MS = 250;
+
+  /** Below half of the drift in the settings, so that two clocks differ by less than the drift. */
+  private static final double MAX_CLOCK_RATE_ERROR = 0.004;
 
   private final Clock clock = new Clock(0);
   private final FleetLayout layout;
-  private final DistributionSettings terms;
+  private final DistributionSettings settings;
   private final DistributionTree tree;
   private final UniformRandomProvider random;
   private final ControlNetwork network;
@@ -47,54 +49,59 @@
   private final Views views;
   private final ControlLog log;
 
-  /** A fleet whose hosts all have just started. */
-  public ControlFleet(FleetLayout layout, DistributionSettings terms, int fanOut,
+  /**
+   * Creates a fleet whose hosts have just started.
+   *
+   * @param withMembership true to run the membership protocol, false to model its results
+   */
+  public ControlFleet(FleetLayout layout, DistributionSettings settings, int fanOut,
       ControlNetwork.Delays delays, boolean withMembership, long seed) {
     this.layout = layout;
-    this.terms = terms;
+    this.settings = settings;
     this.tree = new DistributionTree(fanOut);
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     this.network = new ControlNetwork(layout, delays, RandomSource.XO_SHI_RO_256_PP.create(seed + 1));
     for (int i = 0; i < layout.hosts(); i++) {
-      double rate = 1 + CLOCK_SCATTER * (2 * random.nextDouble() - 1);
+      double rate = 1 + MAX_CLOCK_RATE_ERROR * (2 * random.nextDouble() - 1);
       hosts.add(new ControlHost(i, layout.member(i), rate));
     }
     this.views = withMembership
-        ? new MembershipViews(clock, layout, hosts, network, random, this::findParents)
-        : new ModelledViews(clock, layout, hosts, network, random, this::findParents);
-    this.log = new ControlLog(clock, layout, hosts, network, checks, random, this::give, this::findParents);
+        ? new MembershipViews(clock, layout, hosts, network, random, this::updateParents)
+        : new ModelledViews(clock, layout, hosts, network, random, this::updateParents);
+    this.log = new ControlLog(clock, layout, hosts, network, checks, random, this::deliver,
+        this::updateParents);
     hosts.forEach(host -> start(host.number));
-    clock.after(CHECK_EVERY, this::check);
+    clock.after(CHECK_INTERVAL_MS, this::checkProgress);
   }
 
-  // ---- What happens to hosts ------------------------------------------------------------------------------
+  // ---- Faults ---------------------------------------------------------------------------------------------
 
-  /** Starts a host, or one that is down again: it has applied nothing. */
+  /** Starts a host for the first time or again; it has applied nothing. */
   public void start(int number) {
     ControlHost host = hosts.get(number);
     host.life++;
-    double since = reachable(number) ? clock.now() : Double.POSITIVE_INFINITY;
+    double since = isReachable(number) ? clock.now() : Double.POSITIVE_INFINITY;
     ChangeChecks.Record record = checks.new Record(clock, since);
     boolean isControl = number < layout.controls();
-    host.start(new DistributionNode(isControl ? terms.forControlMachine() : terms, host.member,
+    host.start(new DistributionNode(isControl ? settings.forControlMachine() : settings, host.member,
         FIRST_LIFE + host.life, 0, record, host.localTime(clock.now())), record);
     if (isControl) {
       log.started(host);
     }
     views.started(host);
-    findParents(host);
+    updateParents(host);
     long life = host.life;
-    clock.after(random.nextDouble() * TICK, () -> tick(host, life));
+    clock.after(random.nextDouble() * TICK_MS, () -> tick(host, life));
   }
 
-  /** Ends a host without a word. */
+  /** Stops a host without notifying any other. */
   public void kill(int number) {
     ControlHost host = hosts.get(number);
     host.stop();
     host.record.reachableSince(Double.POSITIVE_INFINITY);
   }
 
-  /** Lets the members find out what was done to hosts. */
+  /** Lets the other hosts detect that hosts were killed, started, cut off or reconnected. */
   public void changed(List<Integer> numbers) {
     views.changed(numbers);
   }
@@ -106,44 +113,44 @@
 
   public void resume(int number) {
     hosts.get(number).resume();
-    reachableAgain(hosts.get(number));
+    updateReachability(hosts.get(number));
   }
 
-  /** Cuts hosts off together from all others, or heals that: island 0 is the mainland. */
-  public void isolate(Collection<Integer> numbers, int island) {
-    network.isolate(numbers, island);
-    hosts.forEach(this::reachableAgain);
+  /** Moves hosts to a network partition; 0 is the main partition. */
+  public void isolate(Collection<Integer> numbers, int partition) {
+    network.isolate(numbers, partition);
+    hosts.forEach(this::updateReachability);
   }
 
-  /** Mends all links; hosts that are down stay so. */
+  /** Removes all faults of the network; hosts that are down stay down. */
   public void healNetwork() {
-    network.mendAll();
+    network.healAll();
     network.setMessageFaults(0, 0, 0, 0);
-    hosts.forEach(this::reachableAgain);
+    hosts.forEach(this::updateReachability);
   }
 
-  private void reachableAgain(ControlHost host) {
-    boolean isReachable = host.isUp() && !host.isPaused() && reachable(host.number);
-    if (!isReachable) {
+  private void updateReachability(ControlHost host) {
+    boolean reachable = host.isUp() && !host.isPaused() && isReachable(host.number);
+    if (!reachable) {
       host.record.reachableSince(Double.POSITIVE_INFINITY);
     } else if (Double.isInfinite(host.record.reachableSince())) {
       host.record.reachableSince(clock.now());
     }
   }
 
-  /** Faults leave a majority of the control machines on the mainland. */
-  private boolean reachable(int number) {
+  /** Whether a host is in the main partition, in which faults leave a majority of the control machines. */
+  private boolean isReachable(int number) {
     return network.partition(number) == 0;
   }
 
-  /** Submits a change until it is committed. */
+  /** Submits a change, and retries until it is committed. */
   public void submit(Change change) {
     log.submit(change);
   }
 
-  // ---- Playing --------------------------------------------------------------------------------------------
+  // ---- Simulation -----------------------------------------------------------------------------------------
 
-  /** Plays on to a time, in ms. */
+  /** Runs the simulation up to a time, in ms. */
   public void runTo(double time) {
     clock.runTo(time);
   }
@@ -156,7 +163,7 @@
     clock.at(time, task);
   }
 
-  /** Counts bytes and times anew from now on. */
+  /** Resets the counters of bytes and times. */
   public void countFromNow() {
     hosts.forEach(host -> host.traffic.restart(clock.now()));
     checks.countFrom(clock.now());
@@ -166,29 +173,29 @@
   private void tick(ControlHost host, long life) {
     if (host.life == life && host.isUp()) {
       if (!host.isPaused()) {
-        give(host, new Tick());
+        deliver(host, new Tick());
       }
-      clock.after(TICK, () -> tick(host, life));
+      clock.after(TICK_MS, () -> tick(host, life));
     }
   }
 
-  private void findParents(ControlHost host) {
+  private void updateParents(ControlHost host) {
     if (host.isUp()) {
-      List<TreeMember> living = new ArrayList<>();
+      List<TreeMember> live = new ArrayList<>();
       for (int other : views.ofInterest(host)) {
         if (!host.dead.contains(layout.member(other).name())) {
-          living.add(layout.member(other));
+          live.add(layout.member(other));
         }
       }
-      give(host, new ParentsChanged(tree.parents(host.member, living, host.knownLeader)));
+      deliver(host, new ParentsChanged(tree.parents(host.member, live, host.knownLeader)));
     }
   }
 
-  private void give(ControlHost host, DistributionEvent event) {
+  private void deliver(ControlHost host, DistributionEvent event) {
     if (host.isUp()) {
-      boolean tellsOfLeader = event instanceof BecameLeader || event instanceof LostLeadership;
-      if (host.controlNode != null && !tellsOfLeader) {
-        log.refresh(host);
+      boolean isLeadershipEvent = event instanceof BecameLeader || event instanceof LostLeadership;
+      if (host.controlNode != null && !isLeadershipEvent) {
+        log.updateLeadership(host);
       }
       host.node.handle(host.localTime(clock.now()), event).forEach(action -> {
         if (action instanceof Send send) {
@@ -202,11 +209,11 @@
     byte[] bytes = codec.write(message);
     from.traffic.add(clock.now(), bytes.length);
     for (int copies = network.copies(from.number, to.number); copies > 0; copies--) {
-      clock.after(network.delay(from.number, to.number), () -> deliver(from, to, bytes));
+      clock.after(network.delay(from.number, to.number), () -> deliverMessage(from, to, bytes));
     }
   }
 
-  private void deliver(ControlHost from, ControlHost to, byte[] bytes) {
+  private void deliverMessage(ControlHost from, ControlHost to, byte[] bytes) {
     if (!to.isUp() || network.partition(from.number) != network.partition(to.number)) {
       return;
     }
@@ -214,7 +221,7 @@
     long life = to.life;
     to.runOrDefer(() -> {
       if (to.life == life) {
-        give(to, new Received(from.member.name(), read(bytes)));
+        deliver(to, new Received(from.member.name(), read(bytes)));
       }
     });
   }
@@ -227,23 +234,23 @@
     }
   }
 
-  private void check() {
+  private void checkProgress() {
     int leader = log.leader();
     ProgressTracker tracker = leader < 0 ? null : hosts.get(leader).node.tracker();
     if (tracker != null) {
       progressChecks.check(clock.now(), tracker, hosts.get(leader).localTime(clock.now()));
     }
-    clock.after(CHECK_EVERY, this::check);
+    clock.after(CHECK_INTERVAL_MS, this::checkProgress);
   }
 
-  // ---- What is seen ---------------------------------------------------------------------------------------
+  // ---- State ----------------------------------------------------------------------------------------------
 
-  /** The machine of a host; null while it is down. */
+  /** Returns the tree member of a host; null while it is down. */
   public DistributionNode node(int number) {
     return hosts.get(number).node;
   }
 
-  /** The number of the control machine that leads; -1 for none. */
+  /** Returns the number of the control machine that leads; -1 if there is none. */
   public int leader() {
     return log.leader();
   }
--- a/src/main/java/beampoint/emulator/ControlHost.java
+++ b/src/main/java/beampoint/emulator/ControlHost.java
@@ -9,31 +9,32 @@
 import java.util.List;
 import java.util.Set;
 
-/** One hollow machine of a fleet: a member of the distribution tree and nothing else. */
+/** One emulated host of a fleet: a member of the distribution tree that serves no requests. */
 final class ControlHost {
 
-  private static final int SOCKET_BUFFER = 200; // messages that wait for a process that stands still
+  /** The number of messages that a socket holds for a paused process. */
+  private static final int MAX_DEFERRED = 200;
 
   final int number;
   final TreeMember member;
-  final double rate; // of its own clock
+  final double clockRate; // speed of its own clock relative to virtual time
   final Traffic traffic = new Traffic();
-  final Set<String> dead = new HashSet<>(); // in its own view
-  private final List<Runnable> waiting = new ArrayList<>();
-  Membership membership; // null where who sees whom follows a model
+  final Set<String> dead = new HashSet<>(); // the members that are dead in its own view
+  private final List<Runnable> deferred = new ArrayList<>();
+  Membership membership; // null if the views follow a model
   ControlNode controlNode; // of the change log; null at a proxy
-  boolean leads; // as the tree was told
+  boolean leads; // as last reported to the node of the tree
   String knownLeader = "";
   DistributionNode node; // null while it is down
-  ChangeChecks.Record record; // of its present life, or the last one
+  ChangeChecks.Record record; // of the current process, or of the last one
   long life;
-  private long earlier;
+  private long appliedByEarlierProcesses;
   private boolean paused;
 
-  ControlHost(int number, TreeMember member, double rate) {
+  ControlHost(int number, TreeMember member, double clockRate) {
     this.number = number;
     this.member = member;
-    this.rate = rate;
+    this.clockRate = clockRate;
   }
 
   boolean isUp() {
@@ -44,14 +45,14 @@
     return paused;
   }
 
-  /** What it was told or had to do meanwhile goes with the old life. */
+  /** Ends the process and discards its state and deferred tasks. */
   void stop() {
     node = null;
     membership = null;
     controlNode = null;
     leads = false;
     paused = false;
-    waiting.clear();
+    deferred.clear();
   }
 
   void pause() {
@@ -60,34 +61,34 @@
 
   void resume() {
     paused = false;
-    List<Runnable> waited = List.copyOf(waiting);
-    waiting.clear();
-    waited.forEach(Runnable::run);
+    List<Runnable> tasks = List.copyOf(deferred);
+    deferred.clear();
+    tasks.forEach(Runnable::run);
   }
 
-  /** Does it now, or when the process runs again. */
+  /** Runs a task now or, if the process is paused, when it is resumed. */
   void runOrDefer(Runnable task) {
     if (!paused) {
       task.run();
-    } else if (waiting.size() < SOCKET_BUFFER) {
-      waiting.add(task);
+    } else if (deferred.size() < MAX_DEFERRED) {
+      deferred.add(task);
     }
   }
 
-  /** The last entry that it applied in this life or in one before. */
+  /** The highest entry that this or an earlier process of the host has applied. */
   long highestApplied() {
-    return Math.max(earlier, record.last());
+    return Math.max(appliedByEarlierProcesses, record.last());
   }
 
-  /** Begins another life. */
-  void start(DistributionNode machine, ChangeChecks.Record applier) {
-    earlier = record == null ? 0 : highestApplied();
-    node = machine;
+  /** Starts a new process. */
+  void start(DistributionNode newNode, ChangeChecks.Record applier) {
+    appliedByEarlierProcesses = record == null ? 0 : highestApplied();
+    node = newNode;
     record = applier;
   }
 
-  /** A time by its own clock. */
+  /** Returns a time by its own clock. */
   double localTime(double now) {
-    return now * rate;
+    return now * clockRate;
   }
 }
--- a/src/main/java/beampoint/emulator/ControlLog.java
+++ b/src/main/java/beampoint/emulator/ControlLog.java
@@ -34,20 +34,20 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The replicated change log at the control machines of a fleet, all of which vote, and the submitters, which
- * submit again under the same name until a change is committed. A control machine that starts again has lost
- * its memory.
+ * The replicated change log at the control machines of a fleet, all of which are voters, and the submitters,
+ * which retry under the same id until a change is committed. A control machine that restarts has lost its
+ * state.
  */
 final class ControlLog {
 
-  private static final double LEASE = 600; // ms
+  private static final double LEASE_MS = 600;
   private static final double DRIFT = 0.02;
-  private static final double RETRY = 400; // ms, of replicas
-  private static final double SUBMIT_AGAIN = 300; // ms
-  private static final double TICK = 10; // ms
+  private static final double RETRY = 400; // ms, for messages between replicas
+  private static final double SUBMIT_RETRY_MS = 300;
+  private static final double TICK_MS = 10;
 
-  /** A change that is not committed yet. */
-  private record Pending(Change change, double since) {}
+  /** A submitted change that is not known to be committed. */
+  private record Pending(Change change, double submittedAt) {}
 
   private final Clock clock;
   private final FleetLayout layout;
@@ -55,7 +55,7 @@
   private final ControlNetwork network;
   private final ChangeChecks checks;
   private final UniformRandomProvider random;
-  private final BiConsumer<ControlHost, DistributionEvent> deliver;
+  private final BiConsumer<ControlHost, DistributionEvent> deliverEvent;
   private final Consumer<ControlHost> leaderChanged;
   private final ChangeCodec codec = new ChangeCodec("emulated");
   private final LogTerms terms;
@@ -65,22 +65,22 @@
   private double commitMax;
 
   ControlLog(Clock clock, FleetLayout layout, List<ControlHost> hosts, ControlNetwork network,
-      ChangeChecks checks, UniformRandomProvider random, BiConsumer<ControlHost, DistributionEvent> deliver,
-      Consumer<ControlHost> leaderChanged) {
+      ChangeChecks checks, UniformRandomProvider random,
+      BiConsumer<ControlHost, DistributionEvent> deliverEvent, Consumer<ControlHost> leaderChanged) {
     this.clock = clock;
     this.layout = layout;
     this.hosts = hosts;
     this.network = network;
     this.checks = checks;
     this.random = random;
-    this.deliver = deliver;
+    this.deliverEvent = deliverEvent;
     this.leaderChanged = leaderChanged;
     SortedSet<String> voters = new TreeSet<>();
     for (int i = 0; i < layout.controls(); i++) {
       voters.add(layout.member(i).name());
     }
     this.terms = new LogTerms(voters, RETRY, LogLimits.USUAL);
-    this.leaseTerms = new LeaseSettings(voters, LEASE, DRIFT);
+    this.leaseTerms = new LeaseSettings(voters, LEASE_MS, DRIFT);
   }
 
   void started(ControlHost host) {
@@ -89,60 +89,60 @@
     host.knownLeader = "";
     host.leads = false;
     long life = host.life;
-    clock.after(random.nextDouble() * TICK, () -> tick(host, life));
+    clock.after(random.nextDouble() * TICK_MS, () -> tick(host, life));
   }
 
   private void tick(ControlHost host, long life) {
     if (host.isUp() && host.life == life) {
       if (!host.isPaused()) {
-        carryOut(host, host.controlNode.tick(host.localTime(clock.now())));
+        execute(host, host.controlNode.tick(host.localTime(clock.now())));
       }
-      clock.after(TICK, () -> tick(host, life));
+      clock.after(TICK_MS, () -> tick(host, life));
     }
   }
 
   // ---- Submitters -----------------------------------------------------------------------------------------
 
-  /** Submits a change until it is committed. */
+  /** Submits a change, and retries until it is committed. */
   void submit(Change change) {
     String origin = layout.member(random.nextInt(layout.controls())).name();
     ChangeId id = new ChangeId(origin, ++submitted);
     pending.put(id, new Pending(change, clock.now()));
-    tryToCommit(id);
+    trySubmit(id);
   }
 
-  private void tryToCommit(ChangeId id) {
+  private void trySubmit(ChangeId id) {
     if (!pending.containsKey(id)) {
       return;
     }
     int leader = leader();
     if (leader >= 0) {
       ControlHost host = hosts.get(leader);
-      carryOut(host, host.controlNode.submit(host.localTime(clock.now()), id, pending.get(id).change()));
+      execute(host, host.controlNode.submit(host.localTime(clock.now()), id, pending.get(id).change()));
     }
-    clock.after(SUBMIT_AGAIN, () -> tryToCommit(id));
+    clock.after(SUBMIT_RETRY_MS, () -> trySubmit(id));
   }
 
   private void committed(ChangeId id) {
     Pending change = pending.remove(id);
     if (change != null) {
-      commitMax = Math.max(commitMax, clock.now() - change.since());
+      commitMax = Math.max(commitMax, clock.now() - change.submittedAt());
     }
   }
 
-  /** How many changes were submitted and are not known to be committed. */
+  /** The number of submitted changes that are not known to be committed. */
   int pending() {
     return pending.size();
   }
 
-  /** The longest from a change's first submission to the answer that it is committed. */
+  /** The longest time in ms from a change's first submission to the answer that it is committed. */
   double commitMax() {
     return commitMax;
   }
 
   // ---- Control machines -----------------------------------------------------------------------------------
 
-  /** The control machine that leads now; -1 for none. */
+  /** Returns the number of the control machine that leads; -1 if there is none. */
   int leader() {
     for (ControlHost host : hosts.subList(0, layout.controls())) {
       if (host.isUp() && !host.isPaused() && host.controlNode.leads(host.localTime(clock.now()))) {
@@ -152,12 +152,15 @@
     return -1;
   }
 
-  /** Lets the tree know who leads, before anything else happens at a host. */
-  void refresh(ControlHost host) {
+  /**
+   * Informs the tree about the leader. To be called before any other event of the host, so that the event is
+   * handled with the current leader.
+   */
+  void updateLeadership(ControlHost host) {
     boolean leads = host.controlNode.leads(host.localTime(clock.now()));
     if (leads != host.leads) {
       host.leads = leads;
-      deliver.accept(host, leads
+      deliverEvent.accept(host, leads
           ? new DistributionEvent.BecameLeader(
               DistributionNode.logId(host.controlNode.state().log().identity()), layout.proxies())
           : new DistributionEvent.LostLeadership());
@@ -169,33 +172,33 @@
     }
   }
 
-  private void carryOut(ControlHost host, List<LogAction> actions) {
+  private void execute(ControlHost host, List<LogAction> actions) {
     for (LogAction action : actions) {
       if (action instanceof Send send) {
         send(host, hosts.get(layout.number(send.to())), send.message());
       } else if (action instanceof Answer answer && answer.outcome() instanceof Committed) {
         committed(answer.id());
       } else if (action instanceof Deliver entries) {
-        deliver(host, entries);
+        deliverEntries(host, entries);
       } else if (action instanceof Install install) {
-        deliver.accept(host, new Installed(DistributionNode.logId(install.identity()),
-            shortened(install.snapshot())));
+        deliverEvent.accept(host, new Installed(DistributionNode.logId(install.identity()),
+            toConfigurationSnapshot(install.snapshot())));
       }
     }
-    refresh(host);
+    updateLeadership(host);
   }
 
-  private void deliver(ControlHost host, Deliver delivered) {
+  private void deliverEntries(ControlHost host, Deliver delivered) {
     for (ChangeEntry entry : delivered.entries()) {
       if (entry.index() == checks.log().size() + 1) {
         checks.committed(entry, clock.now());
       }
     }
-    deliver.accept(host, new DistributionEvent.Committed(DistributionNode.logId(delivered.identity()),
+    deliverEvent.accept(host, new DistributionEvent.Committed(DistributionNode.logId(delivered.identity()),
         delivered.entries()));
   }
 
-  private static ConfigurationSnapshot shortened(Snapshot snapshot) {
+  private static ConfigurationSnapshot toConfigurationSnapshot(Snapshot snapshot) {
     ChangeEntry configuration = snapshot.configuration().orElse(null);
     return new ConfigurationSnapshot(snapshot.index(),
         configuration == null ? Epoch.NONE : configuration.epoch(), configuration);
@@ -205,17 +208,17 @@
     byte[] bytes = codec.write(message);
     from.traffic.add(clock.now(), bytes.length);
     for (int copies = network.copies(from.number, to.number); copies > 0; copies--) {
-      clock.after(network.delay(from.number, to.number), () -> arrive(from, to, bytes));
+      clock.after(network.delay(from.number, to.number), () -> deliverMessage(from, to, bytes));
     }
   }
 
-  private void arrive(ControlHost from, ControlHost to, byte[] bytes) {
+  private void deliverMessage(ControlHost from, ControlHost to, byte[] bytes) {
     if (to.isUp() && network.partition(from.number) == network.partition(to.number)) {
       to.traffic.add(clock.now(), bytes.length);
       long life = to.life;
       to.runOrDefer(() -> {
         if (to.life == life) {
-          carryOut(to, to.controlNode.received(to.localTime(clock.now()), from.member.name(), read(bytes)));
+          execute(to, to.controlNode.received(to.localTime(clock.now()), from.member.name(), read(bytes)));
         }
       });
     }
--- a/src/main/java/beampoint/emulator/ControlNetwork.java
+++ b/src/main/java/beampoint/emulator/ControlNetwork.java
@@ -7,12 +7,20 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * How messages travel between the hosts of a fleet: how long by where the two stand, and which are lost,
- * repeated or overtaken. Hosts may be cut off together, and links in one direction.
+ * The network between the hosts of a fleet. The delay of a message depends on the locations of its sender and
+ * receiver; messages may be lost, duplicated or reordered. Groups of hosts can be partitioned from the
+ * others, and links can be cut in one direction.
  */
 final class ControlNetwork {
 
-  /** One way's time in ms between hosts of one site, of one region, and others; and up to how much more. */
+  /**
+   * The one-way delays in ms.
+   *
+   * @param site between hosts of one site in one zone
+   * @param region between other hosts of one region
+   * @param far between hosts of different regions
+   * @param jitter the maximum random delay that is added
+   */
   record Delays(double site, double region, double far, double jitter) {}
 
   private record Link(int from, int to) {}
@@ -20,71 +28,78 @@
   private final FleetLayout layout;
   private final Delays delays;
   private final UniformRandomProvider random;
-  private final int[] islands; // hosts of different islands don't reach each other
-  private final Set<Link> cut = new HashSet<>();
-  private double lost;
-  private double repeated;
-  private double late; // the part of messages that take longer than usual
-  private double latest;
+  private final int[] partitions; // by host; hosts of different partitions don't reach each other
+  private final Set<Link> cutLinks = new HashSet<>();
+  private double lossRate;
+  private double duplicationRate;
+  private double delayedRate;
+  private double maxExtraDelay;
 
   ControlNetwork(FleetLayout layout, Delays delays, UniformRandomProvider random) {
     this.layout = layout;
     this.delays = delays;
     this.random = random;
-    this.islands = new int[layout.hosts()];
+    this.partitions = new int[layout.hosts()];
   }
 
-  /** The parts of all messages that are lost and repeated, and that come up to so much later. */
-  void setMessageFaults(double partLost, double partRepeated, double partLate, double upTo) {
-    lost = partLost;
-    repeated = partRepeated;
-    late = partLate;
-    latest = upTo;
+  /**
+   * Sets the fractions of messages that are lost, duplicated and delayed.
+   *
+   * @param extraDelay the maximum additional delay of a delayed message in ms
+   */
+  void setMessageFaults(double loss, double duplication, double delayed, double extraDelay) {
+    lossRate = loss;
+    duplicationRate = duplication;
+    delayedRate = delayed;
+    maxExtraDelay = extraDelay;
   }
 
-  /** Puts hosts on an island of their own; 0 is the mainland. */
-  void isolate(Collection<Integer> hosts, int island) {
-    hosts.forEach(host -> islands[host] = island);
+  /** Moves hosts to a partition; 0 is the main partition, in which all hosts start. */
+  void isolate(Collection<Integer> hosts, int partition) {
+    hosts.forEach(host -> partitions[host] = partition);
   }
 
   int partition(int host) {
-    return islands[host];
+    return partitions[host];
   }
 
-  /** Cuts a link in one direction, or mends it. */
+  /** Cuts a link in one direction, or restores it. */
   void cut(int from, int to, boolean isCut) {
     Link link = new Link(from, to);
     if (isCut) {
-      cut.add(link);
+      cutLinks.add(link);
     } else {
-      cut.remove(link);
+      cutLinks.remove(link);
     }
   }
 
-  void mendAll() {
-    cut.clear();
-    Arrays.fill(islands, 0);
+  /** Restores all links and removes all partitions. */
+  void healAll() {
+    cutLinks.clear();
+    Arrays.fill(partitions, 0);
   }
 
-  /** How often a message arrives: 0, 1 or 2 times. */
+  /** Draws how often a message arrives: 0, 1 or 2 times. */
   int copies(int from, int to) {
-    if (islands[from] != islands[to] || !cut.isEmpty() && cut.contains(new Link(from, to))) {
+    if (partitions[from] != partitions[to] || !cutLinks.isEmpty() && cutLinks.contains(new Link(from, to))) {
       return 0;
     }
-    if (lost > 0 && random.nextDouble() < lost) {
+    if (lossRate > 0 && random.nextDouble() < lossRate) {
       return 0;
     }
-    return repeated > 0 && random.nextDouble() < repeated ? 2 : 1;
+    return duplicationRate > 0 && random.nextDouble() < duplicationRate ? 2 : 1;
   }
 
+  /** Draws the one-way delay of a message in ms. */
   double delay(int from, int to) {
-    double usual = delays.far();
+    double base = delays.far();
     if (layout.member(from).site().equals(layout.member(to).site()) && layout.zone(from) == layout.zone(to)) {
-      usual = delays.site();
+      base = delays.site();
     } else if (layout.region(from) == layout.region(to)) {
-      usual = delays.region();
+      base = delays.region();
     }
-    double extra = late > 0 && random.nextDouble() < late ? latest * random.nextDouble() : 0;
-    return usual + delays.jitter() * random.nextDouble() + extra;
+    double extra =
+        delayedRate > 0 && random.nextDouble() < delayedRate ? maxExtraDelay * random.nextDouble() : 0;
+    return base + delays.jitter() * random.nextDouble() + extra;
   }
 }
--- a/src/main/java/beampoint/emulator/ControlReport.java
+++ b/src/main/java/beampoint/emulator/ControlReport.java
@@ -6,46 +6,47 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The figures of a fleet's control on one day, and which of the operators' limits they break. */
+/** The figures of one control scenario, and the limits of the scenario that they exceed. */
 public final class ControlReport {
 
   private final Map<String, Double> figures = new LinkedHashMap<>();
   private final List<String> brokenLimits = new ArrayList<>();
 
+  /** Adds a figure without a limit. */
   void figure(String name, double value) {
     figures.put(name, value);
   }
 
-  /** A figure that a limit holds for. */
-  void figure(String name, double value, double most) {
+  /** Adds a figure that must not exceed a limit. */
+  void figure(String name, double value, double limit) {
     figure(name, value);
-    if (!(value <= most)) {
-      brokenLimits.add(name + " is " + shown(value) + ", more than " + shown(most));
+    if (!(value <= limit)) {
+      brokenLimits.add(name + " is " + format(value) + ", more than " + format(limit));
     }
   }
 
-  /** A figure that must be 0. */
-  void never(String name, double value) {
+  /** Adds a figure that must be 0. */
+  void mustBeZero(String name, double value) {
     figure(name, value, 0);
   }
 
-  /** What broke a limit, in the order of the figures. */
+  /** Describes the exceeded limits, in the order of the figures. */
   public List<String> brokenLimits() {
     return List.copyOf(brokenLimits);
   }
 
-  /** All figures by name. */
+  /** Returns all figures as text, by name. */
   public Map<String, String> figures() {
-    Map<String, String> shown = new LinkedHashMap<>();
-    figures.forEach((name, value) -> shown.put(name, shown(value)));
-    return shown;
+    Map<String, String> formatted = new LinkedHashMap<>();
+    figures.forEach((name, value) -> formatted.put(name, format(value)));
+    return formatted;
   }
 
   double value(String name) {
     return figures.get(name);
   }
 
-  private static String shown(double value) {
+  private static String format(double value) {
     return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value)
         : String.format(Locale.ROOT, "%.4g", value);
   }
--- a/src/main/java/beampoint/emulator/ControlScenario.java
+++ b/src/main/java/beampoint/emulator/ControlScenario.java
@@ -6,52 +6,71 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A day of a fleet's control, as a file tells it: who stands where, what changes, and what breaks when. */
+/** A scenario for the control plane of a fleet: its layout, the changes and the faults. */
 public record ControlScenario(String name, long seed, double length, double warmUp, Size size,
     Membership membership, int fanOut, Network network, Changes changes, Limits limits, List<Fault> faults) {
 
   private static final int VERSION = 1;
   private static final String MODEL = "control";
-  private static final double LONGEST = 3_600; // seconds
-  private static final double SECONDS_A_DAY = 24 * 3_600;
+  private static final double MAX_SECONDS = 3_600;
+  private static final double SECONDS_PER_DAY = 24 * 3_600;
 
-  /** How many there are of each. */
+  /** The numbers of proxies, sites, zones, regions and control machines. */
   public record Size(int proxies, int sites, int zones, int regions, int controls) {}
 
   /**
-   * Membership is not played at the whole size: who sees whom there follows a model.
+   * Membership. The protocol is not run at the size of the fleet, where the views follow a model.
    *
-   * @param members for how many its state machine is played, beside the fleet
-   * @param bytes that it is taken to cost a proxy of the fleet a second, sent and received
+   * @param members the number of members of an additional smaller fleet that runs the protocol
+   * @param bytesPerSecond the assumed traffic of the protocol at a proxy of the fleet, sent and received
    */
-  public record Membership(int members, double bytes) {}
+  public record Membership(int members, double bytesPerSecond) {}
 
-  /** One way's times in ms by how far apart two hosts are, and the parts of messages lost and repeated. */
+  /** One-way delays in ms by distance, and the fractions of messages that are lost and duplicated. */
   public record Network(double site, double region, double far, double jitter, double loss, double repeats) {}
 
-  /** Purges a second, changes of configuration a second, and the length of such a document. */
+  /** Purges per second, configuration changes per second, and the length of a configuration document. */
   public record Changes(double purges, double configurations, int documentBytes) {}
 
-  /** What the operators allow: for a proxy, and from commit to the last proxy that can be reached. */
-  public record Limits(double bytes, double heapMb, double cpuPart, double purge, double configuration) {}
+  /**
+   * The operators' limits.
+   *
+   * @param bytesPerSecond traffic of one proxy, sent and received
+   * @param heapMb heap of one proxy
+   * @param cpuFraction processor time of one proxy, as a fraction of the elapsed time
+   * @param purgeMs time from the commit of a purge until the last reachable proxy has applied it
+   * @param configurationMs the same for a configuration change
+   */
+  public record Limits(double bytesPerSecond, double heapMb, double cpuFraction, double purgeMs,
+      double configurationMs) {}
 
-  /** What may break. */
+  /** The kind of a fault. */
   public enum What {
-    /** All hosts of a zone die, and start again after the time. */
+    /** All hosts of a zone are killed, and restarted at the end of the fault. */
     ZONE_LOST,
-    /** A region is cut off from all others, both ways. */
+    /** A region is cut off from all others in both directions. */
     REGION_CUT
   }
 
-  /** One fault: the zone or region, when and for how long, in ms. */
+  /**
+   * One fault.
+   *
+   * @param place the number of the zone or region
+   * @param at when it begins, in ms
+   * @param length its duration in ms
+   */
   public record Fault(What what, int place, double at, double length) {}
 
-  /** True where a file is a scenario of this kind. */
+  /** Whether a file is a scenario of this kind. */
   public static boolean isControlScenario(Path file) throws InputException {
     return Yaml.read(file).text("model", "requests").equals(MODEL);
   }
 
-  /** Reads a file; whatever is wrong with it is told in one plain sentence. */
+  /**
+   * Reads a scenario from a file.
+   *
+   * @throws InputException if the file is invalid, with a message of one line
+   */
   public static ControlScenario read(Path file) throws InputException {
     return parse(Yaml.read(file));
   }
@@ -67,7 +86,7 @@
     if (!top.text("model", null).equals(MODEL)) {
       throw top.invalid("model", "only '" + MODEL + "' is known");
     }
-    double seconds = top.number("seconds", Double.NaN, 1, LONGEST);
+    double seconds = top.number("seconds", Double.NaN, 1, MAX_SECONDS);
     Size size = size(top);
     List<Fault> faults = new ArrayList<>();
     for (Yaml fault : top.list("faults", 0)) {
@@ -109,7 +128,7 @@
 
   private static Changes changes(Yaml fields) throws InputException {
     Changes changes = new Changes(fields.number("purges_per_s", 27, 0.1, 1_000),
-        fields.number("configurations_per_day", 3_100, 0, 1e6) / SECONDS_A_DAY,
+        fields.number("configurations_per_day", 3_100, 0, 1e6) / SECONDS_PER_DAY,
         fields.whole("document_bytes", 2_000, 2, 60_000));
     fields.rejectUnknownFields();
     return changes;
@@ -127,8 +146,8 @@
   private static Fault fault(Yaml fields, Size size, double seconds) throws InputException {
     What what = fields.enumValue("what", null, What.class);
     String field = what == What.ZONE_LOST ? "zone" : "region";
-    int most = what == What.ZONE_LOST ? size.zones() - 1 : size.regions() - 1;
-    int place = fields.whole(field, Double.NaN, 0, most);
+    int maxPlace = what == What.ZONE_LOST ? size.zones() - 1 : size.regions() - 1;
+    int place = fields.whole(field, Double.NaN, 0, maxPlace);
     double at = fields.number("at_s", Double.NaN, 0, seconds);
     Fault fault = new Fault(what, place, 1_000 * at,
         1_000 * fields.number("for_s", Double.NaN, 0.1, seconds - at));
@@ -136,7 +155,7 @@
     return fault;
   }
 
-  /** The same day with other chances. */
+  /** Returns the same scenario with another seed. */
   public ControlScenario withSeed(long other) {
     return new ControlScenario(name, other, length, warmUp, size, membership, fanOut, network, changes,
         limits, faults);
--- a/src/main/java/beampoint/emulator/FleetLayout.java
+++ b/src/main/java/beampoint/emulator/FleetLayout.java
@@ -11,8 +11,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Where the hosts of a fleet stand: proxies spread evenly over sites, sites over zones, zones over regions.
- * The control machines have the first numbers.
+ * The locations of the hosts of a fleet: proxies are distributed evenly over sites, sites over zones, and
+ * zones over regions. The control machines have the lowest numbers.
  */
 public final class FleetLayout {
 
@@ -22,16 +22,16 @@
   private final List<Integer> regions = new ArrayList<>();
   private final Map<String, Integer> numbers = new HashMap<>();
 
-  public FleetLayout(int proxies, int sites, int zonesInAll, int regionsInAll, int controls) {
+  public FleetLayout(int proxies, int sites, int zoneCount, int regionCount, int controls) {
     this.controls = controls;
     for (int i = 0; i < controls; i++) {
-      add(TreeMember.control(String.format("control-%02d", i), regionName(i % regionsInAll)), i % zonesInAll,
-          i % regionsInAll);
+      add(TreeMember.control(String.format("control-%02d", i), regionName(i % regionCount)), i % zoneCount,
+          i % regionCount);
     }
     for (int i = 0; i < proxies; i++) {
       int site = i % sites;
-      int zone = site % zonesInAll;
-      int region = zone % regionsInAll;
+      int zone = site % zoneCount;
+      int region = zone % regionCount;
       String siteName = String.format("s%03d", site);
       add(TreeMember.proxy(String.format("%s-p%04d", siteName, i), regionName(region), siteName), zone,
           region);
@@ -49,11 +49,12 @@
     regions.add(region);
   }
 
-  /** How many hosts there are, control machines and proxies. */
+  /** The number of all hosts, control machines and proxies. */
   public int hosts() {
     return members.size();
   }
 
+  /** The number of control machines. */
   public int controls() {
     return controls;
   }
@@ -70,12 +71,12 @@
     return regions.get(host);
   }
 
-  /** The hosts of a zone. */
+  /** The numbers of the hosts of a zone. */
   public List<Integer> ofZone(int zone) {
     return IntStream.range(0, hosts()).filter(host -> zone(host) == zone).boxed().toList();
   }
 
-  /** The hosts of a region. */
+  /** The numbers of the hosts of a region. */
   public List<Integer> ofRegion(int region) {
     return IntStream.range(0, hosts()).filter(host -> region(host) == region).boxed().toList();
   }
--- a/src/main/java/beampoint/emulator/MemberFleet.java
+++ b/src/main/java/beampoint/emulator/MemberFleet.java
@@ -21,21 +21,24 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Members of a fleet in virtual time, each the state machine that serves, with a link of its own between each
- * two of them: it may lose, delay, repeat and overtake, and be cut in one direction. Members may stand still,
- * be killed and start again.
+ * Members of a fleet in virtual time, each running the production state machine of the membership protocol.
+ * The link between each two of them may lose, delay, duplicate and reorder messages, and may be cut in one
+ * direction. Members can be paused, killed and restarted.
  */
 public final class MemberFleet {
 
   /**
-   * Who was declared dead, or became known as dead, to whom and when; {@code wasAlive} tells that it
-   * was wrong.
+   * A member became dead in the view of another.
    *
-   * @param ranFor for how long the member had run since it was started, in ms; 0 where it was down
+   * @param at when, in ms
+   * @param member the number of the member that became dead
+   * @param observer the number of the member in whose view it became dead
+   * @param wasAlive true for a false positive
+   * @param ranFor how long the member had been running since its start, in ms; 0 if it was down
    */
   public record Death(double at, int member, int observer, boolean wasAlive, double ranFor) {}
 
-  /** What one member was told, and when. */
+  /** An event that a member has handled, with its time. */
   public record TimedEvent(double at, MemberEvent event) {}
 
   private static final class Host {
@@ -43,67 +46,71 @@
     Membership membership; // null while it is down
     long seed;
     double startedAt;
-    int life;
+    int life; // the number of its process
     boolean paused;
-    final BitSet living = new BitSet(); // in its view, kept by what it says has changed
-    List<TimedEvent> recorded; // null where nobody asked for it
-    final List<Runnable> waiting = new ArrayList<>(); // for the end of its pause
+    final BitSet live = new BitSet(); // members that are live in its view, updated by its reported changes
+    List<TimedEvent> recorded; // null while its events are not recorded
+    final List<Runnable> deferred = new ArrayList<>(); // until the end of its pause
 
     Host(int number) {
       this.number = number;
     }
   }
 
-  private static final long FIRST_INCARNATION = 1; // with which a member begins
+  /** The number of messages that a socket holds for a paused process. */
+  private static final int MAX_DEFERRED = 200;
+
+  private static final long FIRST_INCARNATION = 1; // of a member at its start
 
   private final Clock clock = new Clock(0);
-  private final MembershipSettings terms;
+  private final MembershipSettings settings;
   private final UniformRandomProvider random;
   private final UniformRandomProvider seeds;
   private final List<Host> hosts = new ArrayList<>();
-  private final List<MemberState> known;
+  private final List<MemberState> initialStates;
   private final double[][] losses;
   private final List<Death> deaths = new ArrayList<>();
   private double delay = 0.5;
   private double jitter = 2;
-  private double repeats;
+  private double duplicationRate;
   private long messages;
   private final MemberTraffic traffic;
   private final MemberWire wire = new MemberWire(new Codec("emulated"));
   private LongSupplier nanoClock = () -> 0;
   private long stateMachineNanos;
 
-  /** So many members that all know each other's addresses, and have heard of none yet. */
-  public MemberFleet(int members, MembershipSettings terms, long seed) {
-    this(terms, seed, initialStates(members, 0));
+  /** Creates members that know the addresses of all others and have not received a message of any. */
+  public MemberFleet(int members, MembershipSettings settings, long seed) {
+    this(settings, seed, initialStates(members, 0));
   }
 
-  /** The same long after they were started: none is news to another. */
-  public static MemberFleet settled(int members, MembershipSettings terms, long seed) {
-    return new MemberFleet(terms, seed, initialStates(members, FIRST_INCARNATION));
+  /** Creates members that know each other's current incarnation, as long after their start. */
+  public static MemberFleet settled(int members, MembershipSettings settings, long seed) {
+    return new MemberFleet(settings, seed, initialStates(members, FIRST_INCARNATION));
   }
 
-  private MemberFleet(MembershipSettings terms, long seed, List<MemberState> known) {
-    int members = known.size();
-    this.terms = terms;
+  private MemberFleet(MembershipSettings settings, long seed, List<MemberState> initialStates) {
+    int members = initialStates.size();
+    this.settings = settings;
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     this.seeds = RandomSource.SPLIT_MIX_64.create(seed);
     this.losses = new double[members][members];
     this.traffic = new MemberTraffic(members);
-    this.known = known;
+    this.initialStates = initialStates;
     for (int i = 0; i < members; i++) {
       hosts.add(new Host(i));
       start(i);
     }
   }
 
-  /** So many members, as each knows the others; under incarnation 0 before it has heard of them. */
+  /** Returns all members as each knows them at its start; incarnation 0 means that it has not heard of them. */
   public static List<MemberState> initialStates(int members, long incarnation) {
-    List<MemberState> known = new ArrayList<>();
+    List<MemberState> states = new ArrayList<>();
     for (int i = 0; i < members; i++) {
-      known.add(new MemberState(name(i), "10.0.0." + i + ":7946", Status.ALIVE, incarnation, false, name(i)));
+      states.add(
+          new MemberState(name(i), "10.0.0." + i + ":7946", Status.ALIVE, incarnation, false, name(i)));
     }
-    return known;
+    return states;
   }
 
   private static String name(int number) {
@@ -114,7 +121,7 @@
     return Integer.parseInt(name.substring(1));
   }
 
-  /** Plays on to a time, in ms. */
+  /** Runs the simulation up to a time, in ms. */
   public void runTo(double time) {
     clock.runTo(time);
   }
@@ -123,44 +130,44 @@
     return clock.now();
   }
 
-  /** Plans something for a time. */
+  /** Schedules a task for a time. */
   public void at(double time, Runnable task) {
     clock.at(time, task);
   }
 
-  /** Starts a member, or one that is down again: it knows the addresses and nothing else. */
+  /** Starts a member for the first time or again; it knows only the addresses of the others. */
   public void start(int member) {
     Host host = hosts.get(member);
     host.life++;
     host.paused = false;
-    host.waiting.clear();
+    host.deferred.clear();
     host.seed = seeds.nextLong();
     host.startedAt = clock.now();
     host.membership = initialMembership(member);
-    host.living.set(0, known.size());
+    host.live.set(0, initialStates.size());
     int life = host.life;
-    clock.after(random.nextDouble() * terms.tickInterval(), () -> tick(host, life));
+    clock.after(random.nextDouble() * settings.tickInterval(), () -> tick(host, life));
   }
 
-  /** A machine as the member's present one was at its start: the same events give the same actions. */
+  /** Returns a state machine as it was at the member's last start: the same events give the same actions. */
   public Membership initialMembership(int member) {
     Host host = hosts.get(member);
-    return new Membership(terms, name(member), known.get(member).address(), known,
+    return new Membership(settings, name(member), initialStates.get(member).address(), initialStates,
         RandomSource.XO_SHI_RO_256_PP.create(host.seed), host.startedAt);
   }
 
-  /** The events of a member from now on, in a list that grows with them. */
+  /** Records the events of a member from now on, in a list that grows with them. */
   public List<TimedEvent> record(int member) {
     hosts.get(member).recorded = new ArrayList<>();
     return hosts.get(member).recorded;
   }
 
-  /** Measures the state machines' own time, apart from the emulator's, by a clock of the caller's. */
+  /** Measures the time spent in the state machines, apart from the emulator's own, with a given clock. */
   public void measureWith(LongSupplier nanoseconds) {
     nanoClock = nanoseconds;
   }
 
-  /** What the state machines have taken so far. */
+  /** The time spent in the state machines so far. */
   public long stateMachineNanos() {
     return stateMachineNanos;
   }
@@ -170,13 +177,13 @@
     hosts.get(member).life++;
   }
 
-  /** Ends in order. */
+  /** Lets a member leave the fleet and stop. */
   public void leave(int member) {
-    give(hosts.get(member), new MemberEvent.Leave());
+    deliver(hosts.get(member), new MemberEvent.Leave());
     kill(member);
   }
 
-  /** It stands still; what comes for it waits. */
+  /** Pauses a member; its events are deferred until it is resumed. */
   public void pause(int member) {
     hosts.get(member).paused = true;
   }
@@ -184,48 +191,48 @@
   public void resume(int member) {
     Host host = hosts.get(member);
     host.paused = false;
-    List<Runnable> waited = List.copyOf(host.waiting);
-    host.waiting.clear();
-    waited.forEach(Runnable::run);
+    List<Runnable> tasks = List.copyOf(host.deferred);
+    host.deferred.clear();
+    tasks.forEach(Runnable::run);
   }
 
-  /** Sets the part of the messages from one member to another that is lost; 1 cuts the link. */
-  public void setLoss(int from, int to, double part) {
-    losses[from][to] = part;
+  /** Sets the fraction of the messages from one member to another that is lost; 1 cuts the link. */
+  public void setLoss(int from, int to, double fraction) {
+    losses[from][to] = fraction;
   }
 
-  public void setLossEverywhere(double part) {
-    Arrays.stream(losses).forEach(row -> Arrays.fill(row, part));
+  public void setLossEverywhere(double fraction) {
+    Arrays.stream(losses).forEach(row -> Arrays.fill(row, fraction));
   }
 
-  /** How late messages come: always so many ms, and up to so many more. */
-  public void delay(double always, double more, double repeated) {
-    delay = always;
-    jitter = more;
-    repeats = repeated;
+  /** Sets the minimum delay and the maximum random delay in ms, and the fraction of duplicated messages. */
+  public void delay(double minimum, double maxJitter, double duplication) {
+    delay = minimum;
+    jitter = maxJitter;
+    duplicationRate = duplication;
   }
 
-  /** How one member sees another; null where it does not know of it, or is down. */
-  public Status view(int of, int by) {
-    Membership membership = hosts.get(by).membership;
+  /** The status of a member in the view of another; null if the observer does not know it or is down. */
+  public Status view(int member, int observer) {
+    Membership membership = hosts.get(observer).membership;
     return membership == null ? null : membership.view().stream()
-        .filter(n -> n.member().equals(name(of))).map(MemberState::status).findFirst().orElse(null);
+        .filter(n -> n.member().equals(name(member))).map(MemberState::status).findFirst().orElse(null);
   }
 
-  /** The member's machine; null while it is down. */
+  /** The state machine of a member; null while it is down. */
   public Membership membership(int member) {
     return hosts.get(member).membership;
   }
 
-  /** True where all that run see the same members live. */
+  /** Whether all running members have the same set of live members in their views. */
   public boolean viewsAgree() {
     return viewsAgree(member -> true);
   }
 
-  /** True where all that run, of some members, see the same members live. */
-  public boolean viewsAgree(IntPredicate among) {
-    return hosts.stream().filter(host -> host.membership != null && among.test(host.number))
-        .map(host -> host.living).distinct().count() <= 1;
+  /** The same for those running members that match a predicate on their numbers. */
+  public boolean viewsAgree(IntPredicate selected) {
+    return hosts.stream().filter(host -> host.membership != null && selected.test(host.number))
+        .map(host -> host.live).distinct().count() <= 1;
   }
 
   public List<Death> deaths() {
@@ -236,29 +243,29 @@
     return messages;
   }
 
-  /** Of all datagrams together. */
+  /** The bytes of all datagrams. */
   public long bytes() {
     return traffic.datagramBytes();
   }
 
-  /** What they sent, whole views included. */
+  /** The traffic of all members, including full views. */
   public MemberTraffic traffic() {
     return traffic;
   }
 
   private void tick(Host host, int life) {
     if (host.life == life && host.membership != null) {
-      runOrDefer(host, () -> give(host, new MemberEvent.Tick()));
-      clock.after(terms.tickInterval(), () -> tick(host, life));
+      runOrDefer(host, () -> deliver(host, new MemberEvent.Tick()));
+      clock.after(settings.tickInterval(), () -> tick(host, life));
     }
   }
 
   private void runOrDefer(Host host, Runnable task) {
     if (!host.paused) {
       task.run();
-    } else if (host.waiting.size() < 200) { // as a socket's buffer holds
+    } else if (host.deferred.size() < MAX_DEFERRED) {
       int life = host.life;
-      host.waiting.add(() -> {
+      host.deferred.add(() -> {
         if (host.life == life) {
           task.run();
         }
@@ -266,7 +273,7 @@
     }
   }
 
-  private void give(Host host, MemberEvent event) {
+  private void deliver(Host host, MemberEvent event) {
     if (host.membership == null) {
       return;
     }
@@ -276,66 +283,67 @@
     long begin = nanoClock.getAsLong();
     List<MemberAction> actions = host.membership.handle(clock.now(), event);
     stateMachineNanos += nanoClock.getAsLong() - begin;
-    actions.forEach(action -> carryOut(host, action));
+    actions.forEach(action -> execute(host, action));
   }
 
-  private void carryOut(Host host, MemberAction action) {
+  private void execute(Host host, MemberAction action) {
     if (action instanceof Send a) {
       send(host, hosts.get(number(a.to().member())), a.message());
     } else if (action instanceof Exchange a) {
       exchange(host, hosts.get(number(a.peer().member())));
     } else if (action instanceof Changed a) {
-      changed(host, number(a.state().member()), a.state().status());
+      statusChanged(host, number(a.state().member()), a.state().status());
     }
   }
 
-  private void changed(Host by, int of, Status status) {
-    by.living.set(of, status == Status.ALIVE || status == Status.SUSPECT);
+  private void statusChanged(Host observer, int member, Status status) {
+    observer.live.set(member, status == Status.ALIVE || status == Status.SUSPECT);
     if (status == Status.DEAD) {
-      Host dead = hosts.get(of);
-      boolean lived = dead.membership != null;
-      deaths.add(new Death(clock.now(), of, by.number, lived, lived ? clock.now() - dead.startedAt : 0));
+      Host dead = hosts.get(member);
+      boolean wasAlive = dead.membership != null;
+      deaths.add(new Death(clock.now(), member, observer.number, wasAlive,
+          wasAlive ? clock.now() - dead.startedAt : 0));
     }
   }
 
   private void send(Host from, Host to, Message message) {
-    MemberWire.Datagram sent = wire.datagram(message);
+    MemberWire.Datagram sent = wire.encode(message);
     messages++;
     traffic.datagram(from.number, clock.now(), sent.bytes());
     if (random.nextDouble() < losses[from.number][to.number]) {
       return;
     }
-    deliver(to, sent.arrives());
-    if (random.nextDouble() < repeats) {
-      deliver(to, sent.arrives());
+    deliverMessage(to, sent.delivered());
+    if (random.nextDouble() < duplicationRate) {
+      deliverMessage(to, sent.delivered());
     }
   }
 
-  private void deliver(Host to, Message message) {
+  private void deliverMessage(Host to, Message message) {
     clock.after(delay + jitter * random.nextDouble(),
-        () -> runOrDefer(to, () -> give(to, new MemberEvent.Received(message))));
+        () -> runOrDefer(to, () -> deliver(to, new MemberEvent.Received(message))));
   }
 
-  /** A connection: it stands where both directions do, and loses nothing. */
+  /** Exchanges full views over a connection, which needs both directions of the link and is lossless. */
   private void exchange(Host one, Host other) {
-    boolean stands = losses[one.number][other.number] < 1 && losses[other.number][one.number] < 1;
-    if (!stands || other.membership == null || other.paused) {
+    boolean isConnected = losses[one.number][other.number] < 1 && losses[other.number][one.number] < 1;
+    if (!isConnected || other.membership == null || other.paused) {
       return;
     }
-    List<MemberState> asked = view(one);
+    List<MemberState> request = view(one);
     clock.after(3 * (delay + jitter), () -> {
       if (other.membership != null) {
-        List<MemberState> answer = view(other);
-        give(other, new MemberEvent.ViewReceived(asked));
+        List<MemberState> response = view(other);
+        deliver(other, new MemberEvent.ViewReceived(request));
         clock.after(delay + jitter,
-            () -> runOrDefer(one, () -> give(one, new MemberEvent.ViewReceived(answer))));
+            () -> runOrDefer(one, () -> deliver(one, new MemberEvent.ViewReceived(response))));
       }
     });
   }
 
-  private List<MemberState> view(Host of) {
-    List<MemberState> view = of.membership.view();
-    traffic.view(of.number, clock.now(), wire.bytesOfView(view));
+  private List<MemberState> view(Host host) {
+    List<MemberState> view = host.membership.view();
+    traffic.view(host.number, clock.now(), wire.bytesOfView(view));
     return view;
   }
 }
--- a/src/main/java/beampoint/emulator/MemberTraffic.java
+++ b/src/main/java/beampoint/emulator/MemberTraffic.java
@@ -2,27 +2,27 @@
 
 import java.util.Arrays;
 
-/** The bytes that the members of an emulated fleet send: in all, and each member's worst second. */
+/** Counts the bytes that emulated members send: in total, and in each member's worst second. */
 public final class MemberTraffic {
 
-  private static final double SECOND = 1_000; // ms
+  private static final double MS_PER_SECOND = 1_000;
 
-  /** The bytes of each member's present second, and of its worst. */
+  /** The bytes of each member's current second and of its worst second. */
   private static final class Seconds {
-    private final long[] present;
+    private final long[] current;
     private final long[] bytes;
     private final long[] worst;
 
     Seconds(int members) {
-      this.present = new long[members];
+      this.current = new long[members];
       this.bytes = new long[members];
       this.worst = new long[members];
     }
 
     void add(int member, double now, int sent) {
-      long second = (long) (now / SECOND);
-      if (present[member] != second) {
-        present[member] = second;
+      long second = (long) (now / MS_PER_SECOND);
+      if (current[member] != second) {
+        current[member] = second;
         bytes[member] = 0;
       }
       bytes[member] += sent;
@@ -61,33 +61,33 @@
     all.add(from, now, bytes);
   }
 
-  /** Begins anew with the worst seconds. */
+  /** Resets the worst seconds; the totals are kept. */
   public void resetWorstSeconds() {
     all.resetWorstSeconds();
     datagrams.resetWorstSeconds();
   }
 
-  /** What a member sent in its worst second, for the member for which that is the most. */
+  /** The largest number of bytes that any member has sent in one second. */
   public long worstSecond() {
     return all.worst();
   }
 
-  /** The same without whole views. */
+  /** The same without full views. */
   public long worstSecondOfDatagrams() {
     return datagrams.worst();
   }
 
-  /** Of all datagrams. */
+  /** The bytes of all datagrams. */
   public long datagramBytes() {
     return datagramBytes;
   }
 
-  /** Of all whole views. */
+  /** The bytes of all full views. */
   public long viewBytes() {
     return viewBytes;
   }
 
-  /** How many whole views were sent; an exchange has two. */
+  /** The number of full views sent; an exchange consists of two. */
   public long views() {
     return views;
   }
--- a/src/main/java/beampoint/emulator/MemberWire.java
+++ b/src/main/java/beampoint/emulator/MemberWire.java
@@ -8,15 +8,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** The form in bytes of what emulated members send, without copies of what all of them know. */
+/** Encodes what emulated members send, to count its bytes, without keeping copies of equal states. */
 final class MemberWire {
 
-  /** More than the news of any emulated member take: where so much is free, none was left out. */
-  private static final int ROOM = 250;
-  private static final int MAX_SIZES = 100_000;
+  /**
+   * More than the encoded state of any emulated member. In a datagram with this much free space, no update
+   * was left out.
+   */
+  private static final int MAX_STATE_BYTES = 250;
+  private static final int MAX_CACHED_SIZES = 100_000;
 
-  /** A datagram's length, and the message as it is read. */
-  record Datagram(int bytes, Message arrives) {}
+  /** The length of a datagram, and the message that its receiver decodes. */
+  record Datagram(int bytes, Message delivered) {}
 
   private final Codec codec;
   private final int bytesOfEmptyView;
@@ -28,12 +31,13 @@
   }
 
   /**
-   * Writes a message for its length. What is read from it equals the message unless something was left out;
-   * so the message itself is delivered, as thousands of members would else hold millions of equal texts.
+   * Encodes a message. The decoded message equals the original unless updates were left out. If none was,
+   * the original itself is delivered, because with decoded copies thousands of members would hold millions of
+   * equal texts.
    */
-  Datagram datagram(Message message) {
+  Datagram encode(Message message) {
     byte[] bytes = codec.write(message);
-    if (bytes.length <= Codec.MAX_DATAGRAM_BYTES - ROOM) {
+    if (bytes.length <= Codec.MAX_DATAGRAM_BYTES - MAX_STATE_BYTES) {
       return new Datagram(bytes.length, message);
     }
     try {
@@ -43,14 +47,14 @@
     }
   }
 
-  /** How long a whole view is, by the sizes of its entries, of which most stand in the next view as well. */
+  /** Returns the length of a full view. Sizes of states are cached, since most recur in the next view. */
   int bytesOfView(List<MemberState> view) {
-    if (sizes.size() > MAX_SIZES) {
+    if (sizes.size() > MAX_CACHED_SIZES) {
       sizes.clear();
     }
     int bytes = bytesOfEmptyView;
-    for (MemberState news : view) {
-      bytes += sizes.computeIfAbsent(news, n -> codec.writeView(List.of(n)).length - bytesOfEmptyView);
+    for (MemberState state : view) {
+      bytes += sizes.computeIfAbsent(state, s -> codec.writeView(List.of(s)).length - bytesOfEmptyView);
     }
     return bytes;
   }
--- a/src/main/java/beampoint/emulator/MemberDay.java
+++ b/src/main/java/beampoint/emulator/MembershipEmulation.java
@@ -4,14 +4,15 @@
 import beampoint.emulator.ControlScenario.Size;
 import beampoint.fleet.distribution.DistributionSettings;
 
-/** The same day for the state machine of membership, with fewer members than the fleet has. */
-final class MemberDay {
+/** Runs a control scenario with the membership protocol itself, in a fleet of fewer members. */
+final class MembershipEmulation {
 
-  private static final double SECOND = 1_000;
+  private static final double MS_PER_SECOND = 1_000;
 
-  private MemberDay() {}
+  private MembershipEmulation() {}
 
-  static void play(ControlScenario scenario, ControlReport report) {
+  /** Runs the scenario and adds the figures of the membership protocol to the report. */
+  static void run(ControlScenario scenario, ControlReport report) {
     Size size = scenario.size();
     Network network = scenario.network();
     int members = scenario.membership().members();
@@ -26,9 +27,9 @@
     scenario.faults().forEach(fault -> FaultPlan.plan(fleet, fault));
     fleet.runTo(scenario.length());
     MembershipViews views = (MembershipViews) fleet.views();
-    double hostSeconds = (scenario.length() - scenario.warmUp()) / SECOND * fleet.layout().hosts();
+    double hostSeconds = (scenario.length() - scenario.warmUp()) / MS_PER_SECOND * fleet.layout().hosts();
     report.figure("members.played", fleet.layout().hosts());
-    report.never("members.wrongly_dead", views.wronglyDead());
+    report.mustBeZero("members.wrongly_dead", views.wronglyDead());
     report.figure("members.detect_p99_ms", views.detectP99());
     report.figure("members.bytes_s_mean", views.bytes() / hostSeconds);
     report.figure("members.exchange_bytes_s_mean", views.exchangedBytes() / hostSeconds);
--- a/src/main/java/beampoint/emulator/ProgressChecks.java
+++ b/src/main/java/beampoint/emulator/ProgressChecks.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Holds what the leader believes against what is so: nobody counts as done that is not, and nobody as fenced
- * that holds itself for fresh.
+ * Compares the leader's knowledge with the actual state: no entry may count as applied at a proxy that has
+ * not applied it, and no proxy as fenced that considers itself fresh.
  */
 final class ProgressChecks {
 
@@ -26,7 +26,12 @@
     this.checks = checks;
   }
 
-  void check(double now, ProgressTracker tracker, double leadersNow) {
+  /**
+   * Checks the tracker of the present leader.
+   *
+   * @param leaderNow the time by the leader's clock
+   */
+  void check(double now, ProgressTracker tracker, double leaderNow) {
     if (proxies.isEmpty()) {
       hosts.forEach(host -> proxies.put(host.member.name(), host));
     }
@@ -36,7 +41,7 @@
         falseDone++;
       }
     }
-    List<String> fenced = tracker.fenced(leadersNow);
+    List<String> fenced = tracker.fenced(leaderNow);
     fencedSeen += fenced.size();
     for (String name : fenced) {
       ControlHost host = proxies.get(name);
@@ -44,28 +49,31 @@
         fencedFresh++;
       }
     }
-    long upTo = Math.min(tracker.doneOrFencedUpTo(leadersNow), checks.log().size());
+    long upTo = Math.min(tracker.doneOrFencedUpTo(leaderNow), checks.log().size());
     for (; knownUpTo < upTo; knownUpTo++) {
       knownMax = Math.max(knownMax, now - checks.committedAt((int) knownUpTo + 1));
     }
   }
 
-  /** How often the leader held an entry for applied at a proxy that had never applied it. */
+  /** How often the leader considered an entry applied at a proxy that had never applied it. */
   long falseDone() {
     return falseDone;
   }
 
-  /** How often the leader held a proxy for fenced that held itself for fresh. */
+  /** How often the leader considered a proxy fenced that considered itself fresh. */
   long fencedFresh() {
     return fencedFresh;
   }
 
-  /** How many times a proxy was found fenced, over all checks. */
+  /** The number of fenced proxies, summed over all checks. */
   long fencedSeen() {
     return fencedSeen;
   }
 
-  /** The longest from a commit to when the leader knew it applied, or fenced, at every proxy. */
+  /**
+   * The longest time in ms from a commit until the leader knew that every proxy had applied the entry or was
+   * fenced.
+   */
   double knownMax() {
     return knownMax;
   }
--- a/src/test/java/beampoint/fleet/distribution/DistributionTreeTest.java
+++ b/src/test/java/beampoint/fleet/distribution/DistributionTreeTest.java
@@ -50,7 +50,8 @@
     }
     chosen.forEach((child, parent) -> {
       boolean isRelay = parent.startsWith("c");
-      assertTrue(isRelay || chosen.get(parent).startsWith("c"), child + " is more than two steps from a control machine");
+      assertTrue(isRelay || chosen.get(parent).startsWith("c"),
+          child + " is more than two steps from a control machine");
       assertTrue(isRelay || children.get(parent) <= fanOut, parent + " has " + children.get(parent));
     });
   }
