--- a/src/main/java/beampoint/emulator/MemberFleet.java
+++ b/src/main/java/beampoint/emulator/MemberFleet.java
@@ -103,7 +103,7 @@
     }
   }
 
-  /** Returns all members as each knows them at its start; incarnation 0 means that it has not heard of them. */
+  /** Returns all members as each knows them at its start, with incarnation 0 before it has heard of them. */
   public static List<MemberState> initialStates(int members, long incarnation) {
     List<MemberState> states = new ArrayList<>();
     for (int i = 0; i < members; i++) {
