--- a/src/main/java/beampoint/fleet/distribution/DistributionNode.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionNode.java
@@ -248,7 +248,7 @@
     List<MemberProgress> progress = report.progress().stream()
         .map(p -> p.isOfSender() ? p.withMember(from, report.session() >> SESSION_BITS) : p).toList();
     if (tracker != null) {
-      tracker.record(now, progress);
+      tracker.update(now, progress);
       children.echo(from, report.session(), report.token());
     } else if (!progress.isEmpty()) {
       reports.add(new ChildReport(from, report.session(), report.token(), progress));
--- a/src/main/java/beampoint/fleet/distribution/ProgressTracker.java
+++ b/src/main/java/beampoint/fleet/distribution/ProgressTracker.java
@@ -41,11 +41,11 @@
   }
 
   /** Records a report that has just arrived. */
-  void record(double now, List<MemberProgress> progress) {
-    progress.forEach(each -> record(now, each));
+  void update(double now, List<MemberProgress> progress) {
+    progress.forEach(each -> update(now, each));
   }
 
-  private void record(double now, MemberProgress progress) {
+  private void update(double now, MemberProgress progress) {
     Proxy proxy = proxies.get(progress.member());
     if (proxy == null) {
       unknownProxyReports++;
