--- a/src/main/java/beampoint/emulator/ControlEmulation.java
+++ b/src/main/java/beampoint/emulator/ControlEmulation.java
@@ -101,7 +101,7 @@
     }
   }
 
-  /** Returns a JSON document of the configured length with random settings. */
+  /** Returns a JSON document with random settings, of about the configured length. */
   private String configurationDocument() {
     StringBuilder document = new StringBuilder("{\"edition\": " + configurations);
     while (document.length() < scenario.changes().documentBytes() - 1) {
