--- a/src/main/java/beampoint/emulator/FleetLayout.java
+++ b/src/main/java/beampoint/emulator/FleetLayout.java
@@ -1,6 +1,6 @@
 package beampoint.emulator;
 
-import beampoint.fleet.distribution.Place;
+import beampoint.fleet.distribution.TreeMember;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -11,29 +11,30 @@
 import java.util.stream.IntStream;
 
 /**
- * Where the hosts of a fleet stand: proxies spread evenly over sites, sites over zones, zones over regions.
- * The control machines have the first numbers.
+ * The locations of the hosts of a fleet: proxies are distributed evenly over sites, sites over zones, and
+ * zones over regions. The control machines have the lowest numbers.
  */
 public final class FleetLayout {
 
   private final int controls;
-  private final List<Place> places = new ArrayList<>();
+  private final List<TreeMember> members = new ArrayList<>();
   private final List<Integer> zones = new ArrayList<>();
   private final List<Integer> regions = new ArrayList<>();
   private final Map<String, Integer> numbers = new HashMap<>();
 
-  public FleetLayout(int proxies, int sites, int zonesInAll, int regionsInAll, int controls) {
+  public FleetLayout(int proxies, int sites, int zoneCount, int regionCount, int controls) {
     this.controls = controls;
     for (int i = 0; i < controls; i++) {
-      add(Place.control(String.format("control-%02d", i), regionName(i % regionsInAll)), i % zonesInAll,
-          i % regionsInAll);
+      add(TreeMember.control(String.format("control-%02d", i), regionName(i % regionCount)), i % zoneCount,
+          i % regionCount);
     }
     for (int i = 0; i < proxies; i++) {
       int site = i % sites;
-      int zone = site % zonesInAll;
-      int region = zone % regionsInAll;
+      int zone = site % zoneCount;
+      int region = zone % regionCount;
       String siteName = String.format("s%03d", site);
-      add(Place.proxy(String.format("%s-p%04d", siteName, i), regionName(region), siteName), zone, region);
+      add(TreeMember.proxy(String.format("%s-p%04d", siteName, i), regionName(region), siteName), zone,
+          region);
     }
   }
 
@@ -41,24 +42,25 @@
     return "region-" + number;
   }
 
-  private void add(Place place, int zone, int region) {
-    numbers.put(place.name(), places.size());
-    places.add(place);
+  private void add(TreeMember member, int zone, int region) {
+    numbers.put(member.name(), members.size());
+    members.add(member);
     zones.add(zone);
     regions.add(region);
   }
 
-  /** How many hosts there are, control machines and proxies. */
+  /** The number of all hosts, control machines and proxies. */
   public int hosts() {
-    return places.size();
+    return members.size();
   }
 
+  /** The number of control machines. */
   public int controls() {
     return controls;
   }
 
-  public Place place(int host) {
-    return places.get(host);
+  public TreeMember member(int host) {
+    return members.get(host);
   }
 
   public int zone(int host) {
@@ -69,19 +71,19 @@
     return regions.get(host);
   }
 
-  /** The hosts of a zone. */
+  /** The numbers of the hosts of a zone. */
   public List<Integer> ofZone(int zone) {
     return IntStream.range(0, hosts()).filter(host -> zone(host) == zone).boxed().toList();
   }
 
-  /** The hosts of a region. */
+  /** The numbers of the hosts of a region. */
   public List<Integer> ofRegion(int region) {
     return IntStream.range(0, hosts()).filter(host -> region(host) == region).boxed().toList();
   }
 
   /** The names of all proxies. */
   public Set<String> proxies() {
-    return places.stream().filter(p -> p.role() == Place.Role.PROXY).map(Place::name)
+    return members.stream().filter(p -> p.role() == TreeMember.Role.PROXY).map(TreeMember::name)
         .collect(Collectors.toCollection(TreeSet::new));
   }
 
--- a/src/main/java/beampoint/emulator/MembershipViews.java
+++ b/src/main/java/beampoint/emulator/MembershipViews.java
@@ -59,7 +59,7 @@
     this.neighbours = new SiteNeighbours(layout);
     this.changedAt = new double[layout.hosts()];
     for (int i = 0; i < layout.hosts(); i++) {
-      String name = layout.place(i).name();
+      String name = layout.member(i).name();
       initialStates.add(new MemberState(name,
           "10." + i / 62_500 + "." + i / 250 % 250 + "." + i % 250 + ":7946", Status.ALIVE, 0, false, name));
     }
@@ -67,14 +67,14 @@
 
   @Override
   public List<Integer> ofInterest(ControlHost host) {
-    return neighbours.of(host.place);
+    return neighbours.of(host.member);
   }
 
   @Override
   public void started(ControlHost host) {
     host.dead.clear();
-    host.membership = new Membership(settings, host.place.name(), initialStates.get(host.number).address(),
-        initialStates, RandomSource.XO_SHI_RO_256_PP.create(random.nextLong()), host.local(clock.now()));
+    host.membership = new Membership(settings, host.member.name(), initialStates.get(host.number).address(),
+        initialStates, RandomSource.XO_SHI_RO_256_PP.create(random.nextLong()), host.localTime(clock.now()));
     long life = host.life;
     clock.after(random.nextDouble() * settings.tickInterval(), () -> tick(host, life));
   }
@@ -103,7 +103,7 @@
 
   private void deliver(ControlHost host, MemberEvent event) {
     if (host.isUp()) {
-      host.membership.handle(host.local(clock.now()), event).forEach(action -> execute(host, action));
+      host.membership.handle(host.localTime(clock.now()), event).forEach(action -> execute(host, action));
     }
   }
 
@@ -121,23 +121,23 @@
     int other = layout.number(state.member());
     boolean isDead = state.status() == Status.DEAD || state.status() == Status.LEFT;
     if (isDead) {
-      boolean isOwnVerdict = state.reporter().equals(host.place.name());
+      boolean isOwnVerdict = state.reporter().equals(host.member.name());
       boolean isReachable = hosts.get(other).isUp() && reaches(host, hosts.get(other));
       double since = clock.now() - Math.max(changedAt[host.number], changedAt[other]);
-      if (!isReachable && network.island(host.number) == 0) {
+      if (!isReachable && network.partition(host.number) == 0) {
         detection.recordValue(Math.min(MAX_DETECTION_MS, (long) since));
       } else if (isReachable && isOwnVerdict && since > FALSE_POSITIVE_AFTER_MS) {
         wronglyDead++;
       }
     }
     boolean isViewChanged = isDead ? host.dead.add(state.member()) : host.dead.remove(state.member());
-    if (isViewChanged && neighbours.of(host.place).contains(other)) {
+    if (isViewChanged && neighbours.of(host.member).contains(other)) {
       viewChanged.accept(host);
     }
   }
 
   private boolean reaches(ControlHost from, ControlHost to) {
-    return network.island(from.number) == network.island(to.number);
+    return network.partition(from.number) == network.partition(to.number);
   }
 
   private void send(ControlHost from, ControlHost to, Message message) {
@@ -152,7 +152,7 @@
     if (to.isUp() && reaches(from, to)) {
       bytes += datagram.length;
       long life = to.life;
-      to.whenAwake(() -> {
+      to.runOrDefer(() -> {
         if (to.life == life) {
           deliver(to, new MemberEvent.Received(read(datagram)));
         }
@@ -181,7 +181,7 @@
         count(response);
         deliver(other, new MemberEvent.ViewReceived(request));
         clock.after(network.delay(other.number, one.number),
-            () -> one.whenAwake(() -> deliver(one, new MemberEvent.ViewReceived(response))));
+            () -> one.runOrDefer(() -> deliver(one, new MemberEvent.ViewReceived(response))));
       }
     });
   }
--- a/src/main/java/beampoint/emulator/SiteNeighbours.java
+++ b/src/main/java/beampoint/emulator/SiteNeighbours.java
@@ -1,6 +1,6 @@
 package beampoint.emulator;
 
-import beampoint.fleet.distribution.Place;
+import beampoint.fleet.distribution.TreeMember;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -17,14 +17,14 @@
       if (i < layout.controls()) {
         controls.add(i);
       } else {
-        ofSite.computeIfAbsent(layout.place(i).site(), site -> new ArrayList<>(controls)).add(i);
+        ofSite.computeIfAbsent(layout.member(i).site(), site -> new ArrayList<>(controls)).add(i);
       }
     }
     ofSite.put("", controls);
   }
 
-  /** The control machines and the hosts of this place's site. */
-  List<Integer> of(Place place) {
-    return ofSite.get(place.site());
+  /** The control machines and the hosts of this member's site. */
+  List<Integer> of(TreeMember member) {
+    return ofSite.get(member.site());
   }
 }
--- a/src/test/java/beampoint/emulator/ControlFleetTest.java
+++ b/src/test/java/beampoint/emulator/ControlFleetTest.java
@@ -5,7 +5,7 @@
 
 import beampoint.fleet.changes.PurgeChange;
 import beampoint.fleet.changes.PurgeScope;
-import beampoint.fleet.distribution.DistributionTerms;
+import beampoint.fleet.distribution.DistributionSettings;
 import java.util.List;
 import java.util.Random;
 import java.util.stream.LongStream;
@@ -30,13 +30,14 @@
   }
 
   /** A control machine keeps 19 s of changes, so that a host that was away for longer needs a snapshot. */
-  private static DistributionTerms settingsWithShortTails() {
-    DistributionTerms defaults = DistributionTerms.usual();
-    return new DistributionTerms(defaults.batchDelay(), defaults.heartbeatEvery(), defaults.reportEvery(),
-        defaults.parentSilentAfter(), defaults.orphanAfter(), defaults.retryParentAfter(),
-        defaults.childSilentAfter(), defaults.fetchAgainAfter(), defaults.lease(), defaults.drift(),
-        defaults.burst(), defaults.window(), defaults.batchBytes(), 64, defaults.tailBytes(),
-        defaults.aheadEntries(), defaults.mostChildren(), defaults.snapshotGap());
+  private static DistributionSettings settingsWithShortTails() {
+    DistributionSettings defaults = DistributionSettings.defaults();
+    return new DistributionSettings(defaults.minBatchInterval(), defaults.heartbeatInterval(),
+        defaults.reportInterval(), defaults.parentTimeout(), defaults.sourceTimeout(),
+        defaults.parentRetryDelay(), defaults.childTimeout(), defaults.fetchTimeout(), defaults.lease(),
+        defaults.drift(), defaults.burst(), defaults.window(), defaults.batchBytes(), 64,
+        defaults.tailBytes(), defaults.maxOutOfOrderEntries(), defaults.maxChildren(),
+        defaults.snapshotInterval());
   }
 
   private static void purge(ControlFleet fleet, int index) {
@@ -65,7 +66,7 @@
   private static void assertAllReached(ControlFleet fleet) {
     long last = fleet.checks().log().size();
     for (ControlHost host : fleet.hosts()) {
-      assertEquals(last, host.isUp() ? host.node.appliedUpTo() : last, host.place.name());
+      assertEquals(last, host.isUp() ? host.node.appliedUpTo() : last, host.member.name());
     }
   }
 
@@ -83,10 +84,10 @@
     assertEquals(last, fleet.node(fleet.leader()).tracker().doneEverywhereUpTo());
     assertTrue(fleet.node(fleet.leader()).tracker().completion(last, fleet.now()).isDoneEverywhere());
     for (ControlHost host : fleet.hosts().subList(5, 45)) {
-      assertTrue(host.node.isFresh(host.local(fleet.now())), host.place.name());
+      assertTrue(host.node.isFresh(host.localTime(fleet.now())), host.member.name());
       assertEquals(0, host.node.lapses());
       double bytes = host.traffic.meanOfSecond(fleet.now());
-      assertTrue(bytes < 1_000 + 1_000 * host.node.children().size(), host.place.name() + ": " + bytes);
+      assertTrue(bytes < 1_000 + 1_000 * host.node.children().size(), host.member.name() + ": " + bytes);
     }
   }
 
@@ -104,7 +105,7 @@
       case 3 -> isolate(fleet, List.of(proxy), 1_000 + 25_000 * random.nextDouble());
       case 4 -> cutOneWay(fleet, host, random.nextInt(fleet.layout().hosts()), 5_000 * random.nextDouble());
       case 5 -> injectFault(fleet, fleet.leader(), random);
-      default -> fleet.network().trouble(0.05 * random.nextDouble(), 0.05 * random.nextDouble(),
+      default -> fleet.network().setMessageFaults(0.05 * random.nextDouble(), 0.05 * random.nextDouble(),
           0.1 * random.nextDouble(), 3_000);
     }
     fleet.changed(List.of());
@@ -121,7 +122,7 @@
 
   private static boolean allControlsRun(ControlFleet fleet) {
     return fleet.hosts().subList(0, fleet.layout().controls()).stream()
-        .allMatch(h -> h.isUp() && h.machine.state().log().voter());
+        .allMatch(h -> h.isUp() && h.controlNode.state().log().voter());
   }
 
   private static void restart(ControlFleet fleet, int proxy, double downFor) {
@@ -168,7 +169,7 @@
       assertNoRuleBroken(fleet);
     }
     fleet.runTo(fleet.now() + 30_000); // until all faults have ended
-    fleet.mendNetwork();
+    fleet.healNetwork();
     fleet.changed(List.of());
     fleet.runTo(fleet.now() + 20_000);
     assertNoRuleBroken(fleet);
--- a/src/test/java/beampoint/emulator/MemberFaults.java
+++ b/src/test/java/beampoint/emulator/MemberFaults.java
@@ -41,7 +41,7 @@
     this.topology = topology;
     this.seed = seed;
     this.fleet = MemberFleet.settled(topology.members(), MembershipSettings.defaults(), seed);
-    fleet.loseEverywhere(LOSS);
+    fleet.setLossEverywhere(LOSS);
   }
 
   /** Kills all members of a zone at once. */
@@ -88,14 +88,14 @@
     int oneOutside = topology.membersOf(inside.negate())[0];
     return fleet.membership(oneInside).liveCount() == cutOff
         && fleet.membership(oneOutside).liveCount() == topology.members() - cutOff
-        && fleet.isOfOneView(inside) && fleet.isOfOneView(inside.negate());
+        && fleet.viewsAgree(inside) && fleet.viewsAgree(inside.negate());
   }
 
   private void setLossBetweenSides(IntPredicate inside, double fraction) {
     for (int from : topology.membersOf(inside)) {
       for (int to : topology.membersOf(inside.negate())) {
-        fleet.lose(from, to, fraction);
-        fleet.lose(to, from, fraction);
+        fleet.setLoss(from, to, fraction);
+        fleet.setLoss(to, from, fraction);
       }
     }
   }
@@ -122,7 +122,7 @@
       fleet.runTo(SETTLED_AT_MS);
     }
     faultAt = fleet.now();
-    fleet.traffic().forgetWorst();
+    fleet.traffic().resetWorstSeconds();
     bytesBefore = fleet.traffic().datagramBytes() + fleet.traffic().viewBytes();
   }
 
@@ -130,7 +130,7 @@
     double begin = fleet.now();
     while (fleet.now() < begin + TIMEOUT_MS) {
       fleet.runTo(fleet.now() + CHECK_INTERVAL_MS);
-      if (fleet.isOfOneView() && fleet.membership(firstRunning()).liveCount() == liveMembers) {
+      if (fleet.viewsAgree() && fleet.membership(firstRunning()).liveCount() == liveMembers) {
         return fleet.now() - begin;
       }
     }
@@ -147,7 +147,7 @@
 
   private Outcome outcome(String fault, int affected, double after, IntPredicate cutOff) {
     long falsePositives = fleet.deaths().stream().filter(death -> death.ranFor() >= ANNOUNCED_AFTER_MS)
-        .filter(death -> cutOff.test(death.of()) == cutOff.test(death.by())).count();
+        .filter(death -> cutOff.test(death.member()) == cutOff.test(death.observer())).count();
     long bytes = fleet.traffic().datagramBytes() + fleet.traffic().viewBytes() - bytesBefore;
     double mean = bytes * 1_000.0 / (fleet.now() - faultAt) / topology.members();
     return new Outcome(fault, affected, falsePositives, fleet.deaths().size(), after,
--- a/src/test/java/beampoint/emulator/MemberScaleStudy.java
+++ b/src/test/java/beampoint/emulator/MemberScaleStudy.java
@@ -61,7 +61,7 @@
       if (SIZES[i] <= MAX_AT_START) {
         massStart(i, SIZES[i]);
       }
-      List<MemberState> known = MemberFleet.known(SIZES[i], 1);
+      List<MemberState> known = MemberFleet.initialStates(SIZES[i], 1);
       put("heap bytes a member's table", i, heapOfOne(known));
       wholeView(i, known);
       System.out.println("done: " + SIZES[i] + " members, seed " + SEED);
@@ -82,25 +82,25 @@
   /** Measures a fleet in a steady state, and then crashes of single members. */
   private void measureFleet(int index, int members) throws MalformedMessageException {
     MemberFleet fleet = MemberFleet.settled(members, SETTINGS, SEED);
-    fleet.measureBy(System::nanoTime);
-    fleet.loseEverywhere(LOSS);
+    fleet.measureWith(System::nanoTime);
+    fleet.setLossEverywhere(LOSS);
     Map<Integer, List<TimedEvent>> recorded = new LinkedHashMap<>();
     for (int i = 0; i < REPLAYED_MEMBERS; i++) {
       int member = i * members / REPLAYED_MEMBERS;
       recorded.put(member, fleet.record(member));
     }
     fleet.runTo(MEASUREMENT_START_MS);
-    fleet.traffic().forgetWorst();
+    fleet.traffic().resetWorstSeconds();
     long datagrams = fleet.traffic().datagramBytes();
     long views = fleet.traffic().viewBytes();
     long messages = fleet.messages();
-    long machineNanos = fleet.machineNanos();
+    long machineNanos = fleet.stateMachineNanos();
     long wall = System.nanoTime();
     long cpu = THREADS.getCurrentThreadCpuTime();
     fleet.runTo(MEASUREMENT_END_MS);
     cpu = THREADS.getCurrentThreadCpuTime() - cpu;
     wall = System.nanoTime() - wall;
-    double machineShare = (fleet.machineNanos() - machineNanos) / (double) wall;
+    double machineShare = (fleet.stateMachineNanos() - machineNanos) / (double) wall;
     double memberSeconds = members * (MEASUREMENT_END_MS - MEASUREMENT_START_MS) / 1_000;
     replay(index, fleet, recorded);
     put("CPU ms a member a second, machine in the fleet", index, cpu * machineShare / 1e6 / memberSeconds);
@@ -113,14 +113,14 @@
     put("bytes a member a second, all", index, datagramBytes + viewBytes);
     put("bytes in a member's worst second", index, fleet.traffic().worstSecond());
     put("crash known to all, ms, worst of " + CRASHES, index, crashes(fleet, members));
-    long falsePositives = fleet.deaths().stream().filter(Death::lived).count();
+    long falsePositives = fleet.deaths().stream().filter(Death::wasAlive).count();
     put("false positives", index, falsePositives);
   }
 
   /** Measures the start of all members at once, when the state of each is new to all others. */
   private void massStart(int index, int members) {
     MemberFleet fleet = new MemberFleet(members, SETTINGS, SEED);
-    fleet.loseEverywhere(LOSS);
+    fleet.setLossEverywhere(LOSS);
     fleet.runTo(MEASUREMENT_START_MS);
     long datagrams = fleet.traffic().datagramBytes();
     long cpu = THREADS.getCurrentThreadCpuTime();
@@ -163,8 +163,8 @@
       double at = fleet.now();
       fleet.kill(victim);
       fleet.runTo(at + DETECTION_TIME_MS);
-      List<Death> known = fleet.deaths().stream().filter(d -> d.of() == victim).toList();
-      long detections = known.stream().map(Death::by).distinct().count();
+      List<Death> known = fleet.deaths().stream().filter(d -> d.member() == victim).toList();
+      long detections = known.stream().map(Death::observer).distinct().count();
       double last = known.stream().mapToDouble(Death::at).max().orElse(0) - at;
       worst = Math.max(worst, detections < others ? Double.POSITIVE_INFINITY : last);
     }
@@ -203,9 +203,9 @@
     double[] viewsOnly = new double[REPLAYS];
     double[] withCodec = new double[REPLAYS];
     for (int i = 0; i < REPLAYS; i++) {
-      all[i] = replayOnce(fleet.asAtItsStart(member), recorded, null);
+      all[i] = replayOnce(fleet.initialMembership(member), recorded, null);
       viewsOnly[i] = viewNanos;
-      withCodec[i] = replayOnce(fleet.asAtItsStart(member), recorded, written);
+      withCodec[i] = replayOnce(fleet.initialMembership(member), recorded, written);
     }
     return new Replayed(median(all), median(viewsOnly), median(withCodec));
   }
--- a/src/test/java/beampoint/fleet/distribution/DistributionTreeTest.java
+++ b/src/test/java/beampoint/fleet/distribution/DistributionTreeTest.java
@@ -15,56 +15,57 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Whoever shares a view agrees on the tree, and no member has more children than the fan-out. */
+/** Members with the same view agree on the tree, and no proxy has more children than the fan-out. */
 class DistributionTreeTest {
 
-  private static List<Place> fleet(int proxies, int sites) {
-    List<Place> all = new ArrayList<>();
+  private static List<TreeMember> fleet(int proxies, int sites) {
+    List<TreeMember> all = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      all.add(Place.control("c" + i, "r" + i % 2));
+      all.add(TreeMember.control("c" + i, "r" + i % 2));
     }
     for (int i = 0; i < proxies; i++) {
-      all.add(Place.proxy("p" + i, "r" + i % sites % 2, "s" + i % sites));
+      all.add(TreeMember.proxy("p" + i, "r" + i % sites % 2, "s" + i % sites));
     }
     return all;
   }
 
   @Property(tries = 200, seed = "5")
-  void everyProxyHasAWayToAControlMachineWithinTheFanOut(@ForAll @IntRange(min = 1, max = 60) int proxies,
+  void everyProxyHasAPathToAControlMachineWithinTheFanOut(@ForAll @IntRange(min = 1, max = 60) int proxies,
       @ForAll @IntRange(min = 1, max = 4) int sites, @ForAll @IntRange(min = 0, max = 4) int fanOut,
       @ForAll long seed) {
-    List<Place> all = fleet(proxies, sites);
-    List<Place> shuffled = new ArrayList<>(all);
+    List<TreeMember> all = fleet(proxies, sites);
+    List<TreeMember> shuffled = new ArrayList<>(all);
     Collections.shuffle(shuffled, new Random(seed));
     DistributionTree tree = new DistributionTree(fanOut);
     Map<String, Integer> children = new HashMap<>();
     Map<String, String> chosen = new HashMap<>();
-    for (Place place : all) {
-      List<Parent> parents = tree.parents(place, all, "c0");
-      assertEquals(parents, tree.parents(place, shuffled, "c0"), "the order of a view makes no difference");
-      if (!place.isControl()) {
-        chosen.put(place.name(), parents.get(0).name());
+    for (TreeMember member : all) {
+      List<Parent> parents = tree.parents(member, all, "c0");
+      assertEquals(parents, tree.parents(member, shuffled, "c0"), "the order of a view makes a difference");
+      if (!member.isControl()) {
+        chosen.put(member.name(), parents.get(0).name());
         children.merge(parents.get(0).name(), 1, Integer::sum);
         assertEquals(4, parents.stream().filter(Parent::isControl).count());
       }
     }
     chosen.forEach((child, parent) -> {
       boolean isRelay = parent.startsWith("c");
-      assertTrue(isRelay || chosen.get(parent).startsWith("c"), child + " is further than two steps");
+      assertTrue(isRelay || chosen.get(parent).startsWith("c"),
+          child + " is more than two steps from a control machine");
       assertTrue(isRelay || children.get(parent) <= fanOut, parent + " has " + children.get(parent));
     });
   }
 
   @Test
   void aProxyPrefersTheControlMachinesOfItsRegion() {
-    List<Place> all = fleet(1, 1);
+    List<TreeMember> all = fleet(1, 1);
     List<Parent> parents = new DistributionTree(2).parents(all.get(4), all, "c1");
     assertEquals(Set.of("c0", "c2"), Set.of(parents.get(0).name(), parents.get(1).name()));
   }
 
   @Test
-  void controlMachinesSubscribeToTheirLeaderAlone() {
-    List<Place> all = fleet(3, 1);
+  void controlMachinesSubscribeOnlyToTheirLeader() {
+    List<TreeMember> all = fleet(3, 1);
     DistributionTree tree = new DistributionTree(2);
     assertEquals(List.of(), tree.parents(all.get(0), all, "c0"));
     assertEquals(List.of(new Parent("c0", true)), tree.parents(all.get(1), all, "c0"));
