--- a/src/main/java/beampoint/buffer/Budget.java
+++ b/src/main/java/beampoint/buffer/Budget.java
@@ -79,7 +79,7 @@
   }
 
   /** Sets the limit in bytes. */
-  public void limit(long bytes) {
+  public void setLimit(long bytes) {
     limit = bytes;
     resumePaused();
   }
--- a/src/main/java/beampoint/cli/Main.java
+++ b/src/main/java/beampoint/cli/Main.java
@@ -133,7 +133,7 @@
 
     private static int start(Proxy proxy) {
       // Registered before clients can connect, so that an early SIGTERM leads to a graceful shutdown too.
-      Thread hook = new Thread(() -> shutDown(proxy), "end");
+      Thread hook = new Thread(() -> shutDownGracefully(proxy), "end");
       Runtime.getRuntime().addShutdownHook(hook);
       try {
         proxy.startWithWarmUp();
@@ -145,9 +145,9 @@
       }
     }
 
-    private static void shutDown(Proxy proxy) {
+    private static void shutDownGracefully(Proxy proxy) {
       try {
-        proxy.drain();
+        proxy.shutDownGracefully();
       } catch (InterruptedException e) {
         LOG.error("the shutdown was interrupted", e);
       }
--- a/src/main/java/beampoint/client/ClientListener.java
+++ b/src/main/java/beampoint/client/ClientListener.java
@@ -73,7 +73,7 @@
     if (Double.isNaN(pendingSince)) {
       pendingSince = arrivals.earliest();
     }
-    acceptance.set(connection, new Acceptance(arrivals.pass(), pendingSince));
+    acceptance.set(connection, new Acceptance(arrivals.passNumber(), pendingSince));
     if (connections.incrementAndGet() >= maxConnections) {
       full = true;
       setAccepting(false);
@@ -94,7 +94,7 @@
    */
   double arrivedAt(Connection<?> connection) {
     Acceptance accepted = acceptance.get(connection);
-    boolean isFirst = accepted != null && arrivals.pass() <= accepted.pass + 1;
+    boolean isFirst = accepted != null && arrivals.passNumber() <= accepted.pass + 1;
     return isFirst ? Math.min(accepted.connectedSince, arrivals.earliest()) : arrivals.earliest();
   }
 
--- a/src/main/java/beampoint/client/Session.java
+++ b/src/main/java/beampoint/client/Session.java
@@ -128,8 +128,9 @@
       return;
     }
     boolean closes = command.kind() == Kind.QUIT || command.kind() == Kind.FATAL;
-    sessions.countBacklog(sessions.mustAnswerAtOnce() && !closes ? backlog.addAnswer(immediateAnswer(command))
-        : backlog.add(command.copy(sessions.memory()), arrivedAt));
+    sessions
+        .addBacklogBytes(sessions.mustAnswerAtOnce() && !closes ? backlog.addAnswer(immediateAnswer(command))
+            : backlog.add(command.copy(sessions.memory()), arrivedAt));
     closeIfBacklogsOverLimit();
   }
 
@@ -139,7 +140,7 @@
 
   /** Answers the queued requests at once; a limited number per task, to let other connections run between. */
   void refuseQueuedRequests() {
-    sessions.countBacklog(-backlog.answerRequests(REFUSALS_PER_TASK, this::immediateAnswer));
+    sessions.addBacklogBytes(-backlog.answerRequests(REFUSALS_PER_TASK, this::immediateAnswer));
     startQueued();
     if (backlog.hasRequests()) {
       sessions.loop().execute(this::refuseQueuedRequests);
@@ -150,7 +151,7 @@
   private void closeIfBacklogsOverLimit() {
     if (sessions.areBacklogsOverLimit()) {
       sessions.discardInput(connection);
-      sessions.countBacklog(backlog.add(Command.fatal("SERVER_ERROR too many commands"), sessions.now()));
+      sessions.addBacklogBytes(backlog.add(Command.fatal("SERVER_ERROR too many commands"), sessions.now()));
     }
   }
 
@@ -166,7 +167,7 @@
   private void startQueued() {
     while (!closed && !clientGone && !backlog.isEmpty() && hasRoom()) {
       CommandBacklog.Entry next = backlog.poll();
-      sessions.countBacklog(-backlog.freedBy(next));
+      sessions.addBacklogBytes(-backlog.freedBy(next));
       if (next instanceof CommandBacklog.QueuedCommand queued && inputEnded) {
         queued.command().release();
       } else if (next instanceof CommandBacklog.QueuedCommand queued) {
@@ -291,7 +292,7 @@
   }
 
   private void discardBacklog() {
-    sessions.countBacklog(-backlog.clear());
+    sessions.addBacklogBytes(-backlog.clear());
   }
 
   private void write(Buffer message, CompletionHandler<WriteResult<Buffer, SocketAddress>> handler) {
--- a/src/main/java/beampoint/client/Sessions.java
+++ b/src/main/java/beampoint/client/Sessions.java
@@ -276,7 +276,7 @@
   }
 
   /** Adds to the memory that all backlogs take, in bytes; a negative number subtracts. */
-  void countBacklog(int bytes) {
+  void addBacklogBytes(int bytes) {
     backlogBytes += bytes;
   }
 
--- a/src/main/java/beampoint/handover/Ban.java
+++ b/src/main/java/beampoint/handover/Ban.java
@@ -9,12 +9,12 @@
 public record Ban(String node, double since, double until) {
 
   /** True while the node is out of service. */
-  public boolean isOut() {
+  public boolean isActive() {
     return until == Double.POSITIVE_INFINITY;
   }
 
   /** When it was last taken out or put back: of two bans of one node, the one that changed later is valid. */
   double changedAt() {
-    return isOut() ? since : until;
+    return isActive() ? since : until;
   }
 }
--- a/src/main/java/beampoint/handover/BanFile.java
+++ b/src/main/java/beampoint/handover/BanFile.java
@@ -76,14 +76,14 @@
    * are too many bans.
    */
   public boolean setBanned(String node, boolean out, double now) {
-    bans.values().removeIf(b -> !b.isOut() && now - b.until() > LIFTED_BAN_RETENTION_MS);
+    bans.values().removeIf(b -> !b.isActive() && now - b.until() > LIFTED_BAN_RETENTION_MS);
     Ban ban = bans.get(node);
-    if (out && (ban == null || !ban.isOut())) {
+    if (out && (ban == null || !ban.isActive())) {
       if (bans.size() >= MAX_BANS) {
         return false;
       }
       bans.put(node, new Ban(node, now, Double.POSITIVE_INFINITY));
-    } else if (!out && ban != null && ban.isOut()) {
+    } else if (!out && ban != null && ban.isActive()) {
       bans.put(node, new Ban(node, ban.since(), now));
     }
     return true;
@@ -198,7 +198,7 @@
       JsonObject entry = new JsonObject();
       entry.addProperty("node", ban.node());
       entry.addProperty("since", ban.since());
-      if (!ban.isOut()) {
+      if (!ban.isActive()) {
         entry.addProperty("until", ban.until());
       }
       list.add(entry);
--- a/src/main/java/beampoint/memcache/CommandFilter.java
+++ b/src/main/java/beampoint/memcache/CommandFilter.java
@@ -23,7 +23,7 @@
   static final int MAX_KEY = 250;
   static final int MAX_ID = 32;
   /** Values up to this length, in bytes, are not copied if they are contained in one buffer. */
-  static final int MAX_BUFFERED_VALUE = 64 * 1024;
+  static final int MAX_SLICED_VALUE_BYTES = 64 * 1024;
   /** The longest valid value, in bytes. */
   public static final int MAX_VALUE = 4 * 1024 * 1024;
   private static final int MAX_BAD_COMMANDS = 8; // on one connection
--- a/src/main/java/beampoint/memcache/CommandReader.java
+++ b/src/main/java/beampoint/memcache/CommandReader.java
@@ -44,7 +44,8 @@
 
   private Command parseLine(Buffer in) {
     LineScanner scanner = LineScanner.line(in);
-    if ((scanner == null ? in.remaining() : scanner.nextLine() - in.position()) > CommandFilter.MAX_LINE) {
+    if ((scanner == null ? in.remaining()
+        : scanner.nextLineStart() - in.position()) > CommandFilter.MAX_LINE) {
       // Fatal, as the start of the next command is not known.
       in.position(in.limit());
       return Command.of(Kind.FATAL, "CLIENT_ERROR line too long");
@@ -52,8 +53,8 @@
     if (scanner == null) {
       return null;
     }
-    if (!scanner.next()) {
-      in.position(scanner.nextLine());
+    if (!scanner.nextWord()) {
+      in.position(scanner.nextLineStart());
       return Command.of(Kind.BAD, "ERROR");
     }
     if (!scanner.isPlain()) {
@@ -61,24 +62,24 @@
       in.position(in.limit());
       return Command.of(Kind.FATAL, "CLIENT_ERROR control character");
     }
-    if (scanner.is("mg")) {
+    if (scanner.wordIs("mg")) {
       return parseRequest(in, scanner, Kind.READ);
     }
-    if (scanner.is("ms")) {
+    if (scanner.wordIs("ms")) {
       return parseRequest(in, scanner, Kind.WRITE);
     }
-    in.position(scanner.nextLine());
-    Kind kind = scanner.is("mn") ? Kind.READY : scanner.is("stats") ? Kind.STATS
-        : scanner.is("version") ? Kind.VERSION : scanner.is("quit") ? Kind.QUIT : Kind.BAD;
+    in.position(scanner.nextLineStart());
+    Kind kind = scanner.wordIs("mn") ? Kind.READY : scanner.wordIs("stats") ? Kind.STATS
+        : scanner.wordIs("version") ? Kind.VERSION : scanner.wordIs("quit") ? Kind.QUIT : Kind.BAD;
     return Command.of(kind, kind == Kind.BAD ? "ERROR" : null);
   }
 
   private Command parseRequest(Buffer in, LineScanner scanner, Kind kind) {
-    boolean hasKey = scanner.next() && scanner.length() <= CommandFilter.MAX_KEY;
+    boolean hasKey = scanner.nextWord() && scanner.length() <= CommandFilter.MAX_KEY;
     Buffer key = hasKey ? scanner.slice(0) : null;
     int valueLength = -1;
     if (kind == Kind.WRITE) {
-      int length = scanner.next() ? scanner.number() : -1;
+      int length = scanner.nextWord() ? scanner.number() : -1;
       if (length < 0 || length > CommandFilter.MAX_VALUE) {
         // Fatal, as without the value's length it would be parsed as commands.
         in.position(in.limit());
@@ -91,8 +92,8 @@
     Buffer list = null;
     boolean wantsValue = false;
     boolean validFlags = true;
-    while (scanner.next()) {
-      switch (scanner.first()) {
+    while (scanner.nextWord()) {
+      switch (scanner.firstChar()) {
         case 'O' -> {
           validFlags &= id == null && scanner.length() <= CommandFilter.MAX_ID + 1;
           id = scanner.slice(1);
@@ -102,12 +103,12 @@
           list = scanner.slice(1);
         }
         default -> {
-          validFlags &= scanner.is("v") && !wantsValue;
+          validFlags &= scanner.wordIs("v") && !wantsValue;
           wantsValue = true;
         }
       }
     }
-    in.position(scanner.nextLine());
+    in.position(scanner.nextLineStart());
     Command command =
         command(kind, hasKey, key, id, list, validFlags && wantsValue == (kind == Kind.READ));
     return kind == Kind.READ ? command : startValue(in, command, valueLength);
@@ -129,7 +130,7 @@
    */
   private Command startValue(Buffer in, Command command, int length) {
     int end = in.position() + length + 2;
-    if (length <= CommandFilter.MAX_BUFFERED_VALUE && end <= in.limit()) {
+    if (length <= CommandFilter.MAX_SLICED_VALUE_BYTES && end <= in.limit()) {
       Buffer valueAndLineEnd = in.slice(end - length - 2, end);
       in.position(end);
       return complete(command, valueAndLineEnd, null);
@@ -205,8 +206,8 @@
     Set<String> names = new HashSet<>();
     String requestClass = null;
     String tenant = null;
-    int waitFrom = 0;
-    int waitTo = 0;
+    int waitStart = 0;
+    int waitEnd = 0;
     boolean isRetry = false;
     boolean valid = true;
     int from = list.position();
@@ -220,18 +221,18 @@
       } else if (valid && name.equals("t")) {
         tenant = LineScanner.text(list, equals + 1, to);
       } else if (valid && name.equals("d")) {
-        waitFrom = equals + 1;
-        waitTo = to;
+        waitStart = equals + 1;
+        waitEnd = to;
       } else if (valid && name.equals("r")) {
         isRetry = LineScanner.text(list, equals + 1, to).equals("1");
       }
       from = to + 1;
     }
-    int wait = LineScanner.number(list, waitFrom, waitTo);
+    int wait = LineScanner.number(list, waitStart, waitEnd);
     if (!valid || requestClass == null || wait < 0) {
       return Command.of(Kind.BAD, "CLIENT_ERROR class or time to wait missing");
     }
-    return new Command(kind, key, id, new ParameterList(list, waitFrom, waitTo), null, requestClass, tenant,
+    return new Command(kind, key, id, new ParameterList(list, waitStart, waitEnd), null, requestClass, tenant,
         wait, isRetry, null, null);
   }
 
--- a/src/main/java/beampoint/memcache/LineScanner.java
+++ b/src/main/java/beampoint/memcache/LineScanner.java
@@ -9,16 +9,16 @@
   private final Buffer in;
   private int position;
   private final int lineEnd;
-  private final int nextLine;
+  private final int nextLineStart;
   /** The bounds of the current word. */
   int start;
   int end;
 
-  private LineScanner(Buffer in, int lineEnd, int nextLine) {
+  private LineScanner(Buffer in, int lineEnd, int nextLineStart) {
     this.in = in;
     this.position = in.position();
     this.lineEnd = lineEnd;
-    this.nextLine = nextLine;
+    this.nextLineStart = nextLineStart;
   }
 
   /** A scanner of the next line of a buffer, or null while the line is incomplete. */
@@ -33,8 +33,8 @@
   }
 
   /** The position after the line's end. */
-  int nextLine() {
-    return nextLine;
+  int nextLineStart() {
+    return nextLineStart;
   }
 
   /** True if the line holds only visible ASCII characters and spaces. */
@@ -48,7 +48,7 @@
   }
 
   /** Goes on to the next word; returns false if there is none. */
-  boolean next() {
+  boolean nextWord() {
     while (position < lineEnd && in.get(position) == ' ') {
       position++;
     }
@@ -61,7 +61,7 @@
   }
 
   /** True if the current word equals a text. */
-  boolean is(String text) {
+  boolean wordIs(String text) {
     if (end - start != text.length()) {
       return false;
     }
@@ -77,7 +77,7 @@
     return end - start;
   }
 
-  char first() {
+  char firstChar() {
     return (char) in.get(start);
   }
 
--- a/src/main/java/beampoint/memcache/Reply.java
+++ b/src/main/java/beampoint/memcache/Reply.java
@@ -9,17 +9,17 @@
  *     as {@link ReplyPart}
  * @param surplus true if more bytes were read than belong to the answer
  * @param length the length of a long value
- * @param load the text of the load report in the answer, or null
+ * @param loadReport the text of the load report in the answer, or null
  */
-public record Reply(Kind kind, Buffer id, Buffer body, boolean surplus, int length, String load) {
+public record Reply(Kind kind, Buffer id, Buffer body, boolean surplus, int length, String loadReport) {
 
   /** The kinds of answers; BAD violates the protocol, and what follows it can't be parsed. */
   public enum Kind {
     VALUE, RECEIPT, MISS, FAILED, BUSY, ALIVE, BAD
   }
 
-  Reply(Kind kind, Buffer id, Buffer body, boolean surplus, String load) {
-    this(kind, id, body, surplus, 0, load);
+  Reply(Kind kind, Buffer id, Buffer body, boolean surplus, String loadReport) {
+    this(kind, id, body, surplus, 0, loadReport);
   }
 
   /** True if the value's bytes follow separately. */
--- a/src/main/java/beampoint/memcache/ReplyFilter.java
+++ b/src/main/java/beampoint/memcache/ReplyFilter.java
@@ -19,7 +19,7 @@
 public final class ReplyFilter extends BaseFilter {
 
   /** The longest value that is buffered until it is complete. */
-  public static final int MAX_BUFFERED_VALUE = CommandFilter.MAX_BUFFERED_VALUE;
+  public static final int MAX_BUFFERED_VALUE = 64 * 1024;
   /** The longest valid value. An answer that announces a longer one is corrupt, and may never end. */
   public static final int MAX_VALUE = CommandFilter.MAX_VALUE;
 
--- a/src/main/java/beampoint/memcache/ReplyReader.java
+++ b/src/main/java/beampoint/memcache/ReplyReader.java
@@ -14,7 +14,7 @@
 
   private final MemoryManager<?> memory;
   private Buffer id; // of the value that is collected
-  private String load; // the load report of that value
+  private String loadReport; // the load report of that value
   private Collector value;
   private int streamBytesLeft; // of a long value and the line end behind it
 
@@ -28,24 +28,24 @@
   }
 
   /** The flags of an answer. With several ids, it belongs to no certain request, and has none. */
-  private record Tail(Buffer id, Buffer receipt, String load) {
+  private record Tail(Buffer id, Buffer receipt, String loadReport) {
 
     static Tail of(LineScanner scanner) {
       Buffer id = null;
       Buffer receipt = null;
-      String load = null;
+      String loadReport = null;
       int ids = 0;
-      while (scanner.next()) {
-        if (scanner.first() == 'O') {
+      while (scanner.nextWord()) {
+        if (scanner.firstChar() == 'O') {
           id = scanner.slice(1);
           ids++;
-        } else if (scanner.first() == 'c') {
+        } else if (scanner.firstChar() == 'c') {
           receipt = scanner.slice(1);
-        } else if (scanner.first() == 'L' && scanner.length() <= MAX_LOAD_LENGTH) {
-          load = scanner.slice(1).toStringContent(StandardCharsets.ISO_8859_1);
+        } else if (scanner.firstChar() == 'L' && scanner.length() <= MAX_LOAD_LENGTH) {
+          loadReport = scanner.slice(1).toStringContent(StandardCharsets.ISO_8859_1);
         }
       }
-      return new Tail(ids == 1 ? id : null, receipt, load);
+      return new Tail(ids == 1 ? id : null, receipt, loadReport);
     }
   }
 
@@ -54,38 +54,40 @@
     if (scanner == null && in.remaining() <= CommandFilter.MAX_LINE) {
       return null;
     }
-    if (scanner == null || !scanner.next()) {
+    if (scanner == null || !scanner.nextWord()) {
       return bad(in);
     }
-    int nextLine = scanner.nextLine();
-    if (scanner.is("VA")) {
-      int length = scanner.next() ? scanner.number() : -1;
+    int nextLine = scanner.nextLineStart();
+    if (scanner.wordIs("VA")) {
+      int length = scanner.nextWord() ? scanner.number() : -1;
       return length < 0 || length > ReplyFilter.MAX_VALUE ? bad(in) : value(in, scanner, length);
     }
     in.position(nextLine);
-    if (scanner.is("HD") || scanner.is("EN")) {
-      Kind kindOfLine = scanner.is("HD") ? Kind.RECEIPT : Kind.MISS;
+    if (scanner.wordIs("HD") || scanner.wordIs("EN")) {
+      Kind kindOfLine = scanner.wordIs("HD") ? Kind.RECEIPT : Kind.MISS;
       Tail tail = Tail.of(scanner);
       return new Reply(kindOfLine, tail.id, kindOfLine == Kind.MISS ? null : tail.receipt, in.hasRemaining(),
-          tail.load);
+          tail.loadReport);
     }
     Kind kind =
-        scanner.is("MN") ? Kind.ALIVE : scanner.is("ERROR") || scanner.is("CLIENT_ERROR") ? Kind.FAILED
-            : !scanner.is("SERVER_ERROR") ? Kind.BAD : scanner.next() && scanner.is("busy") ? Kind.BUSY
+        scanner.wordIs("MN") ? Kind.ALIVE
+            : scanner.wordIs("ERROR") || scanner.wordIs("CLIENT_ERROR") ? Kind.FAILED
+            : !scanner.wordIs("SERVER_ERROR") ? Kind.BAD
+            : scanner.nextWord() && scanner.wordIs("busy") ? Kind.BUSY
             : Kind.FAILED;
     return kind == Kind.BAD ? bad(in)
-        : new Reply(kind, null, null, in.hasRemaining(), Tail.of(scanner).load);
+        : new Reply(kind, null, null, in.hasRemaining(), Tail.of(scanner).loadReport);
   }
 
   private Reply value(Buffer in, LineScanner scanner, int length) {
     Tail tail = Tail.of(scanner);
     Buffer lineId = tail.id;
-    load = tail.load;
-    in.position(scanner.nextLine());
+    loadReport = tail.loadReport;
+    in.position(scanner.nextLineStart());
     if (length > ReplyFilter.MAX_BUFFERED_VALUE) {
       streamBytesLeft = length + 2;
       Buffer copy = lineId == null ? null : Collector.copy(memory, lineId);
-      return new Reply(Kind.VALUE, copy, null, false, length, load);
+      return new Reply(Kind.VALUE, copy, null, false, length, loadReport);
     }
     if (in.remaining() >= length + 2) {
       int from = in.position();
@@ -113,7 +115,7 @@
     if (valueAndLineEnd.get(end) != '\r' || valueAndLineEnd.get(end + 1) != '\n') {
       return bad(in);
     }
-    return new Reply(Kind.VALUE, id, valueAndLineEnd.slice(from, end), in.hasRemaining(), load);
+    return new Reply(Kind.VALUE, id, valueAndLineEnd.slice(from, end), in.hasRemaining(), loadReport);
   }
 
   private Object part(Buffer in) {
--- a/src/main/java/beampoint/request/ParameterList.java
+++ b/src/main/java/beampoint/request/ParameterList.java
@@ -7,10 +7,10 @@
 
 /**
  * The list of names and values that a client sends with a request, such as {@code c=read,t=acme,d=480}, as
- * the bytes that were read. {@code timeFrom} and {@code timeTo} are the bounds, in these bytes, of the value
+ * the bytes that were read. {@code waitStart} and {@code waitEnd} are the bounds, in these bytes, of the value
  * of {@code d}, the time for which the client waits, in ms; both are 0 if the list has none.
  */
-public record ParameterList(Buffer bytes, int timeFrom, int timeTo) {
+public record ParameterList(Buffer bytes, int waitStart, int waitEnd) {
 
   /**
    * Appends the list to a request to a server. The time that is left replaces the client's time, part of
@@ -21,21 +21,21 @@
    * long
    */
   public void appendTo(MessageBuilder request, long timeLeftMs) {
-    if (timeTo <= timeFrom) {
+    if (waitEnd <= waitStart) {
       request.bytes(bytes);
       return;
     }
-    request.bytes(bytes, bytes.position(), timeFrom);
+    request.bytes(bytes, bytes.position(), waitStart);
     request.text(Long.toString(timeLeftMs));
-    request.bytes(bytes, timeTo, bytes.limit());
+    request.bytes(bytes, waitEnd, bytes.limit());
   }
 
   /** A copy in a buffer of its own, which does not keep the larger one that the list was read into. */
   public ParameterList copy(MemoryManager<?> memory) {
     int from = bytes.position();
-    boolean hasTime = timeTo > timeFrom;
-    return new ParameterList(Collector.copy(memory, bytes), hasTime ? timeFrom - from : 0,
-        hasTime ? timeTo - from : 0);
+    boolean hasTime = waitEnd > waitStart;
+    return new ParameterList(Collector.copy(memory, bytes), hasTime ? waitStart - from : 0,
+        hasTime ? waitEnd - from : 0);
   }
 
   /** The length in bytes. */
--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -104,7 +104,7 @@
   }
 
   /** The longest deadline of all request classes, in ms. */
-  static double longestDeadline(Settings settings) {
+  static double longestWaitMs(Settings settings) {
     return settings.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0);
   }
 
@@ -226,7 +226,7 @@
 
   @Override
   public void attemptEnded(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
-      Answer answer, String load) {
+      Answer answer, String loadReport) {
     exchange.endAttempt();
     exchange.setLastEventAt(clock.getAsDouble());
     if (answer != null) {
@@ -234,7 +234,7 @@
     }
     releaseIfDone(exchange);
     dispatch(new AttemptEnded(exchange.id(), attempt, endpoint, elapsed, result, exchange.isOver(),
-        names.settings().loads().parseNamed(load)));
+        names.settings().loads().parseNamed(loadReport)));
   }
 
   @Override
--- a/src/main/java/beampoint/serve/EventLoop.java
+++ b/src/main/java/beampoint/serve/EventLoop.java
@@ -87,8 +87,8 @@
       }
 
       @Override
-      public long pass() {
-        return passes.number();
+      public long passNumber() {
+        return passes.passNumber();
       }
 
       @Override
--- a/src/main/java/beampoint/serve/GracefulShutdown.java
+++ b/src/main/java/beampoint/serve/GracefulShutdown.java
@@ -49,9 +49,9 @@
    * Shuts down. Returns once all requests are answered and the answers written, or a SIGKILL is imminent.
    * Must not be called on the decision thread.
    */
-  void await() throws InterruptedException {
-    double longestDeadline = Decisions.longestDeadline(decisions.settings());
-    double killAfterMs = Math.min(longestDeadline, MAX_DEADLINE_MS) + KILL_DELAY_MS;
+  void shutDownGracefully() throws InterruptedException {
+    double longestWaitMs = Decisions.longestWaitMs(decisions.settings());
+    double killAfterMs = Math.min(longestWaitMs, MAX_DEADLINE_MS) + KILL_DELAY_MS;
     loop.execute(() -> {
       begun = true;
       answeredBy = clock.getAsDouble() + killAfterMs - ANSWER_MARGIN_MS;
--- a/src/main/java/beampoint/serve/Operations.java
+++ b/src/main/java/beampoint/serve/Operations.java
@@ -80,7 +80,7 @@
   /** True while an operator has detached a node. */
   boolean isBanned(String node) {
     Ban ban = banFile.get(node);
-    return ban != null && ban.isOut();
+    return ban != null && ban.isActive();
   }
 
   /** How many processes of this proxy there are, this one included. */
@@ -90,7 +90,7 @@
 
   private void apply(Ban ban) {
     proxy.module().accept(new BanChanged(ban.node(), true, ban.since()));
-    if (!ban.isOut()) {
+    if (!ban.isActive()) {
       proxy.module().accept(new BanChanged(ban.node(), false, ban.until()));
     }
   }
--- a/src/main/java/beampoint/serve/Proxy.java
+++ b/src/main/java/beampoint/serve/Proxy.java
@@ -140,7 +140,7 @@
     int reserved = RESERVED_DESCRIPTORS + (config.ops() == null ? 0 : OPS_DESCRIPTORS)
         + (config.fleet() == null ? 0 : FLEET_DESCRIPTORS);
     int available = Math.max(MIN_DESCRIPTORS, (config.sockets() - processes * reserved) / processes);
-    budget.limit(config.memoryMb() * 1024L * 1024 / BUDGET_DIVISOR / processes);
+    budget.setLimit(config.memoryMb() * 1024L * 1024 / BUDGET_DIVISOR / processes);
     int clients = processes == 1 ? available / 2 : available * 2 / 3;
     upstreams.setMaxConnections(available - clients);
     sessions.setConnectionLimits(clients,
@@ -292,7 +292,7 @@
   }
 
   /** The bytes of values held plus the number of open streams: 0 when nothing is left of either. */
-  long held() {
+  long unreleased() {
     return budget.held() + budget.streams();
   }
 
@@ -356,11 +356,11 @@
   }
 
   /** Shuts down gracefully: serves on while clients may still arrive, then answers all accepted requests. */
-  public void drain() throws InterruptedException {
+  public void shutDownGracefully() throws InterruptedException {
     if (fleet != null) {
       loop.execute(fleet::leave);
     }
-    shutdown.await();
+    shutdown.shutDownGracefully();
     LOG.info(name + " ends: " + counters);
   }
 }
--- a/src/main/java/beampoint/serve/Reload.java
+++ b/src/main/java/beampoint/serve/Reload.java
@@ -70,8 +70,8 @@
     NamedSettings present = new NamedSettings(decisions.settings(), names.settings());
     NamedSettings taken =
         Transition.keepStartupSettings(present, new NamedSettings(next.settings(), next.socketSettings()));
-    double longest = Math.max(Decisions.longestDeadline(decisions.settings()),
-        Decisions.longestDeadline(taken.settings()));
+    double longest = Math.max(Decisions.longestWaitMs(decisions.settings()),
+        Decisions.longestWaitMs(taken.settings()));
     int thisReload = ++reloads;
     change(Transition.duringTransition(present, taken));
     loop.after(longest + OLD_REQUESTS_MS, () -> {
--- a/src/main/java/beampoint/serve/SelectorPasses.java
+++ b/src/main/java/beampoint/serve/SelectorPasses.java
@@ -18,7 +18,7 @@
 
   private static final long STALL_NANOS = 20_000_000; // of a pass, or in excess of a wait's limit
 
-  private long number; // of the last selection
+  private long passNumber; // of the last selection
   private long lastEndedAt; // the end of the last selection
   private long earliestArrival; // of what the last selection found
   private boolean stalled; // in the last selection or the pass before it
@@ -62,7 +62,7 @@
       earliestArrival = arrival;
     }
     lastEndedAt = endedAt;
-    number++;
+    passNumber++;
   }
 
   /**
@@ -80,8 +80,8 @@
   }
 
   /** The number of the last selection. */
-  long number() {
-    return number;
+  long passNumber() {
+    return passNumber;
   }
 
   /** The earliest time at which what the last selection found can have arrived. */
--- a/src/main/java/beampoint/serve/WarmUp.java
+++ b/src/main/java/beampoint/serve/WarmUp.java
@@ -95,7 +95,7 @@
 
   @Override
   public void attemptEnded(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
-      Answer answer, String load) {
+      Answer answer, String loadReport) {
     throw new IllegalStateException("the warm-up makes no attempts, but one ended");
   }
 }
--- a/src/main/java/beampoint/transport/Arrivals.java
+++ b/src/main/java/beampoint/transport/Arrivals.java
@@ -11,7 +11,7 @@
   double earliest();
 
   /** The number of the current selector pass, which lasts from one selection to the next. */
-  long pass();
+  long passNumber();
 
   /**
    * Runs a task after the next read of all ready connections, before the tasks that result from that read.
--- a/src/main/java/beampoint/transport/ReadAheadFilter.java
+++ b/src/main/java/beampoint/transport/ReadAheadFilter.java
@@ -69,14 +69,14 @@
       connection.terminateWithReason(e); // notifies the filters, unless they were before
       return ctx.getStopAction();
     }
-    if (readAhead.chunks.isEmpty() || readAhead.pass == arrivals.pass()) {
+    if (readAhead.chunks.isEmpty() || readAhead.pass == arrivals.passNumber()) {
       schedule(connection, readAhead);
       return ctx.getStopAction();
     }
     Chunk next = readAhead.chunks.poll();
     bufferedBytes -= next.bytes().remaining();
     readAhead.arrivedAt = next.arrivedAt();
-    readAhead.pass = arrivals.pass();
+    readAhead.pass = arrivals.passNumber();
     schedule(connection, readAhead);
     ctx.setMessage(next.bytes());
     return ctx.getInvokeAction();
--- a/src/main/java/beampoint/upstream/AttemptListener.java
+++ b/src/main/java/beampoint/upstream/AttemptListener.java
@@ -15,10 +15,10 @@
    *
    * @param elapsed since the attempt started, in ms
    * @param answer null unless the request was served
-   * @param load the text of the server's load report, or null if there was none
+   * @param loadReport the text of the server's load report, or null if there was none
    */
   void attemptEnded(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
-      Answer answer, String load);
+      Answer answer, String loadReport);
 
   /** A probe has ended, after so many ms. */
   void probeEnded(String endpoint, double elapsed, Result result);
--- a/src/main/java/beampoint/upstream/ConnectionPools.java
+++ b/src/main/java/beampoint/upstream/ConnectionPools.java
@@ -50,7 +50,7 @@
     void closed(PooledConnection pooled, boolean orderly);
 
     /** A request of which nothing was written can't be sent to its endpoint any more. */
-    void unreachable(InFlight inFlight);
+    void unreachable(UpstreamRequest inFlight);
   }
 
   /** The time between an answer and the connection's reuse, in which a late second answer would show up. */
@@ -159,7 +159,7 @@
   /** Adds or updates an endpoint; after a new address or a restart its old connections are not reused. */
   void putEndpoint(String endpoint, InetSocketAddress address, boolean isOrigin, double startedAt) {
     Pool pool = byEndpoint.get(endpoint);
-    if (pool == null || !address.equals(pool.address) || startedAt != pool.startedAt) {
+    if (pool == null || !address.equals(pool.address) || startedAt != pool.endpointStartedAt) {
       remove(endpoint);
       pool = new Pool(endpoint, address, startedAt);
       byEndpoint.put(endpoint, pool);
@@ -182,7 +182,7 @@
     Pool pool = byEndpoint.get(endpoint);
     for (PooledConnection pooled : pool == null ? List.<PooledConnection>of()
         : List.copyOf(pool.connecting)) {
-      InFlight inFlight = pooled.inFlight;
+      UpstreamRequest inFlight = pooled.inFlight;
       pooled.inFlight = null; // the connection may still be established and kept
       if (inFlight != null) {
         listener.unreachable(inFlight);
--- a/src/main/java/beampoint/upstream/Pool.java
+++ b/src/main/java/beampoint/upstream/Pool.java
@@ -18,13 +18,13 @@
   final Set<PooledConnection> connecting = new LinkedHashSet<>();
   final InetSocketAddress address;
   final String hostHeader; // the address as in HTTP's Host header
-  final double startedAt;
+  final double endpointStartedAt;
   boolean isOrigin;
 
-  Pool(String endpoint, InetSocketAddress address, double startedAt) {
+  Pool(String endpoint, InetSocketAddress address, double endpointStartedAt) {
     this.endpoint = endpoint;
     this.address = address;
     this.hostHeader = Address.text(address);
-    this.startedAt = startedAt;
+    this.endpointStartedAt = endpointStartedAt;
   }
 }
--- a/src/main/java/beampoint/upstream/PooledConnection.java
+++ b/src/main/java/beampoint/upstream/PooledConnection.java
@@ -16,7 +16,7 @@
 
   final Pool pool;
   Connection<SocketAddress> connection; // null while it is being established
-  InFlight inFlight;
+  UpstreamRequest inFlight;
   Future<?> connectTimer;
   double connectStartedAt;
   double idleSince;
@@ -30,7 +30,7 @@
   /** True once the last byte of the request was written: from then on the server may have executed it. */
   boolean requestWritten;
 
-  PooledConnection(Pool pool, InFlight inFlight) {
+  PooledConnection(Pool pool, UpstreamRequest inFlight) {
     this.pool = pool;
     this.inFlight = inFlight;
   }
--- a/src/main/java/beampoint/upstream/Replies.java
+++ b/src/main/java/beampoint/upstream/Replies.java
@@ -32,7 +32,7 @@
   interface ResultListener {
 
     /** An attempt or probe has ended; the answer is null if there is none. */
-    void complete(InFlight inFlight, Result result, Answer answer);
+    void complete(UpstreamRequest inFlight, Result result, Answer answer);
 
     /** A connection can't be used any more; its request, if written completely, ends with this result. */
     void end(PooledConnection pooled, Result resultIfWritten);
@@ -62,7 +62,7 @@
 
   /** Handles a message that was read on a connection. */
   void handle(PooledConnection pooled, Object message) {
-    InFlight inFlight = pooled.inFlight;
+    UpstreamRequest inFlight = pooled.inFlight;
     if (pooled.closed) {
       return;
     }
@@ -87,7 +87,7 @@
 
   /** The peer has closed the connection with a FIN; returns true if that was the end of an answer on it. */
   boolean completeByClose(PooledConnection pooled) {
-    InFlight inFlight = pooled.inFlight;
+    UpstreamRequest inFlight = pooled.inFlight;
     if (pooled.closed || inFlight == null || pooled.httpHead == null || !pooled.httpHead.untilClose()) {
       return false;
     }
@@ -131,7 +131,7 @@
    * Starts to stream a value. As the client gets its first bytes at once, the attempt counts as successful
    * and is not retried.
    */
-  private void startStream(PooledConnection pooled, InFlight inFlight, long length) {
+  private void startStream(PooledConnection pooled, UpstreamRequest inFlight, long length) {
     counters.add(Counter.VALUES_STREAMED);
     pooled.inFlight = null;
     streaming.add(pooled);
@@ -167,7 +167,7 @@
     }
   }
 
-  private void handleReply(PooledConnection pooled, InFlight inFlight, Reply reply) {
+  private void handleReply(PooledConnection pooled, UpstreamRequest inFlight, Reply reply) {
     Command command = inFlight.isProbe() ? null : inFlight.exchange.command();
     boolean idMatches = command != null && reply.id() != null && reply.id().equals(command.id());
     boolean write = command != null && command.kind() == Command.Kind.WRITE;
@@ -184,7 +184,7 @@
       protocolError(pooled, "answer does not match the request: " + reply.kind());
       return;
     }
-    inFlight.loadReport = reply.load();
+    inFlight.loadReport = reply.loadReport();
     if (reply.isStreamed()) {
       startStream(pooled, inFlight, reply.length());
       return;
@@ -195,7 +195,7 @@
     listener.complete(inFlight, result, served ? Answer.complete(kind, reply.body()) : null);
   }
 
-  private void handleContent(PooledConnection pooled, InFlight inFlight, HttpContent content) {
+  private void handleContent(PooledConnection pooled, UpstreamRequest inFlight, HttpContent content) {
     boolean read = !inFlight.isProbe() && inFlight.exchange.command().kind() == Command.Kind.READ;
     boolean isLong = read && pooled.httpHead.status() == 200
         && pooled.httpHead.length() > ReplyFilter.MAX_BUFFERED_VALUE;
--- a/src/main/java/beampoint/upstream/InFlight.java
+++ b/src/main/java/beampoint/upstream/UpstreamRequest.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Future;
 
 /** One attempt or, if it has no exchange, one probe that is in flight. Confined to the decision thread. */
-final class InFlight {
+final class UpstreamRequest {
 
   final Exchange exchange;
   final int attempt;
@@ -18,7 +18,7 @@
   /** The load report in its answer, or null. */
   String loadReport;
 
-  InFlight(Exchange exchange, int attempt, String endpoint, double startedAt, double timeoutAt,
+  UpstreamRequest(Exchange exchange, int attempt, String endpoint, double startedAt, double timeoutAt,
       double startBy) {
     this.exchange = exchange;
     this.attempt = attempt;
--- a/src/main/java/beampoint/upstream/Upstreams.java
+++ b/src/main/java/beampoint/upstream/Upstreams.java
@@ -51,7 +51,7 @@
   private final ConnectionPools pools;
   private final Replies replies;
   /** By the request's id, then by the attempt's number. */
-  private final Map<Long, Map<Integer, InFlight>> inFlightAttempts = new HashMap<>();
+  private final Map<Long, Map<Integer, UpstreamRequest>> inFlightAttempts = new HashMap<>();
   private final Future<?> connectionCheck; // closes connections that are idle for too long or stalled
 
   /**
@@ -102,12 +102,12 @@
     }
 
     @Override
-    public void unreachable(InFlight inFlight) {
+    public void unreachable(UpstreamRequest inFlight) {
       Upstreams.this.complete(inFlight, Result.CONNECT_FAILED, null);
     }
 
     @Override
-    public void complete(InFlight inFlight, Result result, Answer answer) {
+    public void complete(UpstreamRequest inFlight, Result result, Answer answer) {
       Upstreams.this.complete(inFlight, result, answer);
     }
 
@@ -170,7 +170,8 @@
    * @param startBy the latest time at which the request may be written, in ms on the proxy's clock
    */
   public void send(Exchange exchange, int attempt, String endpoint, double timeoutAt, double startBy) {
-    InFlight inFlight = new InFlight(exchange, attempt, endpoint, clock.getAsDouble(), timeoutAt, startBy);
+    UpstreamRequest inFlight =
+        new UpstreamRequest(exchange, attempt, endpoint, clock.getAsDouble(), timeoutAt, startBy);
     inFlightAttempts.computeIfAbsent(exchange.id(), id -> new HashMap<>()).put(attempt, inFlight);
     counters.add(Counter.ATTEMPTS_SENT);
     start(inFlight);
@@ -180,13 +181,13 @@
   public void probe(String endpoint) {
     double now = clock.getAsDouble();
     counters.add(Counter.PROBES_SENT);
-    start(new InFlight(null, 0, endpoint, now, now + 2 * pools.connectTimeoutMs(),
+    start(new UpstreamRequest(null, 0, endpoint, now, now + 2 * pools.connectTimeoutMs(),
         Double.POSITIVE_INFINITY));
   }
 
   /** Cancels one attempt of a request. */
   public void cancel(long id, int attempt) {
-    InFlight inFlight = inFlightAttempts.getOrDefault(id, Map.of()).get(attempt);
+    UpstreamRequest inFlight = inFlightAttempts.getOrDefault(id, Map.of()).get(attempt);
     if (inFlight != null) {
       abort(inFlight, Result.CANCELLED);
     }
@@ -194,7 +195,7 @@
 
   /** The client of a request has disconnected: cancels the attempts that were not written completely. */
   public void abandon(long id) {
-    for (InFlight inFlight : List.copyOf(inFlightAttempts.getOrDefault(id, Map.of()).values())) {
+    for (UpstreamRequest inFlight : List.copyOf(inFlightAttempts.getOrDefault(id, Map.of()).values())) {
       if (!inFlight.pooled.requestWritten) {
         abort(inFlight, Result.CANCELLED);
       }
@@ -203,12 +204,12 @@
 
   /** Times out all attempts of a request. */
   public void expire(long id) {
-    for (InFlight inFlight : List.copyOf(inFlightAttempts.getOrDefault(id, Map.of()).values())) {
+    for (UpstreamRequest inFlight : List.copyOf(inFlightAttempts.getOrDefault(id, Map.of()).values())) {
       abort(inFlight, Result.TIMEOUT);
     }
   }
 
-  private void start(InFlight inFlight) {
+  private void start(UpstreamRequest inFlight) {
     Pool pool = pools.pool(inFlight.endpoint);
     inFlight.timer = schedule(inFlight.timeoutAt, () -> abort(inFlight, Result.TIMEOUT));
     if (pool == null) {
@@ -238,7 +239,7 @@
    * still waits.
    */
   private void write(PooledConnection pooled) {
-    InFlight inFlight = pooled.inFlight;
+    UpstreamRequest inFlight = pooled.inFlight;
     Pool pool = pooled.pool;
     double now = clock.getAsDouble();
     long timeLeft = (long) Math.floor(inFlight.timeoutAt - now);
@@ -270,7 +271,7 @@
   }
 
   private void end(PooledConnection pooled, Result resultIfWritten) {
-    InFlight inFlight = pooled.inFlight;
+    UpstreamRequest inFlight = pooled.inFlight;
     Stream stream = pooled.valueStream;
     pooled.valueStream = null;
     boolean written = pooled.requestWritten;
@@ -289,7 +290,7 @@
    * Ends an attempt or probe without an answer. An attempt that was not written completely was never
    * executed, and is reported as not sent: the endpoint did not cause a timeout.
    */
-  private void abort(InFlight inFlight, Result result) {
+  private void abort(UpstreamRequest inFlight, Result result) {
     if (inFlight.finished) {
       return;
     }
@@ -303,7 +304,7 @@
     complete(inFlight, written ? result : inFlight.isProbe() ? Result.TIMEOUT : Result.NOT_SENT, null);
   }
 
-  private void complete(InFlight inFlight, Result result, Answer answer) {
+  private void complete(UpstreamRequest inFlight, Result result, Answer answer) {
     if (inFlight.finished) {
       return;
     }
@@ -315,7 +316,7 @@
       loop.execute(() -> listener.probeEnded(inFlight.endpoint, elapsed, result));
       return;
     }
-    Map<Integer, InFlight> ofRequest = inFlightAttempts.get(inFlight.exchange.id());
+    Map<Integer, UpstreamRequest> ofRequest = inFlightAttempts.get(inFlight.exchange.id());
     ofRequest.remove(inFlight.attempt);
     if (ofRequest.isEmpty()) {
       inFlightAttempts.remove(inFlight.exchange.id());
--- a/src/test/java/beampoint/client/ClientListenerTest.java
+++ b/src/test/java/beampoint/client/ClientListenerTest.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public long pass() {
+    public long passNumber() {
       return 0;
     }
 
--- a/src/test/java/beampoint/handover/BanFileTest.java
+++ b/src/test/java/beampoint/handover/BanFileTest.java
@@ -41,7 +41,7 @@
     setAndStore(open(), "a", true, 10);
     BanFile next = open();
     assertEquals(List.of(new Ban("a", 10, Double.POSITIVE_INFINITY)), next.refresh());
-    assertTrue(next.get("a").isOut());
+    assertTrue(next.get("a").isActive());
   }
 
   @Test
@@ -63,8 +63,8 @@
     setAndStore(next, "a", false, 20);
     setAndStore(next, "b", true, 21);
     assertEquals(2, old.refresh().size());
-    assertFalse(old.get("a").isOut());
-    assertTrue(old.get("b").isOut());
+    assertFalse(old.get("a").isActive());
+    assertTrue(old.get("b").isActive());
   }
 
   /** Guards against a process that overwrites what the other stored since its last refresh. */
@@ -75,7 +75,7 @@
     setAndStore(old, "a", true, 10);
     setAndStore(next, "b", true, 11);
     assertEquals(2, open().refresh().size());
-    assertTrue(next.get("a").isOut(), "storing merges what is in the file");
+    assertTrue(next.get("a").isActive(), "storing merges what is in the file");
   }
 
   @Test
@@ -87,7 +87,7 @@
       file.setBanned("a", true, 10);
       Files.writeString(path, text);
       assertEquals(List.of(), file.refresh(), text);
-      assertTrue(file.get("a").isOut(), text);
+      assertTrue(file.get("a").isActive(), text);
       file.store();
       assertEquals(1, open().refresh().size(), text);
     }
@@ -110,7 +110,7 @@
     file.setBanned("a", true, 10);
     assertThrows(IOException.class, file::store);
     assertEquals(List.of(), file.refresh());
-    assertTrue(file.get("a").isOut());
+    assertTrue(file.get("a").isActive());
   }
 
   @Test
--- a/src/test/java/beampoint/serve/ConnectionCloseTest.java
+++ b/src/test/java/beampoint/serve/ConnectionCloseTest.java
@@ -90,7 +90,7 @@
       }
       assertEquals(32, proxy.proxy.counters().get(Counter.ATTEMPTS_SENT));
       assertEquals(32, proxy.proxy.counters().get(Counter.REQUESTS_GONE));
-      assertEquals(0, proxy.proxy.held());
+      assertEquals(0, proxy.proxy.unreleased());
     }
   }
 
@@ -292,7 +292,7 @@
       CountDownLatch drained = new CountDownLatch(1);
       Thread end = new Thread(() -> {
         try {
-          proxy.proxy.drain();
+          proxy.proxy.shutDownGracefully();
           drained.countDown();
         } catch (InterruptedException e) {
           Thread.currentThread().interrupt();
--- a/src/test/java/beampoint/serve/FleetNodeTest.java
+++ b/src/test/java/beampoint/serve/FleetNodeTest.java
@@ -114,7 +114,7 @@
     others.add(restarted);
     all.put("n2", Status.ALIVE);
     await(others, all);
-    fleet.get(3).drain();
+    fleet.get(3).shutDownGracefully();
     others.remove(fleet.get(3));
     all.put("n3", Status.LEFT);
     await(others.subList(0, 3), all);
@@ -134,7 +134,7 @@
     }
     assertEquals(List.of(), second.members(), "it does not join while the first process runs");
     assertEquals(both, view(fleet.get(0)));
-    first.drain();
+    first.shutDownGracefully();
     both.put("n1", Status.LEFT);
     await(fleet, both);
     first.stop();
--- a/src/test/java/beampoint/serve/LongValuesTest.java
+++ b/src/test/java/beampoint/serve/LongValuesTest.java
@@ -209,7 +209,7 @@
         client.send("ms 7f 4000000 Oc Pc=put,d=4000\r\n" + value.substring(0, 100_000));
       }
       try (Client client = new Client(proxy)) {
-        while (proxy.proxy.held() != 0) {
+        while (proxy.proxy.unreleased() != 0) {
           assertEquals("MN", client.request("mn\r\n")); // until the disconnect was seen
         }
       }
--- a/src/test/java/beampoint/serve/ProxyLifecycleTest.java
+++ b/src/test/java/beampoint/serve/ProxyLifecycleTest.java
@@ -128,7 +128,7 @@
       cache.nextLine();
       Thread shutdown = new Thread(() -> {
         try {
-          proxy.proxy.drain();
+          proxy.proxy.shutDownGracefully();
         } catch (InterruptedException e) {
           Thread.currentThread().interrupt();
         }
@@ -184,7 +184,7 @@
         }));
       }
       sending.await();
-      proxy.proxy.drain();
+      proxy.proxy.shutDownGracefully();
       for (Future<String> end : ends) {
         assertEquals("end", end.get(5, TimeUnit.SECONDS));
       }
@@ -207,7 +207,7 @@
       client.send(READ.replace("4000", "60000"));
       cache.nextLine();
       long before = System.nanoTime();
-      proxy.proxy.drain();
+      proxy.proxy.shutDownGracefully();
       double took = (System.nanoTime() - before) / 1e6;
       assertTrue(took < 1700, "the SIGKILL comes 0.7 s after the deadline of 1 s; took " + took);
       assertEquals("SERVER_ERROR busy", client.line(), "the module refuses it as its attempt timed out");
@@ -237,7 +237,7 @@
         return busy;
       });
       long before = System.nanoTime();
-      proxy.proxy.drain();
+      proxy.proxy.shutDownGracefully();
       double took = (System.nanoTime() - before) / 1e6;
       assertTrue(took < 1700, "the SIGKILL comes 0.7 s after the deadline of 1 s; took " + took);
       assertEquals(count, proxy.proxy.counters().get(Counter.ANSWERED_REFUSED));
--- a/src/test/java/beampoint/serve/UpgradeTest.java
+++ b/src/test/java/beampoint/serve/UpgradeTest.java
@@ -322,7 +322,7 @@
   private Set<String> storedBans() throws IOException {
     try (var files = Files.list(directory)) {
       Path path = files.filter(file -> file.toString().endsWith(".bans.json")).findFirst().orElseThrow();
-      return new BanFile(path, "n0").refresh().stream().filter(Ban::isOut).map(Ban::node)
+      return new BanFile(path, "n0").refresh().stream().filter(Ban::isActive).map(Ban::node)
           .collect(Collectors.toSet());
     }
   }
