--- a/src/main/java/beampoint/buffer/Budget.java
+++ b/src/main/java/beampoint/buffer/Budget.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 
 /**
- * The memory budget for values: the bytes of values that are buffered whole, and the windows of streams.
- * Belongs to the decision thread.
+ * The memory budget for values. The bytes of values that are buffered whole are counted as held. The windows
+ * of streams are derived from what is left, and not counted as held. Confined to the decision thread.
  */
 public final class Budget {
 
   private static final int MIN_WINDOW_BYTES = 8 * 1024;
   private static final int MAX_WINDOW_BYTES = 128 * 1024;
 
-  private long limit; // in bytes, as is held
-  private long held;
+  private long limit; // in bytes
+  private long held; // in bytes
   private int streams;
   private final Set<Claim> incomplete = new LinkedHashSet<>(); // the oldest first
 
--- a/src/main/java/beampoint/buffer/Stream.java
+++ b/src/main/java/beampoint/buffer/Stream.java
@@ -6,7 +6,7 @@
 
 /**
  * A long value that is passed from a source to a sink with backpressure: the source is paused when a window
- * of bytes is full, and resumed when half of the window is free. Belongs to the decision thread.
+ * of bytes is full, and resumed when half of the window is free. Confined to the decision thread.
  */
 public final class Stream {
 
--- a/src/main/java/beampoint/cli/EmulateCommand.java
+++ b/src/main/java/beampoint/cli/EmulateCommand.java
@@ -22,7 +22,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Runs a scenario of a whole fleet around the decision module in virtual time, and prints the figures. */
+/**
+ * Runs a scenario of an emulated fleet, whose proxies use the decision module, and prints the figures. It
+ * runs in virtual time, or in real time with {@code --loopback}.
+ */
 @Command(name = "emulate", mixinStandardHelpOptions = true,
     description = "Plays a scenario in virtual time; figures as name=value lines on standard output.",
     footer = "Exit code 2: the scenario can't be used; 3: a rule was broken; 5: the run is void.")
@@ -66,6 +69,10 @@
     return report.brokenRuleCount() > 0 ? RULE_BROKEN : 0;
   }
 
+  /**
+   * Runs a scenario of the model "control", which emulates the control plane of a large fleet, and no
+   * requests. It runs in virtual time only.
+   */
   private int runControl(ControlScenario scenario) throws InputException {
     if (jar != null) {
       throw new InputException("a scenario of model 'control' runs in virtual time only, without --loopback");
--- a/src/main/java/beampoint/cli/Main.java
+++ b/src/main/java/beampoint/cli/Main.java
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Polls the file, in place of a signal that is never received. A file that was read while it was being
-     * written is read again after the rest has been written.
+     * Polls the configuration file; used if SIGHUP is ignored, so that it can't request a reload. A file that
+     * was read while it was being written is read again after the rest has been written.
      */
     private void reloadOnChange(Proxy proxy, FileChanges changes) {
       try {
--- a/src/main/java/beampoint/client/ClientListener.java
+++ b/src/main/java/beampoint/client/ClientListener.java
@@ -67,7 +67,8 @@
   }
 
   /**
-   * A connection was accepted; other pending ones are accepted in this selector pass too, up to the limit.
+   * Registers an accepted connection. Stops accepting at the limit; otherwise schedules the acceptance of the
+   * other pending ones in this selector pass.
    */
   void accepted(Connection<?> connection) {
     if (Double.isNaN(pendingSince)) {
@@ -83,14 +84,15 @@
     }
   }
 
-  /** A connection has ended. */
+  /** Counts one connection less, after one has ended. */
   void connectionClosed() {
     connections.decrementAndGet();
   }
 
   /**
    * The earliest time at which the bytes that are read on a connection can have arrived, in ms. The first
-   * bytes of a connection may have arrived while it waited to be accepted, and count as old as that wait.
+   * bytes of a connection may have arrived while it waited to be accepted, so they count as arrived when the
+   * connection may first have been established.
    */
   double arrivedAt(Connection<?> connection) {
     Acceptance accepted = acceptance.get(connection);
--- a/src/main/java/beampoint/client/CommandBacklog.java
+++ b/src/main/java/beampoint/client/CommandBacklog.java
@@ -48,7 +48,7 @@
     }
   }
 
-  private static final int ENTRY_OVERHEAD_BYTES = 512; // beside its texts
+  private static final int ENTRY_OVERHEAD_BYTES = 512; // of memory, in addition to its buffers or text
 
   private final Deque<Entry> entries = new ArrayDeque<>();
 
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Adds an answer in the place of its command; returns the memory that it takes, in bytes: 0 directly behind
-   * an equal answer.
+   * Adds an answer in the place of its command; returns the memory that it takes, in bytes: 0 if the previous
+   * entry is the same answer.
    */
   int addAnswer(String line) {
     if (entries.peekLast() instanceof QueuedAnswers last && last.line.equals(line)) {
@@ -86,7 +86,10 @@
     return answers.bytes();
   }
 
-  /** Takes the entry of the next command; one of several equal answers stays until its last command. */
+  /**
+   * Returns the entry of the next command, and removes it; a {@link QueuedAnswers}, which stands for several
+   * commands, is removed with the last of them.
+   */
   Entry poll() {
     Entry next = entries.peek();
     if (!(next instanceof QueuedAnswers answers) || --answers.count == 0) {
--- a/src/main/java/beampoint/client/Session.java
+++ b/src/main/java/beampoint/client/Session.java
@@ -35,7 +35,7 @@
         }
       };
   private final double openedAt;
-  private double inactiveSince; // without a complete command, or since an incomplete one was first seen
+  private double inactiveSince; // in ms; while commands are open, the time of the last check
   private boolean hasReadCommand;
   private boolean hadPartialCommand; // at the last check
   private int answersBeingWritten;
@@ -43,8 +43,8 @@
   private double lastWriteProgressAt; // when the last write ended, or the first of those in progress began
   private int partialValueBytes; // read of an incomplete value, at the last check
   private boolean inputEnded; // after a fatal error: what follows can't be parsed
-  private boolean closing;
-  private boolean closed;
+  private boolean closing; // to be closed once all commands are answered
+  private boolean answersEnded; // nothing more is written; the connection may still linger
   private boolean clientGone; // the connection has ended; the task that handles that may still be queued
   private boolean lingering;
   private double lingeringSince;
@@ -80,7 +80,7 @@
     return openedAt;
   }
 
-  /** Since when the client has not sent a complete command. */
+  /** When the client last sent a complete command, the first part of one, or bytes of a value, in ms. */
   double inactiveSince() {
     return inactiveSince;
   }
@@ -117,7 +117,7 @@
    * the connection ends before its turn; if the backlogs are full it is answered at once.
    */
   void handleCommand(Command command, double arrivedAt) {
-    if (closed || inputEnded || clientGone) {
+    if (answersEnded || inputEnded || clientGone) {
       command.release();
       return;
     }
@@ -165,7 +165,7 @@
 
   /** Starts queued commands until as many are open as may be. */
   private void startQueued() {
-    while (!closed && !clientGone && !backlog.isEmpty() && hasRoom()) {
+    while (!answersEnded && !clientGone && !backlog.isEmpty() && hasRoom()) {
       CommandBacklog.Entry next = backlog.poll();
       sessions.addBacklogBytes(-backlog.freedBy(next));
       if (next instanceof CommandBacklog.QueuedCommand queued && inputEnded) {
@@ -241,7 +241,7 @@
     slot.exchange = sessions.requestHandler().accept(command, arrivedAt, () -> clientGone, answer -> {
       slot.stream = answer.stream();
       slot.answer = slot.stream == null ? AnswerText.message(sessions.writer(), command, answer) : null;
-      if (closed && slot.stream != null) {
+      if (answersEnded && slot.stream != null) {
         slot.stream.cancel();
       }
       flush();
@@ -262,11 +262,12 @@
       write(sessions.writer().valueHead(next.command.id(), next.stream.length()), null);
       next.stream.attach(new ValueSink(next));
     }
-    // Not closed while a command that was read waits in a task: it would be lost or, as the client repeats it
-    // elsewhere, executed twice. Commands that arrive after the close are not started.
-    if (closing && !closed && slots.isEmpty()
+    // Not closed while a command that was read waits in a task. After the close it could get no answer: it
+    // would be lost or, because the client repeats it elsewhere, executed twice. Commands that arrive after
+    // the close are not started.
+    if (closing && !answersEnded && slots.isEmpty()
         && (inputEnded || sessions.pending(connection) == answersBeingWritten)) {
-      closed = true;
+      answersEnded = true;
       discardBacklog();
       sessions.discardInput(connection);
       if (evicted && writesInProgress == 0
@@ -279,7 +280,7 @@
   }
 
   private void lingerOnceWritten() {
-    if (closed && !lingering && writesInProgress == 0) {
+    if (answersEnded && !lingering && writesInProgress == 0) {
       lingering = true;
       lingeringSince = sessions.now();
       LingeringClose.begin(connection, sessions.loop());
@@ -288,7 +289,7 @@
 
   /** True if the connection has been in its lingering close for at least so many ms. */
   boolean isLingeringFor(double timeMs) {
-    return closed && lingering && sessions.now() - lingeringSince >= timeMs;
+    return answersEnded && lingering && sessions.now() - lingeringSince >= timeMs;
   }
 
   private void discardBacklog() {
@@ -336,14 +337,14 @@
     @Override
     public void complete() {
       slot.stream = null;
-      slot.answer = sessions.writer().line("");
+      slot.answer = sessions.writer().line(""); // the line end behind the value
       flush();
     }
 
     /** Ends the connection before the value's end, so that a truncated value does not look complete. */
     @Override
     public void failed() {
-      closed = true;
+      answersEnded = true;
       connection.terminateSilently();
     }
   }
@@ -383,8 +384,8 @@
 
   /** The connection has ended: cancels its open requests and discards its queue. */
   void connectionClosed() {
-    closed = true;
-    lingering = true; // no lingering close is needed
+    answersEnded = true;
+    lingering = true; // prevents lingerOnceWritten from starting a lingering close
     discardBacklog();
     for (AnswerSlot slot : slots) {
       if (slot.exchange != null) {
--- a/src/main/java/beampoint/client/Sessions.java
+++ b/src/main/java/beampoint/client/Sessions.java
@@ -38,8 +38,10 @@
 public final class Sessions {
 
   private static final Log LOG = Log.of("client");
-  private static final int QUEUE_LIMIT_BYTES = 4 * 1024 * 1024; // of all backlogs: then answers at once
-  private static final int HARD_LIMIT_BYTES = 8 * 1024 * 1024; // with queued answers: then closes connections
+  /** Above this total of all backlogs, requests are answered at once instead of queued. */
+  private static final int QUEUE_LIMIT_BYTES = 4 * 1024 * 1024;
+  /** Above this total, which includes queued answers, a connection that queues more is closed. */
+  private static final int HARD_LIMIT_BYTES = 8 * 1024 * 1024;
   private static final long STALE_CHECK_INTERVAL_MS = 250;
   private static final double COMMAND_TIMEOUT_MS = 2500; // until the first command, or within a command
   private static final double WRITE_STALL_TIMEOUT_MS = 10_000; // of a client that does not read its answers
@@ -47,7 +49,11 @@
   private static final double CROWDED_IDLE_TIMEOUT_MS = 2000; // from half of the eviction threshold on
   private static final double CROWDED_LINGER_MS = 50; // of a lingering close, when room is needed
   private static final long CLOSE_IDLE_INTERVAL_MS = 10;
-  private static final double LATE_COMMAND_MS = 20; // from this age on the client may have disconnected since
+  /**
+   * A command that arrived longer ago than this is executed only after another read, which shows whether the
+   * client has disconnected.
+   */
+  private static final double LATE_COMMAND_MS = 20;
 
   private final TCPNIOTransport transport;
   private final ScheduledExecutorService loop;
@@ -56,14 +62,14 @@
   private final ClientListener listener;
   private final RequestHandler requestHandler;
   private final Counters counters;
-  private int evictionThreshold = 1; // of connections, beyond which inactive ones are closed
+  private int evictionThreshold = 1; // the number of connections beyond which inactive ones are closed
   private final Writer writer;
   private final Map<Connection<?>, Session> sessions = new LinkedHashMap<>(); // least recently used first
   private final Attribute<AtomicInteger> pending =
       Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("pending-commands", AtomicInteger::new);
   private final ReadAheadFilter readAhead;
   private final CommandFilter commandFilter;
-  private double partialCommandDeadline;
+  private double partialCommandDeadline; // when the grace period of stopListening ends, in ms
   private int backlogBytes; // of commands that are read and not started
   private boolean refusesQueuedRequests;
 
@@ -90,7 +96,7 @@
   }
 
   /**
-   * Sets the limits, and closes connections that are beyond the second.
+   * Sets the limits, and closes inactive connections beyond {@code evictAbove}.
    *
    * @param max the maximum number of connections; further ones are not accepted
    * @param evictAbove the number of connections beyond which inactive ones are closed
@@ -176,8 +182,8 @@
   /**
    * Closes connections beyond the eviction threshold, so that the limit is not reached: first those that have
    * not completed a command in time, then the longest idle. Many clients that only connect, or send one
-   * request and stay connected, must not cost the other clients their connections, the more so as the
-   * clients' side may allow fewer connections than this limit. Connections that were opened or began a
+   * request and stay connected, must not cost the other clients their connections, especially because the
+   * clients' environment may allow fewer connections than this limit. Connections that were opened or began a
    * command recently may still be sending. They are closed only if they are more than a third of the
    * threshold, or if no idle ones are left and the maximum is reached: the one without progress for longest
    * first, so that clients that have stopped sending are closed before slow ones.
@@ -230,8 +236,8 @@
 
   /**
    * Closes connections that are open and unused, which would keep others out: clients that send one request
-   * and stay connected were seen to use up all connections that the clients' side may open, long before the
-   * limit here was reached.
+   * and stay connected were seen to use up all connections that the clients' environment allows, long before
+   * the limit here was reached.
    */
   private void closeStale() {
     double now = clock.getAsDouble();
@@ -260,7 +266,7 @@
     listener.resumeAccepting();
   }
 
-  /** How many commands were read on a connection whose answers are not written yet. */
+  /** The number of commands read on a connection whose answer is not written completely. */
   int pending(Connection<?> connection) {
     return pending.get(connection).get();
   }
@@ -297,7 +303,8 @@
   }
 
   /**
-   * True if the backlogs, with queued answers, exceed the hard limit: a connection that adds one is closed.
+   * True if the backlogs, with queued answers, exceed the hard limit: a connection that queues another
+   * command or answer is closed.
    */
   boolean areBacklogsOverLimit() {
     return backlogBytes > HARD_LIMIT_BYTES;
--- a/src/main/java/beampoint/count/Counter.java
+++ b/src/main/java/beampoint/count/Counter.java
@@ -1,6 +1,20 @@
 package beampoint.count;
 
-/** The counters of a proxy, among them those of events that should never occur. Their names are printed. */
+/**
+ * The counters of a proxy. Their names are printed. LOGIC_EXCEPTIONS (exceptions of the decision module),
+ * ANSWERS_OVERDUE (requests that the module left unanswered past their deadline) and INVARIANTS_BROKEN should
+ * stay 0. Of the others, these are not obvious:
+ * <ul>
+ * <li>CLIENT_CONNECTIONS_CLOSED_FULL: client connections closed to make room for others;
+ * <li>CLIENT_CONNECTIONS_CLOSED_STALE: client connections closed because they were inactive for too long;
+ * <li>REQUESTS_GONE: requests whose client disconnected before the answer;
+ * <li>ATTEMPTS_FULL: attempts that an endpoint declined because it was busy;
+ * <li>VALUES_CUT_OFF: streamed values whose connection ended before the last byte;
+ * <li>OPS_CALLS_UNFINISHED: calls of operators whose connection was closed, by a timeout or to make room,
+ * before the answer;
+ * <li>WATCHES_BROKEN: times that the current watch of the host list ended or did not answer in time.
+ * </ul>
+ */
 public enum Counter {
   CLIENT_CONNECTIONS, CLIENT_CONNECTIONS_CLOSED_FULL, CLIENT_CONNECTIONS_CLOSED_STALE,
   REQUESTS_TAKEN, REQUESTS_GONE, BAD_COMMANDS,
--- a/src/main/java/beampoint/exchange/Exchange.java
+++ b/src/main/java/beampoint/exchange/Exchange.java
@@ -77,7 +77,11 @@
     return attemptsInFlight;
   }
 
-  /** Notes that the decision module gets an event of this request now, in ms on the proxy's clock. */
+  /**
+   * Records that the decision module gets an event of this request.
+   *
+   * @param now in ms on the proxy's clock
+   */
   public void setLastEventAt(double now) {
     lastEventAt = now;
   }
--- a/src/main/java/beampoint/files/FileStamp.java
+++ b/src/main/java/beampoint/files/FileStamp.java
@@ -7,8 +7,8 @@
 import java.nio.file.attribute.FileTime;
 
 /**
- * Identifies one state of a file. Another state has another modification time or size, or is another file in
- * its place.
+ * Identifies one state of a file. Two stamps differ if the file was modified with a new modification time or
+ * size, or was replaced by another file.
  */
 public record FileStamp(FileTime modified, long size, String fileKey) {
 
--- a/src/main/java/beampoint/handover/Ban.java
+++ b/src/main/java/beampoint/handover/Ban.java
@@ -1,19 +1,19 @@
 package beampoint.handover;
 
 /**
- * The ban of a cache node, which operators have taken out of service.
+ * A current or lifted ban of a cache node. A banned node is taken out of service by operators.
  *
- * @param since when it was taken out, in Unix ms
- * @param until when it was put back into service, in Unix ms; infinite while it is out
+ * @param since when the ban began, in Unix ms
+ * @param until when the ban was lifted, in Unix ms; infinite while it is active
  */
 public record Ban(String node, double since, double until) {
 
-  /** True while the node is out of service. */
+  /** True until the ban is lifted. */
   public boolean isActive() {
     return until == Double.POSITIVE_INFINITY;
   }
 
-  /** When it was last taken out or put back: of two bans of one node, the one that changed later is valid. */
+  /** When the ban last began or was lifted: of two bans of one node, the one that changed later is valid. */
   double changedAt() {
     return isActive() ? since : until;
   }
--- a/src/main/java/beampoint/handover/BanFile.java
+++ b/src/main/java/beampoint/handover/BanFile.java
@@ -44,7 +44,11 @@
    * invalid.
    */
   static final int MAX_FILE_BYTES = 2 * 1024 * 1024;
-  private static final double LIFTED_BAN_RETENTION_MS = 600_000; // longer than any cache needs to warm up
+  /**
+   * How long lifted bans are kept: longer than any cache node needs to warm up, so that other processes learn
+   * of the ban of a node that may still be warming up.
+   */
+  private static final double LIFTED_BAN_RETENTION_MS = 600_000;
   private static final int LOCK_ATTEMPTS = 25;
   private static final long LOCK_RETRY_INTERVAL_MS = 2;
 
@@ -66,24 +70,24 @@
     return List.copyOf(bans.values());
   }
 
-  /** The ban of a node, or null if it was never out of service, or its lifted ban is not kept any more. */
+  /** The ban of a node, or null if it was never banned, or its lifted ban is not kept any more. */
   public Ban get(String node) {
     return bans.get(node);
   }
 
   /**
-   * Takes a node out of service or puts it back, in memory only; returns false, and has no effect, if there
-   * are too many bans.
+   * Bans a node or lifts its ban, in memory only; returns false, and has no effect, if there are too many
+   * bans.
    */
-  public boolean setBanned(String node, boolean out, double now) {
+  public boolean setBanned(String node, boolean banned, double now) {
     bans.values().removeIf(b -> !b.isActive() && now - b.until() > LIFTED_BAN_RETENTION_MS);
     Ban ban = bans.get(node);
-    if (out && (ban == null || !ban.isActive())) {
+    if (banned && (ban == null || !ban.isActive())) {
       if (bans.size() >= MAX_BANS) {
         return false;
       }
       bans.put(node, new Ban(node, now, Double.POSITIVE_INFINITY));
-    } else if (!out && ban != null && ban.isActive()) {
+    } else if (!banned && ban != null && ban.isActive()) {
       bans.put(node, new Ban(node, ban.since(), now));
     }
     return true;
--- a/src/main/java/beampoint/log/Log.java
+++ b/src/main/java/beampoint/log/Log.java
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Instantiated by java.util.logging in place of reading its default configuration, which the start would
-   * only discard again.
+   * An empty configuration class. java.util.logging creates an instance of it instead of reading its default
+   * configuration, which {@link #captureLibraryLogs()} would discard anyway.
    */
   public static final class NoConfiguration {}
 
--- a/src/main/java/beampoint/memcache/CommandFilter.java
+++ b/src/main/java/beampoint/memcache/CommandFilter.java
@@ -19,10 +19,10 @@
 /** Parses the commands of clients: mg, ms, mn and a few without a key. */
 public final class CommandFilter extends BaseFilter {
 
-  static final int MAX_LINE = 4096;
-  static final int MAX_KEY = 250;
-  static final int MAX_ID = 32;
-  /** Values up to this length, in bytes, are not copied if they are contained in one buffer. */
+  static final int MAX_LINE = 4096; // in bytes
+  static final int MAX_KEY = 250; // in bytes
+  static final int MAX_ID = 32; // in bytes
+  /** Values up to this length are not copied if they are contained in one buffer: slices of it are used. */
   static final int MAX_SLICED_VALUE_BYTES = 64 * 1024;
   /** The longest valid value, in bytes. */
   public static final int MAX_VALUE = 4 * 1024 * 1024;
--- a/src/main/java/beampoint/memcache/CommandReader.java
+++ b/src/main/java/beampoint/memcache/CommandReader.java
@@ -24,7 +24,7 @@
   /**
    * Creates the parser of one connection.
    *
-   * @param resume is called once more may be read after {@link #isPaused()}
+   * @param resume is called when reading may continue after a pause, see {@link #isPaused()}
    */
   CommandReader(MemoryManager<?> memory, Budget budget, Runnable resume) {
     this.memory = memory;
--- a/src/main/java/beampoint/memcache/Reply.java
+++ b/src/main/java/beampoint/memcache/Reply.java
@@ -3,17 +3,17 @@
 import org.glassfish.grizzly.Buffer;
 
 /**
- * One answer of a cache node.
+ * One reply of a cache node.
  *
  * @param body the value or the receipt, a slice of what was read; null for a long value, whose bytes follow
- *     as {@link ReplyPart}
- * @param surplus true if more bytes were read than belong to the answer
+ * as {@link ReplyPart}
+ * @param surplus true if more bytes were read than belong to the reply
  * @param length the length of a long value
- * @param loadReport the text of the load report in the answer, or null
+ * @param loadReport the text of the load report in the reply, or null
  */
 public record Reply(Kind kind, Buffer id, Buffer body, boolean surplus, int length, String loadReport) {
 
-  /** The kinds of answers; BAD violates the protocol, and what follows it can't be parsed. */
+  /** The kinds of replies; BAD violates the protocol, and what follows it can't be parsed. */
   public enum Kind {
     VALUE, RECEIPT, MISS, FAILED, BUSY, ALIVE, BAD
   }
--- a/src/main/java/beampoint/memcache/ReplyFilter.java
+++ b/src/main/java/beampoint/memcache/ReplyFilter.java
@@ -13,14 +13,14 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 
 /**
- * Parses the answers of cache nodes. Values up to 64 KiB are passed on only when they are complete: a
- * truncated one is no answer. Longer ones are streamed: first the head, then the bytes as they are read.
+ * Parses the replies of cache nodes. Values up to 64 KiB are passed on only when they are complete: a
+ * truncated one is no reply. Longer ones are streamed: first the head, then the bytes as they are read.
  */
 public final class ReplyFilter extends BaseFilter {
 
-  /** The longest value that is buffered until it is complete. */
+  /** The longest value that is buffered until it is complete, in bytes. */
   public static final int MAX_BUFFERED_VALUE = 64 * 1024;
-  /** The longest valid value. An answer that announces a longer one is corrupt, and may never end. */
+  /** The longest valid value, in bytes. A reply that announces a longer one is corrupt, and may never end. */
   public static final int MAX_VALUE = CommandFilter.MAX_VALUE;
 
   private final MemoryManager<?> memory;
@@ -42,7 +42,7 @@
     }
     boolean bad = message instanceof Reply reply && (reply.surplus() || reply.kind() == Kind.BAD);
     if (bad || message instanceof ReplyPart part && part.surplus()) {
-      // One request is in flight at a time: what follows its answer belongs to none, and may never end.
+      // One request is in flight at a time: what follows its reply belongs to none, and may never end.
       ctx.getConnection().disableIOEvent(IOEvent.READ);
     }
     ctx.setMessage(message);
--- a/src/main/java/beampoint/memcache/ReplyReader.java
+++ b/src/main/java/beampoint/memcache/ReplyReader.java
@@ -7,7 +7,7 @@
 import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** Parses the answers on one connection; keeps the part of an incomplete value that was read. */
+/** Parses the replies on one connection; keeps the part of an incomplete value that was read. */
 final class ReplyReader {
 
   private static final int MAX_LOAD_LENGTH = 200; // of a load report; a longer one is ignored
@@ -27,7 +27,7 @@
     return streamBytesLeft > 0 ? part(in) : value != null ? collect(in) : parseLine(in);
   }
 
-  /** The flags of an answer. With several ids, it belongs to no certain request, and has none. */
+  /** The flags of a reply. If it has several ids, its request is not certain, and the id is null. */
   private record Tail(Buffer id, Buffer receipt, String loadReport) {
 
     static Tail of(LineScanner scanner) {
--- a/src/main/java/beampoint/request/ParameterList.java
+++ b/src/main/java/beampoint/request/ParameterList.java
@@ -7,8 +7,8 @@
 
 /**
  * The list of names and values that a client sends with a request, such as {@code c=read,t=acme,d=480}, as
- * the bytes that were read. {@code waitStart} and {@code waitEnd} are the bounds, in these bytes, of the value
- * of {@code d}, the time for which the client waits, in ms; both are 0 if the list has none.
+ * the bytes that were read. {@code waitStart} and {@code waitEnd} are the bounds, in these bytes, of the
+ * value of {@code d}, the time for which the client waits, in ms; both are 0 if the list has none.
  */
 public record ParameterList(Buffer bytes, int waitStart, int waitEnd) {
 
--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -36,13 +36,15 @@
 import java.util.stream.IntStream;
 
 /**
- * Passes events to the decision module and carries out the actions that it returns, for all open requests. It
- * selects no endpoint, retries nothing and refuses nothing itself. Belongs to the decision thread.
+ * Passes events to the decision module, the {@link Balancer}, and carries out the actions that it returns,
+ * for all open requests. All decisions (endpoint, retry, refusal) are made by the module. Confined to the
+ * decision thread.
  */
 final class Decisions implements RequestHandler, AttemptListener {
 
   private static final Log LOG = Log.of("serve");
-  private static final double OVERDUE_CHECK_MS = 15; // for the module to answer after an event
+  /** How long the module may take to answer after a deadline or an event. */
+  private static final double ANSWER_GRACE_MS = 15;
 
   private final Balancer balancer;
   private final NameIndex names;
@@ -57,8 +59,8 @@
   private final Map<Long, Exchange> exchanges = new HashMap<>(); // open, or with an attempt in flight
   private final Set<String> idsInUse = new HashSet<>(); // the client ids of these exchanges
   private long lastId;
-  private double attemptDeadline = Double.POSITIVE_INFINITY;
-  private final InitialListGate initialList;
+  private double attemptDeadline = Double.POSITIVE_INFINITY; // in ms on the proxy's clock
+  private final InitialListGate initialListGate;
 
   Decisions(Balancer balancer, Settings settings, NameIndex names, Counters counters, Clock clock,
       EventLoop loop, BooleanSupplier ready, Predicate<String> isBanned) {
@@ -70,7 +72,7 @@
     this.loop = loop;
     this.ready = ready;
     this.isBanned = isBanned;
-    this.initialList = new InitialListGate(loop);
+    this.initialListGate = new InitialListGate(loop);
   }
 
   /** Sets the components that carry out the actions; called before the first event. */
@@ -103,7 +105,7 @@
     return IntStream.range(0, list.size()).boxed().toList();
   }
 
-  /** The longest deadline of all request classes, in ms. */
+  /** The longest deadline of all request classes, as a duration after the arrival, in ms. */
   static double longestWaitMs(Settings settings) {
     return settings.classes().stream().mapToDouble(RequestClass::deadline).max().orElse(0);
   }
@@ -126,15 +128,17 @@
   }
 
   @Override
-  public Exchange accept(Command command, double readAt, BooleanSupplier left, Consumer<Answer> client) {
+  public Exchange accept(Command command, double arrivedAt, BooleanSupplier clientGone,
+      Consumer<Answer> onAnswer) {
     int requestClass = names.requestClass(command);
-    Exchange exchange = open(command, readAt + command.waitMs(), left, client);
-    double notAfter = exchange.deadline();
+    Exchange exchange = open(command, arrivedAt + command.waitMs(), clientGone, onAnswer);
+    double deadline = exchange.deadline();
     // Queued, because the request must have its place in the order of answers before the module can answer.
     loop.execute(() -> {
-      scheduleOverdueCheck(notAfter + OVERDUE_CHECK_MS - clock.getAsDouble(), exchange, notAfter);
-      // Decided after half of its time at the latest: a later refusal would cost its client more.
-      initialList.runWhenOpen((notAfter - clock.getAsDouble()) / 2, () -> begin(exchange, requestClass));
+      scheduleOverdueCheck(deadline + ANSWER_GRACE_MS - clock.getAsDouble(), exchange, deadline);
+      // Waits for the first list for at most half of the time that is left until the deadline: the later a
+      // refusal comes, the more of this time its client has lost.
+      initialListGate.runWhenOpen((deadline - clock.getAsDouble()) / 2, () -> begin(exchange, requestClass));
     });
     return exchange;
   }
@@ -151,9 +155,10 @@
     return answer.get();
   }
 
-  private Exchange open(Command command, double notAfter, BooleanSupplier left, Consumer<Answer> client) {
-    Exchange exchange = new Exchange(++lastId, command, notAfter, settings.limits().maxAttempts(), left,
-        client, counters);
+  private Exchange open(Command command, double deadline, BooleanSupplier clientGone,
+      Consumer<Answer> onAnswer) {
+    Exchange exchange = new Exchange(++lastId, command, deadline, settings.limits().maxAttempts(),
+        clientGone, onAnswer, counters);
     counters.add(Counter.REQUESTS_TAKEN);
     exchanges.put(exchange.id(), exchange);
     idsInUse.add(id(command));
@@ -166,6 +171,11 @@
     }
   }
 
+  /**
+   * Passes a request to the module.
+   *
+   * @param overflow true if the request can't be queued, so that the module may only refuse or fail it
+   */
   private void submit(Exchange exchange, int requestClass, boolean overflow) {
     Command command = exchange.command();
     exchange.setLastEventAt(clock.getAsDouble());
@@ -176,7 +186,7 @@
 
   /** A call to discovery has been answered or has failed: requests no longer wait for the first list. */
   void discoveryContacted() {
-    initialList.open();
+    initialListGate.open();
   }
 
   /**
@@ -192,8 +202,13 @@
   /**
    * Fails a request that the module has left unanswered past its deadline, so that every accepted request is
    * answered. The module may still answer on events that it receives after the deadline: timers, and attempts
-   * that end. If this thread ran late, those events are queued behind this timer. Without the extensions, a
-   * request would then be failed although the module is about to answer it.
+   * that end. If this thread ran late, those events are queued behind this timer, and the request would be
+   * failed although the module is about to answer it. So the check is repeated, up to {@code maxAttempts + 1}
+   * times and {@link #ANSWER_GRACE_MS} apart, while an attempt is in flight or the module has received an
+   * event since the last check.
+   *
+   * @param since the time of the last check, or the deadline
+   * @param extensions how many more times the check may be repeated
    */
   private void checkOverdue(long id, double since, int extensions) {
     Exchange exchange = exchanges.get(id);
@@ -203,7 +218,7 @@
     double now = clock.getAsDouble();
     boolean mayBeAnswered = exchange.attemptsInFlight() > 0 || exchange.lastEventAt() >= since;
     if (mayBeAnswered && extensions > 0) {
-      loop.after(OVERDUE_CHECK_MS, () -> checkOverdue(id, now, extensions - 1));
+      loop.after(ANSWER_GRACE_MS, () -> checkOverdue(id, now, extensions - 1));
       return;
     }
     counters.add(Counter.ANSWERS_OVERDUE);
@@ -245,7 +260,8 @@
   /** Passes an event to the decision module and carries out the actions that it returns. */
   void dispatch(Event event) {
     if (event instanceof BanChanged e && e.out()) {
-      // Requests that wait for a connection must not go there: it may come after the grace period.
+      // Requests that wait for a connection to this node are failed: the connection may be established only
+      // after the grace period.
       upstreams.drain(e.endpoint());
     }
     List<Action> actions;
@@ -300,7 +316,7 @@
       return;
     }
     double now = clock.getAsDouble();
-    double last = Math.min(exchange.deadline(), attemptDeadline);
+    double endBy = Math.min(exchange.deadline(), attemptDeadline);
     counters.check(settings.limits().secondCopies() || exchange.attemptsInFlight() == 0,
         "only one attempt is in flight at a time");
     checkNotBanned(a.endpoint());
@@ -308,11 +324,11 @@
     if (!exchange.isClientWaiting()) {
       clientGone(exchange);
     }
-    if (exchange.isOver() || now >= last || attempt >= exchange.maxAttempts()) {
+    if (exchange.isOver() || now >= endBy || attempt >= exchange.maxAttempts()) {
       loop.execute(() -> attemptEnded(exchange, attempt, a.endpoint(), 0, Result.NOT_SENT, null, null));
     } else {
       upstreams.send(exchange, attempt, a.endpoint(),
-          a.timeout() > 0 ? Math.min(last, now + a.timeout()) : last, a.startBy());
+          a.timeout() > 0 ? Math.min(endBy, now + a.timeout()) : endBy, a.startBy());
     }
   }
 
@@ -335,7 +351,10 @@
     }
   }
 
-  /** Sets the time by which all attempts end, so that no request is still open at a SIGKILL. */
+  /**
+   * Sets the time by which all attempts end, in ms on the proxy's clock, so that no request is still open at
+   * a SIGKILL.
+   */
   void setAttemptDeadline(double time) {
     attemptDeadline = time;
   }
@@ -345,7 +364,7 @@
     for (Exchange exchange : List.copyOf(exchanges.values())) {
       if (!exchange.isOver()) {
         upstreams.expire(exchange.id());
-        scheduleOverdueCheck(OVERDUE_CHECK_MS, exchange, clock.getAsDouble());
+        scheduleOverdueCheck(ANSWER_GRACE_MS, exchange, clock.getAsDouble());
       }
     }
   }
--- a/src/main/java/beampoint/serve/EventLoop.java
+++ b/src/main/java/beampoint/serve/EventLoop.java
@@ -26,15 +26,15 @@
 
 /**
  * The event loop of the decision thread, which is the selector's thread: once everything ready has been read,
- * it runs the resulting tasks and the timers that are due. All state except that of the codecs belongs to
+ * it runs the resulting tasks and the timers that are due. All state except that of the codecs is confined to
  * this thread, and only this thread calls the decision module. With a separate thread for decisions, waking
  * it for each message took a third of the CPU time where the proxy had only a part of a core.
  */
 final class EventLoop extends AbstractExecutorService implements ScheduledExecutorService {
 
   private static final Log LOG = Log.of("serve");
-  private static final int MAX_CANCELLED = 1000; // that may stay in the queue of timers
-  private static final long SLICE_NANOS = 10_000_000; // for tasks, before the next selection
+  private static final int MAX_CANCELLED = 1000; // cancelled timers that may stay in the queue
+  private static final long TASK_SLICE_NANOS = 10_000_000; // how long tasks run before a selection
 
   private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
   private final Queue<Runnable> afterNextRead = new ArrayDeque<>();
@@ -107,17 +107,17 @@
   }
 
   /**
-   * Runs the tasks and timers that are due. A long backlog is interrupted for selections. After a stall of
-   * the thread, everything is read once more first, so that no work starts for clients that have closed their
-   * connection while the close is still unread.
+   * Runs the tasks and timers that are due. If many tasks are queued, a selection is made after each
+   * {@link #TASK_SLICE_NANOS}. After a stall of the thread, everything is read once more first, so that no
+   * work starts for clients that have closed their connection while the close is still unread.
    */
   private void runDue() {
     long startedAt = System.nanoTime();
     if (passes.mustReadAgain(startedAt)) {
       return;
     }
-    runTasks(newTimers, startedAt + Long.MAX_VALUE / 2);
-    boolean isEmpty = runTasks(tasks, startedAt + SLICE_NANOS);
+    runTasks(newTimers, startedAt + Long.MAX_VALUE / 2); // without a time limit
+    boolean isEmpty = runTasks(tasks, startedAt + TASK_SLICE_NANOS);
     long now = System.nanoTime();
     while (!timers.isEmpty() && timers.peek().dueAt - now <= 0) {
       Timer<?> timer = timers.poll();
@@ -125,7 +125,7 @@
         cancelled--;
       } else if (isEmpty) {
         timer.fire();
-        isEmpty = runTasks(tasks, startedAt + SLICE_NANOS);
+        isEmpty = runTasks(tasks, startedAt + TASK_SLICE_NANOS);
       } else {
         tasks.add(timer::fire); // behind the tasks that are queued already
       }
--- a/src/main/java/beampoint/serve/HostListReceiver.java
+++ b/src/main/java/beampoint/serve/HostListReceiver.java
@@ -15,7 +15,7 @@
 
 /**
  * Receives host lists. Passes the address of each host to the connection pools and its state to the decision
- * module. Belongs to the decision thread.
+ * module. Confined to the decision thread.
  */
 final class HostListReceiver {
 
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Uses the host list of the configuration. If discovery pushes changes, this process must respect all of
-   * them from its start on, so the list is unconfirmed until discovery has answered.
+   * Uses the host list of the configuration. If discovery pushes changes, this process must from its start on
+   * respect all that discovery has announced, so the list is unconfirmed until discovery has answered.
    */
   void receiveConfigured(HostList list) {
     unconfirmed = decisions.settings().listPushed();
@@ -94,7 +94,7 @@
     }
     if (endpoint.state() == EndpointState.GONE) {
       upstreams.remove(endpoint.id());
-    } else if (host.dial() != null) { // without an address it drains, and its in-flight requests just end
+    } else if (host.dial() != null) { // a host without an address drains: requests in flight end normally
       upstreams.putEndpoint(endpoint.id(), host.dial(), isOrigin, endpoint.startedAt());
     }
     if (endpoint.state() == EndpointState.DRAINING) {
--- a/src/main/java/beampoint/serve/InitialListGate.java
+++ b/src/main/java/beampoint/serve/InitialListGate.java
@@ -5,9 +5,9 @@
 
 /**
  * Holds tasks back until discovery has been contacted, so that no request is decided on the configured host
- * list alone. A process must respect everything that discovery knows from the process's start on, and clients
+ * list alone. From its start on, a process must respect all changes that discovery has announced, and clients
  * that kept the address of a killed process send to its successor as soon as that listens. Without the gate
- * their first request could go to a host that is draining, which the configured list does not show. Belongs
+ * their first request could go to a host that is draining, which the configured list does not show. Confined
  * to the decision thread.
  */
 final class InitialListGate {
--- a/src/main/java/beampoint/serve/NameIndex.java
+++ b/src/main/java/beampoint/serve/NameIndex.java
@@ -49,13 +49,15 @@
         || settings.tenants().contains(command.tenant());
   }
 
+  /** Returns the number of the command's tenant; 0, the first tenant's, if it names none. */
   int tenant(Command command) {
     return command.tenant() == null ? 0 : number(settings.tenants(), command.tenant());
   }
 
   /**
-   * Returns the number of a name, or one past the last number for an unknown name. It must not be -1: that is
-   * the origin's kind where there is no origin, and a host of an unknown kind would pass for the origin.
+   * Returns the number of a name, or one past the last number for an unknown name. It is not -1, because the
+   * settings have -1 as the origin's kind if no origin is configured, and a host of an unknown kind would
+   * then be taken for the origin.
    */
   private static int number(List<String> names, String name) {
     int number = names.indexOf(name);
--- a/src/main/java/beampoint/serve/Operations.java
+++ b/src/main/java/beampoint/serve/Operations.java
@@ -19,9 +19,9 @@
 import java.util.function.Predicate;
 
 /**
- * Carries out the calls of operators, and shares bans and presence with another process of the same proxy
- * while one replaces the other. Passes events to the decision module and decides nothing itself. Belongs to
- * the decision thread.
+ * Carries out the calls of operators, and shares bans and the number of running processes with another
+ * process of the same proxy while one replaces the other. Passes events to the decision module and decides
+ * nothing itself. Confined to the decision thread.
  */
 final class Operations implements AdminService {
 
@@ -41,7 +41,7 @@
 
   private final Dependencies proxy;
   private final BanFile banFile;
-  private ProcessRegistry presence; // null if the directory can't be used
+  private ProcessRegistry processRegistry; // null if the directory can't be used
   private int processes = 1;
 
   Operations(Path directory, String name, int port, Dependencies proxy) {
@@ -49,13 +49,16 @@
     String base = "beampoint-" + name.replaceAll("[^A-Za-z0-9.-]", "_") + "-" + port;
     this.banFile = new BanFile(directory.resolve(base + ".bans.json"), name);
     try {
-      presence = new ProcessRegistry(directory.resolve(base + ".processes"));
+      processRegistry = new ProcessRegistry(directory.resolve(base + ".processes"));
     } catch (IOException e) {
       LOG.error("can't detect other processes of this proxy in " + directory + ": " + e.getMessage());
     }
   }
 
-  /** Applies the stored bans. Called before the first host list, or a banned node would be used briefly. */
+  /**
+   * Applies the stored bans. Must be called before the first host list is applied; otherwise a banned node
+   * would be used briefly.
+   */
   void start() {
     banFile.refresh().forEach(this::apply);
     poll();
@@ -65,7 +68,7 @@
   void poll() {
     banFile.refresh().forEach(this::apply);
     try {
-      int count = presence == null ? 1 : presence.count();
+      int count = processRegistry == null ? 1 : processRegistry.count();
       if (count != processes) {
         LOG.info("processes of this proxy: " + count + ", before: " + processes);
         processes = count;
@@ -77,7 +80,7 @@
     }
   }
 
-  /** True while an operator has detached a node. */
+  /** True while a node is banned by operators. */
   boolean isBanned(String node) {
     Ban ban = banFile.get(node);
     return ban != null && ban.isActive();
@@ -88,6 +91,9 @@
     return processes;
   }
 
+  /**
+   * Passes a ban to the module; a lifted one as its begin and its end, so that the module knows both times.
+   */
   private void apply(Ban ban) {
     proxy.module().accept(new BanChanged(ban.node(), true, ban.since()));
     if (!ban.isActive()) {
@@ -111,19 +117,19 @@
   }
 
   /** Applies a change, then stores it, then answers: the call takes effect even if its answer is lost. */
-  private Outcome change(String node, boolean detached) {
+  private Outcome change(String node, boolean banned) {
     if (!proxy.isKnownNode().test(node) && banFile.get(node) == null) {
       return Outcome.UNKNOWN;
     }
-    if (!banFile.setBanned(node, detached, proxy.clock().getAsDouble())) {
+    if (!banFile.setBanned(node, banned, proxy.clock().getAsDouble())) {
       return Outcome.TOO_MANY;
     }
     Ban ban = banFile.get(node);
     if (ban != null) {
       apply(ban);
     }
-    proxy.counters().add(detached ? Counter.NODES_OUT : Counter.NODES_BACK);
-    LOG.info(node + (detached ? " is detached" : " is attached again"));
+    proxy.counters().add(banned ? Counter.NODES_OUT : Counter.NODES_BACK);
+    LOG.info(node + (banned ? " is detached" : " is attached again"));
     try {
       banFile.store().forEach(this::apply);
       return Outcome.DONE;
@@ -136,8 +142,8 @@
   void close() {
     try {
       banFile.close();
-      if (presence != null) {
-        presence.close();
+      if (processRegistry != null) {
+        processRegistry.close();
       }
     } catch (IOException e) {
       LOG.error("can't close the files shared with other processes: " + e.getMessage());
--- a/src/main/java/beampoint/serve/Proxy.java
+++ b/src/main/java/beampoint/serve/Proxy.java
@@ -32,8 +32,8 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * One proxy: connects the client side, the upstream side and the decision module, and decides when it listens
- * to clients.
+ * One proxy: connects the client side, the upstream side and the decision module, which is a
+ * {@link Balancer}, and decides when it listens to clients.
  */
 public final class Proxy {
 
@@ -42,15 +42,16 @@
   private static final int OPS_DESCRIPTORS = AdminServer.MAX_CONNECTIONS + 4; // including shared files
   private static final int FLEET_DESCRIPTORS = ViewExchanger.MAX_EXCHANGES + 4; // including both listeners
   private static final long POLL_MS = 100; // for the files shared with another process of this proxy
-  private static final double DISCOVERY_WAIT_MS = 1500; // of a new process, before it listens
-  private static final int MANY_CLIENTS_DIVISOR = 4; // of all descriptors; clients may hold a third
+  private static final double DISCOVERY_WAIT_MS = 1500; // how long a new process waits before it listens
+  /** Inactive clients are evicted if the connections exceed a fourth of all descriptors. */
+  private static final int EVICTION_THRESHOLD_DIVISOR = 4;
   private static final int READ_BUFFER_BYTES = 32 * 1024; // the most that one read takes
-  private static final int BUDGET_DIVISOR = 8; // of the memory, for the part that values may take
-  private static final int MIN_DESCRIPTORS = 8; // per process, however few are not reserved
+  private static final int BUDGET_DIVISOR = 8; // values may take 1/8 of the memory
+  private static final int MIN_DESCRIPTORS = 8; // per process for clients and upstreams, even if fewer remain
 
   private final Config config; // at the start; not updated by a reload
   private final String name;
-  private final Function<Settings, Balancer> moduleFactory;
+  private final Function<Settings, Balancer> balancerFactory;
   private final Counters counters = new Counters();
   private final Clock clock = new Clock();
   private final EventLoop loop = new EventLoop();
@@ -69,23 +70,29 @@
   private final HostListReceiver hosts;
   private final CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
   private boolean discoveryWaitOver; // discovery has answered, or the wait for it has timed out
-  private volatile boolean warm = true; // false until the code has been warmed up
+  private volatile boolean warm = true; // false during the warm-up; stays true without one
 
   /**
    * A proxy that is not started yet.
    *
-   * @param moduleFactory creates an instance of the decision module for the given settings
+   * @param balancerFactory creates an instance of the decision module for the given settings
    */
-  public Proxy(Config config, Function<Settings, Balancer> moduleFactory) {
-    this(config, moduleFactory,
+  public Proxy(Config config, Function<Settings, Balancer> balancerFactory) {
+    this(config, balancerFactory,
         Path.of(System.getenv().getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))));
   }
 
-  /** If there is an address for operators, the directory is shared with another process of this proxy. */
-  Proxy(Config config, Function<Settings, Balancer> moduleFactory, Path directory) {
+  /**
+   * A proxy that is not started yet.
+   *
+   * @param balancerFactory creates an instance of the decision module for the given settings
+   * @param directory holds the ban file and the process registry, which are shared with other processes of
+   * this proxy; used only if there is an address for operators
+   */
+  Proxy(Config config, Function<Settings, Balancer> balancerFactory, Path directory) {
     this.config = config;
     this.name = config.name();
-    this.moduleFactory = moduleFactory;
+    this.balancerFactory = balancerFactory;
     Settings settings = config.settings();
     this.names = new NameIndex(config.socketSettings());
     // One selector, with all filters and decisions on its thread: the proxy has one core or a part of one.
@@ -103,7 +110,7 @@
         .build();
     transport.setChannelConfigurator(new SharedListener());
     this.budget = new Budget(0);
-    this.decisions = new Decisions(moduleFactory.apply(settings), settings, names, counters, clock, loop,
+    this.decisions = new Decisions(balancerFactory.apply(settings), settings, names, counters, clock, loop,
         this::isReady, this::isBanned);
     this.upstreams = new Upstreams(transport, loop, clock, decisions, counters, budget,
         settings.limits().connectTimeout(), config.socketSettings().connectionIdle());
@@ -132,9 +139,10 @@
   }
 
   /**
-   * Divides descriptors and memory among the processes of this proxy. Clients hold at most a third of all
-   * descriptors, counted over both processes, so each process has room for that many; the rest is for
-   * connections to cache nodes and the origin.
+   * Divides descriptors and memory among the processes of this proxy. The clients of a single process may
+   * hold half of the descriptors that are not reserved. Of two processes each has half of the descriptors,
+   * and its clients may hold two thirds of that, so that the clients of either process may hold a third of
+   * all. The rest is for connections to cache nodes and the origin.
    */
   private void divideResources(int processes) {
     int reserved = RESERVED_DESCRIPTORS + (config.ops() == null ? 0 : OPS_DESCRIPTORS)
@@ -144,7 +152,7 @@
     int clients = processes == 1 ? available / 2 : available * 2 / 3;
     upstreams.setMaxConnections(available - clients);
     sessions.setConnectionLimits(clients,
-        Math.min(clients * 9 / 10, config.sockets() / MANY_CLIENTS_DIVISOR));
+        Math.min(clients * 9 / 10, config.sockets() / EVICTION_THRESHOLD_DIVISOR));
   }
 
   /**
@@ -157,7 +165,7 @@
     InetSocketAddress ops = open();
     InetSocketAddress warmUpAddress = adminServer == null ? callOnLoop(this::listen) : ops;
     loop.execute(() -> new WarmUp(transport, loop, clock, this::warmedUp)
-        .start(moduleFactory.apply(config.settings()), config.settings(),
+        .start(balancerFactory.apply(config.settings()), config.settings(),
             hosts.event(config.known(), ListKind.FULL), warmUpAddress, adminServer != null));
     try {
       listening.get();
@@ -291,7 +299,7 @@
     return listening.join().getPort();
   }
 
-  /** The bytes of values held plus the number of open streams: 0 when nothing is left of either. */
+  /** For a test: 0 if no value bytes are held and no stream is open. */
   long unreleased() {
     return budget.held() + budget.streams();
   }
--- a/src/main/java/beampoint/serve/Reload.java
+++ b/src/main/java/beampoint/serve/Reload.java
@@ -8,11 +8,12 @@
 import beampoint.settings.Transition.NamedSettings;
 import beampoint.upstream.Upstreams;
 
-/** Applies a new configuration while the proxy serves. Belongs to the decision thread. */
+/** Applies a new configuration while the proxy serves. Confined to the decision thread. */
 final class Reload {
 
   private static final Log LOG = Log.of("serve");
-  private static final double OLD_REQUESTS_MS = 2000; // beyond a deadline, for requests under old settings
+  /** How long after the longest deadline the old request classes stay valid. */
+  private static final double TRANSITION_EXTRA_MS = 2000;
 
   private Config config;
   private final NameIndex names;
@@ -51,7 +52,7 @@
     }
     config = next;
     if (addressChanged && !watcher.move(next.discovery()) && decisions.settings().listPushed()) {
-      watcher.follow(); // it was waiting for its next retry
+      watcher.follow(); // no watch was open: calls the new address now, and not only at the next retry
     }
     applySettings(next);
   }
@@ -74,7 +75,7 @@
         Decisions.longestWaitMs(taken.settings()));
     int thisReload = ++reloads;
     change(Transition.duringTransition(present, taken));
-    loop.after(longest + OLD_REQUESTS_MS, () -> {
+    loop.after(longest + TRANSITION_EXTRA_MS, () -> {
       if (thisReload == reloads) {
         change(taken);
       }
--- a/src/main/java/beampoint/serve/SelectorPasses.java
+++ b/src/main/java/beampoint/serve/SelectorPasses.java
@@ -12,13 +12,18 @@
 
   /**
    * The longest wait of a selection. If the process is paused and resumed within a longer wait, the pause
-   * can't be distinguished from an idle period. Attempts may start up to 100 ms after their client's close.
+   * can't be distinguished from an idle period. An attempt may start at most 100 ms after its client has
+   * closed the connection, so a pause must be noticed sooner than that.
    */
   static final long MAX_WAIT_MS = 50;
 
-  private static final long STALL_NANOS = 20_000_000; // of a pass, or in excess of a wait's limit
+  /**
+   * A pass that takes longer than this is stalled, and so is a selection that exceeds its maximum wait by
+   * more than this.
+   */
+  private static final long STALL_NANOS = 20_000_000;
 
-  private long passNumber; // of the last selection
+  private long passNumber; // the number of the last selection and the pass after it
   private long lastEndedAt; // the end of the last selection
   private long earliestArrival; // of what the last selection found
   private boolean stalled; // in the last selection or the pass before it
@@ -66,8 +71,9 @@
   }
 
   /**
-   * True once after a stall of the thread: everything ready must be read again before work continues, because
-   * a client's close may be unread behind the data that was read.
+   * Called after each selection. Returns true the first time after a stall of the thread, and false the next
+   * time: everything ready must be read again before work continues, because a client's close may be unread
+   * behind the data that was read.
    */
   boolean mustReadAgain(long now) {
     readsAgain = (stalled || passStalled(now)) && !readsAgain;
@@ -79,7 +85,7 @@
     return selectionStalled;
   }
 
-  /** The number of the last selection. */
+  /** The number of the current pass, which begins with the last selection. */
   long passNumber() {
     return passNumber;
   }
--- a/src/main/java/beampoint/serve/WarmUp.java
+++ b/src/main/java/beampoint/serve/WarmUp.java
@@ -25,8 +25,8 @@
  * Exercises the code paths of requests before the proxy reports that it is ready, so that the first answers
  * are not delayed by class loading. A temporary instance of the decision module handles synthetic events, and
  * the proxy sends probes to itself over a socket: to the address for clients or, if another process may
- * listen there too, to the address for operators. The warm-up is short because no proxy serves during it if
- * most proxies restart at once.
+ * listen there too, to the address for operators. The warm-up must be short: if most proxies restart at the
+ * same time, few or none serve until it ends.
  */
 final class WarmUp implements AttemptListener {
 
--- a/src/main/java/beampoint/transport/ReadAheadFilter.java
+++ b/src/main/java/beampoint/transport/ReadAheadFilter.java
@@ -31,8 +31,8 @@
   /** What was read ahead on one connection. */
   private static final class ReadAhead {
     private final Deque<Chunk> chunks = new ArrayDeque<>();
-    private double arrivedAt; // of the chunk that was passed on last
-    private long pass = -1; // the selector pass in which that was
+    private double arrivedAt; // when the chunk that was passed on last arrived, in ms
+    private long pass = -1; // the selector pass in which the last chunk was passed on
     private boolean isScheduled; // true if the next chunk will be passed on by a task
   }
 
@@ -66,7 +66,7 @@
       readAll(connection, readAhead);
     } catch (IOException e) {
       clear(readAhead);
-      connection.terminateWithReason(e); // notifies the filters, unless they were before
+      connection.terminateWithReason(e); // notifies the filters, unless they have been notified already
       return ctx.getStopAction();
     }
     if (readAhead.chunks.isEmpty() || readAhead.pass == arrivals.passNumber()) {
--- a/src/main/java/beampoint/transport/SocketReadFilter.java
+++ b/src/main/java/beampoint/transport/SocketReadFilter.java
@@ -13,8 +13,8 @@
 
 /**
  * Reads from the socket, as the first filter of a chain. It replaces the library's own read for two reasons:
- * at each end of a connection, the library formats a log message that it then discards, which makes an
- * orderly close as expensive as an error; and it reports an orderly close and a reset alike.
+ * whenever a connection ends, the library formats a log message that it then discards, which makes an orderly
+ * close as expensive as an error; and it reports an orderly close and a reset alike.
  */
 public final class SocketReadFilter extends TransportFilter {
 
@@ -29,7 +29,7 @@
       ctx.setMessage(message);
       return ctx.getInvokeAction();
     } catch (IOException e) {
-      // Notifies the filters of the end, unless they were notified before.
+      // Notifies the filters of the end, unless they have been notified already.
       connection.terminateWithReason(e);
       return ctx.getStopAction();
     }
--- a/src/main/java/beampoint/upstream/AttemptListener.java
+++ b/src/main/java/beampoint/upstream/AttemptListener.java
@@ -14,7 +14,7 @@
    * An attempt has ended; called once for each attempt.
    *
    * @param elapsed since the attempt started, in ms
-   * @param answer null unless the request was served
+   * @param answer the answer for the client; null unless the request was served
    * @param loadReport the text of the server's load report, or null if there was none
    */
   void attemptEnded(Exchange exchange, int attempt, String endpoint, double elapsed, Result result,
--- a/src/main/java/beampoint/upstream/ConnectionPools.java
+++ b/src/main/java/beampoint/upstream/ConnectionPools.java
@@ -53,7 +53,7 @@
     void unreachable(UpstreamRequest inFlight);
   }
 
-  /** The time between an answer and the connection's reuse, in which a late second answer would show up. */
+  /** The time between a reply and the connection's reuse, in which a late second reply would show up. */
   private static final double MIN_REST_MS = 8;
 
   private final TCPNIOTransport transport;
@@ -91,7 +91,7 @@
 
   /**
    * Closes a connection that receives bytes while no request is in flight on it. Otherwise the codec could
-   * buffer an incomplete line and prepend it to the answer to the next request.
+   * buffer an incomplete line and prepend it to the reply to the next request.
    */
   private final class UnsolicitedDataFilter extends BaseFilter {
 
@@ -209,12 +209,15 @@
   }
 
   /**
-   * Takes an idle connection for the next request, or returns null: prefers the most recently used of those
-   * that have been idle for {@link #MIN_REST_MS}. On a connection that is reused sooner, a late second answer
-   * would pass for the answer to the next request; answers of the origin carry no request id that shows the
-   * difference. Without such a connection, null is returned for the origin if a new one may be opened, else
-   * the most recently used one. Connections that are idle for too long are closed first, as the periodic
-   * check may not have seen them yet.
+   * Takes an idle connection for the next request, after closing those that have been idle for too long and
+   * that the periodic check may not have seen yet. Returns the first that applies:
+   * <ol>
+   * <li>the most recently used of the connections that have been idle for {@link #MIN_REST_MS};
+   * <li>for the origin, null if a new connection may be opened;
+   * <li>the most recently used connection, or null if none is idle.
+   * </ol>
+   * On a connection that is reused sooner, a late second reply would be taken for the reply to the next
+   * request; replies of the origin carry no request id that shows the difference.
    */
   PooledConnection takeIdle(Pool pool) {
     closeExpiredIdle(pool);
@@ -287,7 +290,7 @@
    * Makes a connection idle after its request, or closes it if its endpoint was removed, has moved or has
    * restarted.
    *
-   * @param unusable closes it in any case, for example as bytes were read beyond the end of the answer
+   * @param unusable closes it in any case, for example as bytes were read beyond the end of the reply
    */
   void release(PooledConnection pooled, boolean unusable) {
     if (unusable || byEndpoint.get(pooled.pool.endpoint) != pooled.pool) {
--- a/src/main/java/beampoint/upstream/Pool.java
+++ b/src/main/java/beampoint/upstream/Pool.java
@@ -18,7 +18,7 @@
   final Set<PooledConnection> connecting = new LinkedHashSet<>();
   final InetSocketAddress address;
   final String hostHeader; // the address as in HTTP's Host header
-  final double endpointStartedAt;
+  final double endpointStartedAt; // when the endpoint's process started, in Unix ms
   boolean isOrigin;
 
   Pool(String endpoint, InetSocketAddress address, double endpointStartedAt) {
--- a/src/main/java/beampoint/upstream/PooledConnection.java
+++ b/src/main/java/beampoint/upstream/PooledConnection.java
@@ -21,7 +21,7 @@
   double connectStartedAt;
   double idleSince;
   HttpHead httpHead;
-  Collector bodyCollector; // of an answer that is buffered until it is complete
+  Collector bodyCollector; // of a reply that is buffered until it is complete
   Budget.Claim bodyClaim; // the memory budget for bodyCollector
   Stream valueStream; // a long value that is passed on to the client as it is read
   double lastProgressAt; // when bytes were last read, or reading was paused or resumed
--- a/src/main/java/beampoint/upstream/Replies.java
+++ b/src/main/java/beampoint/upstream/Replies.java
@@ -25,16 +25,19 @@
 import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** Handles the answers of endpoints, and determines the results. Confined to the decision thread. */
+/** Handles the replies of endpoints, and determines the results. Confined to the decision thread. */
 final class Replies {
 
   /** Receives the results. */
   interface ResultListener {
 
-    /** An attempt or probe has ended; the answer is null if there is none. */
+    /** An attempt or probe has ended; the answer to the client is null if there is none. */
     void complete(UpstreamRequest inFlight, Result result, Answer answer);
 
-    /** A connection can't be used any more; its request, if written completely, ends with this result. */
+    /**
+     * A connection can't be used any more. Its request ends with this result if it was written completely,
+     * otherwise with CONNECT_FAILED.
+     */
     void end(PooledConnection pooled, Result resultIfWritten);
   }
 
@@ -70,7 +73,7 @@
     if (pooled.valueStream != null) {
       continueStream(pooled, message);
     } else if (inFlight == null || !pooled.requestWritten) {
-      protocolError(pooled, "unsolicited answer");
+      protocolError(pooled, "unsolicited reply");
     } else if (message instanceof Reply reply) {
       handleReply(pooled, inFlight, reply);
     } else if (message instanceof HttpFault fault) {
@@ -85,7 +88,7 @@
     }
   }
 
-  /** The peer has closed the connection with a FIN; returns true if that was the end of an answer on it. */
+  /** The peer has closed the connection with a FIN; returns true if that was the end of a reply on it. */
   boolean completeByClose(PooledConnection pooled) {
     UpstreamRequest inFlight = pooled.inFlight;
     if (pooled.closed || inFlight == null || pooled.httpHead == null || !pooled.httpHead.untilClose()) {
@@ -181,7 +184,7 @@
       case BAD -> null;
     };
     if (result == null) {
-      protocolError(pooled, "answer does not match the request: " + reply.kind());
+      protocolError(pooled, "reply does not match the request: " + reply.kind());
       return;
     }
     inFlight.loadReport = reply.loadReport();
--- a/src/main/java/beampoint/upstream/UpstreamRequest.java
+++ b/src/main/java/beampoint/upstream/UpstreamRequest.java
@@ -9,13 +9,13 @@
   final Exchange exchange;
   final int attempt;
   final String endpoint;
-  final double startedAt;
+  final double startedAt; // in ms on the proxy's clock, as are the next two
   final double timeoutAt;
   final double startBy; // the request must not be written later
   PooledConnection pooled;
   Future<?> timer;
   boolean finished;
-  /** The load report in its answer, or null. */
+  /** The load report in its reply, or null. */
   String loadReport;
 
   UpstreamRequest(Exchange exchange, int attempt, String endpoint, double startedAt, double timeoutAt,
--- a/src/main/java/beampoint/upstream/Upstreams.java
+++ b/src/main/java/beampoint/upstream/Upstreams.java
@@ -81,7 +81,7 @@
     }, 1, 1, TimeUnit.SECONDS);
   }
 
-  /** Receives the events of connections and the results of answers. */
+  /** Receives the events of connections and the results of replies. */
   private final class Events implements ConnectionPools.Listener, Replies.ResultListener {
 
     @Override
@@ -142,7 +142,9 @@
     pools.remove(endpoint);
   }
 
-  /** An endpoint drains: requests that wait for a connection to it fail and are not sent to it. */
+  /**
+   * Fails the requests that wait for a connection to a draining endpoint, so that they are not sent to it.
+   */
   public void drain(String endpoint) {
     pools.failConnecting(endpoint);
   }
@@ -193,7 +195,10 @@
     }
   }
 
-  /** The client of a request has disconnected: cancels the attempts that were not written completely. */
+  /**
+   * Cancels the attempts of a request that were not written completely; called when its client has
+   * disconnected.
+   */
   public void abandon(long id) {
     for (UpstreamRequest inFlight : List.copyOf(inFlightAttempts.getOrDefault(id, Map.of()).values())) {
       if (!inFlight.pooled.requestWritten) {
@@ -226,7 +231,8 @@
     } else if (pools.ensureRoom(pool)) {
       pools.connect(new PooledConnection(pool, inFlight));
     } else {
-      // Not a failed connect: the shortage is this proxy's, and the cache node must not be ejected for it.
+      // Reported as NOT_SENT and not as CONNECT_FAILED: this proxy has no free connection, and the cache node
+      // must not be ejected for that.
       LOG.warn("all upstream connections are in use: " + pools.openConnections());
       complete(inFlight, Result.NOT_SENT, null);
     }
@@ -287,8 +293,8 @@
   }
 
   /**
-   * Ends an attempt or probe without an answer. An attempt that was not written completely was never
-   * executed, and is reported as not sent: the endpoint did not cause a timeout.
+   * Ends an attempt or probe without a reply. An attempt that was not written completely was never executed,
+   * and is reported as not sent: the endpoint did not cause a timeout.
    */
   private void abort(UpstreamRequest inFlight, Result result) {
     if (inFlight.finished) {
