--- a/src/benchmark/java/beampoint/discovery/ListBenchmark.java
+++ b/src/benchmark/java/beampoint/discovery/ListBenchmark.java
@@ -64,7 +64,7 @@
   }
 
   private static HostList read(byte[] line) {
-    ListText text = new ListText();
+    HostListSplitter text = new HostListSplitter();
     String complete = null;
     for (byte next : line) {
       complete = text.append(next);
--- a/src/main/java/beampoint/discovery/ListText.java
+++ b/src/main/java/beampoint/discovery/HostListSplitter.java
@@ -8,7 +8,7 @@
  * empty line is a heartbeat without a change. Within an object it means that the object was cut off and its
  * rest will not follow.
  */
-final class ListText {
+final class HostListSplitter {
 
   private final ByteArrayOutputStream text = new ByteArrayOutputStream();
   private int depth;
--- a/src/main/java/beampoint/discovery/HostListWatcher.java
+++ b/src/main/java/beampoint/discovery/HostListWatcher.java
@@ -47,7 +47,7 @@
    */
   public static final long HEARTBEAT_TIMEOUT_MS = 3000;
   /** Time for connecting and for the response head together; a running discovery responds at once. */
-  public static final long ANSWER_TIMEOUT_MS = 200;
+  public static final long RESPONSE_TIMEOUT_MS = 200;
   private static final long FIRST_BACKOFF_MS = 100;
   // Short, as a proxy is expected to know a change soon after discovery can be reached.
   static final long MAX_BACKOFF_MS = 150;
@@ -86,16 +86,16 @@
     private boolean received; // a list, or the empty line that is a heartbeat
     private Future<?> connecting;
     private Future<?> timeout;
-    private final ListText text = new ListText();
+    private final HostListSplitter text = new HostListSplitter();
 
     Watch(InetSocketAddress address) {
       this.address = address;
-      this.host = Address.text(address);
+      this.host = Address.format(address);
     }
   }
 
   /**
-   * Makes a watcher, which does nothing before {@link #follow}.
+   * Makes a watcher, which does nothing before {@link #openWatch}.
    *
    * @param loop the decision thread
    * @param random the source of jitter
@@ -104,7 +104,7 @@
    * @param onList is called with each list that is received
    * @param onBreak is called each time the current watch breaks or is not answered in time
    * @param heartbeatTimeoutMs how long a watch may deliver nothing, as {@link #HEARTBEAT_TIMEOUT_MS}
-   * @param answerTimeoutMs the time until a response begins, as {@link #ANSWER_TIMEOUT_MS}
+   * @param answerTimeoutMs the time until a response begins, as {@link #RESPONSE_TIMEOUT_MS}
    */
   public HostListWatcher(TCPNIOTransport transport, ScheduledExecutorService loop, Counters counters,
       Random random,
@@ -121,7 +121,7 @@
     this.answerTimeoutMs = answerTimeoutMs;
     this.writer = new HttpWriter(transport.getMemoryManager());
     FilterChainBuilder chain = FilterChainBuilder.stateless().add(new SocketReadFilter())
-        .add(new HttpFilter(HttpFilter.Side.RESPONSES)).add(new Events());
+        .add(new HttpFilter(HttpFilter.MessageKind.RESPONSES)).add(new Events());
     this.connector = TCPNIOConnectorHandler.builder(transport).processor(chain.build()).build();
   }
 
@@ -161,7 +161,7 @@
   }
 
   /** Opens a watch for the changes since the last version, in place of the current one. */
-  public void follow() {
+  public void openWatch() {
     close(current);
     Watch watch = new Watch(address);
     current = watch;
@@ -198,7 +198,7 @@
       previous = current;
       current = null;
     }
-    follow();
+    openWatch();
     return true;
   }
 
@@ -206,12 +206,12 @@
    * Opens a watch after a backoff with jitter. The backoff doubles with each call, up to its limit, until
    * something is received.
    */
-  public void followLater() {
+  public void openWatchLater() {
     long delayMs = backoffMs / 2 + (long) (random.nextDouble() * backoffMs);
     backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     loop.schedule(() -> {
       if (current == null) {
-        follow();
+        openWatch();
       }
     }, delayMs, TimeUnit.MILLISECONDS);
   }
@@ -232,7 +232,7 @@
     if (message instanceof HttpFault fault) {
       end(watch, fault.problem());
     } else if (message instanceof HttpHead head) {
-      if (head.status() != 200 || head.whole()) {
+      if (head.status() != 200 || head.hasNoBody()) {
         end(watch, "HTTP status " + head.status());
       } else {
         responded(watch);
--- a/src/main/java/beampoint/emulator/ControlScenario.java
+++ b/src/main/java/beampoint/emulator/ControlScenario.java
@@ -1,7 +1,7 @@
 package beampoint.emulator;
 
 import beampoint.settings.InputException;
-import beampoint.yaml.Yaml;
+import beampoint.yaml.YamlMapping;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -63,7 +63,7 @@
 
   /** Whether a file is a scenario of this kind. */
   public static boolean isControlScenario(Path file) throws InputException {
-    return Yaml.read(file).text("model", "requests").equals(MODEL);
+    return YamlMapping.read(file).text("model", "requests").equals(MODEL);
   }
 
   /**
@@ -72,15 +72,15 @@
    * @throws InputException if the file is invalid, with a message of one line
    */
   public static ControlScenario read(Path file) throws InputException {
-    return parse(Yaml.read(file));
+    return parse(YamlMapping.read(file));
   }
 
   static ControlScenario parse(String file, String text) throws InputException {
-    return parse(Yaml.read(file, text));
+    return parse(YamlMapping.read(file, text));
   }
 
-  private static ControlScenario parse(Yaml top) throws InputException {
-    if (top.whole("version", Double.NaN, -1_000_000, 1_000_000) != VERSION) {
+  private static ControlScenario parse(YamlMapping top) throws InputException {
+    if (top.wholeNumber("version", Double.NaN, -1_000_000, 1_000_000) != VERSION) {
       throw top.invalid("version", "this program reads version " + VERSION + " only");
     }
     if (!top.text("model", null).equals(MODEL)) {
@@ -89,35 +89,35 @@
     double seconds = top.number("seconds", Double.NaN, 1, MAX_SECONDS);
     Size size = size(top);
     List<Fault> faults = new ArrayList<>();
-    for (Yaml fault : top.list("faults", 0)) {
+    for (YamlMapping fault : top.list("faults", 0)) {
       faults.add(fault(fault, size, seconds));
     }
     ControlScenario scenario = new ControlScenario(top.text("name", "unnamed"),
         (long) top.number("seed", 1, 0, 1e15), 1_000 * seconds,
         1_000 * top.number("warm_up_seconds", 0, 0, seconds), size,
-        membership(top.fields("membership"), size), top.whole("fan_out", 1, 0, 4),
-        network(top.fields("network")), changes(top.fields("changes")), limits(top.fields("limits")),
+        membership(top.mapping("membership"), size), top.wholeNumber("fan_out", 1, 0, 4),
+        network(top.mapping("network")), changes(top.mapping("changes")), limits(top.mapping("limits")),
         List.copyOf(faults));
     top.rejectUnknownFields();
     return scenario;
   }
 
-  private static Size size(Yaml top) throws InputException {
-    int proxies = top.whole("proxies", Double.NaN, 1, 4_000);
-    int sites = top.whole("sites", Double.NaN, 1, proxies);
-    int zones = top.whole("zones", Double.NaN, 1, sites);
-    int regions = top.whole("regions", Double.NaN, 1, zones);
-    return new Size(proxies, sites, zones, regions, top.whole("control_machines", Double.NaN, 1, 64));
+  private static Size size(YamlMapping top) throws InputException {
+    int proxies = top.wholeNumber("proxies", Double.NaN, 1, 4_000);
+    int sites = top.wholeNumber("sites", Double.NaN, 1, proxies);
+    int zones = top.wholeNumber("zones", Double.NaN, 1, sites);
+    int regions = top.wholeNumber("regions", Double.NaN, 1, zones);
+    return new Size(proxies, sites, zones, regions, top.wholeNumber("control_machines", Double.NaN, 1, 64));
   }
 
-  private static Membership membership(Yaml fields, Size size) throws InputException {
-    Membership membership = new Membership(fields.whole("members", 0, 0, size.proxies()),
+  private static Membership membership(YamlMapping fields, Size size) throws InputException {
+    Membership membership = new Membership(fields.wholeNumber("members", 0, 0, size.proxies()),
         fields.number("bytes_s", 1_114, 0, 1e6));
     fields.rejectUnknownFields();
     return membership;
   }
 
-  private static Network network(Yaml fields) throws InputException {
+  private static Network network(YamlMapping fields) throws InputException {
     Network network = new Network(fields.number("site_ms", 0.3, 0, 1_000),
         fields.number("region_ms", 5, 0, 1_000), fields.number("far_ms", 40, 0, 1_000),
         fields.number("jitter_ms", 5, 0, 1_000), fields.number("loss", 0, 0, 0.5),
@@ -126,15 +126,15 @@
     return network;
   }
 
-  private static Changes changes(Yaml fields) throws InputException {
+  private static Changes changes(YamlMapping fields) throws InputException {
     Changes changes = new Changes(fields.number("purges_per_s", 27, 0.1, 1_000),
         fields.number("configurations_per_day", 3_100, 0, 1e6) / SECONDS_PER_DAY,
-        fields.whole("document_bytes", 2_000, 2, 60_000));
+        fields.wholeNumber("document_bytes", 2_000, 2, 60_000));
     fields.rejectUnknownFields();
     return changes;
   }
 
-  private static Limits limits(Yaml fields) throws InputException {
+  private static Limits limits(YamlMapping fields) throws InputException {
     Limits limits = new Limits(fields.number("bytes_s", 3_000, 1, 1e9),
         fields.number("heap_mb", 32, 0.1, 1e5),
         fields.number("cpu_part", 0.032, 1e-6, 64), fields.number("purge_ms", 2_400, 1, 1e6),
@@ -143,11 +143,11 @@
     return limits;
   }
 
-  private static Fault fault(Yaml fields, Size size, double seconds) throws InputException {
+  private static Fault fault(YamlMapping fields, Size size, double seconds) throws InputException {
     What what = fields.enumValue("what", null, What.class);
     String field = what == What.ZONE_LOST ? "zone" : "region";
     int maxPlace = what == What.ZONE_LOST ? size.zones() - 1 : size.regions() - 1;
-    int place = fields.whole(field, Double.NaN, 0, maxPlace);
+    int place = fields.wholeNumber(field, Double.NaN, 0, maxPlace);
     double at = fields.number("at_s", Double.NaN, 0, seconds);
     Fault fault = new Fault(what, place, 1_000 * at,
         1_000 * fields.number("for_s", Double.NaN, 0.1, seconds - at));
--- a/src/main/java/beampoint/emulator/Scenario.java
+++ b/src/main/java/beampoint/emulator/Scenario.java
@@ -10,7 +10,7 @@
 import beampoint.Balancer.Tenant;
 import beampoint.Balancer.WeightSource;
 import beampoint.settings.InputException;
-import beampoint.yaml.Yaml;
+import beampoint.yaml.YamlMapping;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -91,7 +91,7 @@
    * As {@link #read(Path)}, with some values replaced; they are keyed by field paths, as in error messages.
    */
   public static Scenario read(Path file, Map<String, String> overrides) throws InputException {
-    Yaml top = Yaml.read(file);
+    YamlMapping top = YamlMapping.read(file);
     for (Map.Entry<String, String> override : overrides.entrySet()) {
       top.set(override.getKey(), override.getValue());
     }
@@ -99,43 +99,43 @@
   }
 
   static Scenario parse(String file, String text) throws InputException {
-    return parse(Yaml.read(file, text));
+    return parse(YamlMapping.read(file, text));
   }
 
-  private static Scenario parse(Yaml top) throws InputException {
-    if (top.whole("version", Double.NaN, -1_000_000, 1_000_000) != VERSION) {
+  private static Scenario parse(YamlMapping top) throws InputException {
+    if (top.wholeNumber("version", Double.NaN, -1_000_000, 1_000_000) != VERSION) {
       throw top.invalid("version", "this program reads version " + VERSION + " only");
     }
     double length = 1000 * top.number("seconds", Double.NaN, 1, MAX_LENGTH_S);
-    int zones = top.whole("zones", 1, 1, MAX_ZONES);
+    int zones = top.wholeNumber("zones", 1, 1, MAX_ZONES);
     List<Kind> kinds = new ArrayList<>();
-    for (Yaml kind : top.list("classes", 1)) {
+    for (YamlMapping kind : top.list("classes", 1)) {
       kinds.add(kind(kind));
     }
     List<Client> tenants = new ArrayList<>();
-    for (Yaml tenant : top.list("tenants", 1)) {
+    for (YamlMapping tenant : top.list("tenants", 1)) {
       double quota = tenant.number("quota_per_s", Double.NaN, 0.001, 1e6);
       tenants.add(new Client(tenant.text("name", null), quota,
           tenant.number("sends_per_s", quota, 0.001, 1e6)));
       tenant.rejectUnknownFields();
     }
     List<Fault> faults = new ArrayList<>();
-    for (Yaml fault : top.list("faults", 0)) {
+    for (YamlMapping fault : top.list("faults", 0)) {
       faults.add(fault(fault, zones, tenants));
     }
     Scenario scenario = new Scenario(top.text("name", "unnamed"), (long) top.number("seed", 1, 0, 1e15),
         length, 1000 * top.number("warm_up_seconds", 0, 0, length / 1000),
-        top.whole("proxies", Double.NaN, 1, MAX_PROCESSES), zones, top.number("zone_ms", 1, 0, 1000),
-        top.number("network_ms", 0.2, 0, 1000), limits(top.fields("settings")), rules(top.fields("rules")),
-        prices(top.fields("prices")), top.number("over_share_worth", 1, 0, 1), List.copyOf(kinds),
-        List.copyOf(tenants), keys(top.fields("keys")), caches(top.fields("caches")),
-        origin(top.fields("origin")), clients(top.fields("clients")),
+        top.wholeNumber("proxies", Double.NaN, 1, MAX_PROCESSES), zones, top.number("zone_ms", 1, 0, 1000),
+        top.number("network_ms", 0.2, 0, 1000), limits(top.mapping("settings")), rules(top.mapping("rules")),
+        prices(top.mapping("prices")), top.number("over_share_worth", 1, 0, 1), List.copyOf(kinds),
+        List.copyOf(tenants), keys(top.mapping("keys")), caches(top.mapping("caches")),
+        origin(top.mapping("origin")), clients(top.mapping("clients")),
         top.number("discovery_ms", 1000, 0, 60_000), List.copyOf(faults));
     top.rejectUnknownFields();
     return scenario;
   }
 
-  private static Kind kind(Yaml fields) throws InputException {
+  private static Kind kind(YamlMapping fields) throws InputException {
     double deadline = fields.number("deadline_ms", Double.NaN, 1, 600_000);
     RequestClass rules = new RequestClass(fields.enumValue("effect", Idempotency.SAFE, Idempotency.class),
         fields.enumValue("dedup", DedupGroup.ALL, DedupGroup.class),
@@ -148,15 +148,15 @@
     return kind;
   }
 
-  private static Limits limits(Yaml fields) throws InputException {
-    Limits limits = new Limits(fields.whole("attempts", 3, 1, 100), false, fields.flag("probes", false),
+  private static Limits limits(YamlMapping fields) throws InputException {
+    Limits limits = new Limits(fields.wholeNumber("attempts", 3, 1, 100), false, fields.flag("probes", false),
         fields.flag("retry_advice", true), fields.number("longest_advice_ms", 400, 0, 60_000),
         fields.number("connect_ms", 50, 1, 60_000));
     fields.rejectUnknownFields();
     return limits;
   }
 
-  private static Rules rules(Yaml fields) throws InputException {
+  private static Rules rules(YamlMapping fields) throws InputException {
     Rules rules = new Rules(fields.number("drain_grace_ms", 1000, 0, 60_000),
         fields.number("fall_multiple", 3, 1, 100), fields.number("fall_window_ms", 2000, 1, 60_000),
         fields.number("cold_from", 0.2, 0.001, 1), fields.number("warm_up_ms", 20_000, 0, 600_000), 10_000);
@@ -164,7 +164,7 @@
     return rules;
   }
 
-  private static Prices prices(Yaml fields) throws InputException {
+  private static Prices prices(YamlMapping fields) throws InputException {
     Prices prices = new Prices(fields.number("hundred_connections", 0, 0, 1),
         fields.number("handshake", 0, 0, 1), fields.number("probe", 0.01, 0, 1),
         fields.number("cross_zone", 0, 0, 1));
@@ -172,41 +172,42 @@
     return prices;
   }
 
-  private static Keys keys(Yaml fields) throws InputException {
-    Keys keys = new Keys(fields.whole("count", 20_000, 1, 50_000_000), fields.number("zipf", 0.9, 0, 5),
+  private static Keys keys(YamlMapping fields) throws InputException {
+    Keys keys = new Keys(fields.wholeNumber("count", 20_000, 1, 50_000_000), fields.number("zipf", 0.9, 0, 5),
         fields.number("drift_per_s", 0, 0, 1e6));
     fields.rejectUnknownFields();
     return keys;
   }
 
-  private static Caches caches(Yaml fields) throws InputException {
-    Caches caches = new Caches(fields.whole("count", Double.NaN, 1, MAX_PROCESSES),
-        fields.whole("cores", 2, 1, 1024), fields.whole("queue", 40, 0, 1_000_000),
-        fields.whole("memory_keys", 2000, 1, 50_000_000), fields.whole("connections", 1000, 1, 1_000_000),
+  private static Caches caches(YamlMapping fields) throws InputException {
+    Caches caches = new Caches(fields.wholeNumber("count", Double.NaN, 1, MAX_PROCESSES),
+        fields.wholeNumber("cores", 2, 1, 1024), fields.wholeNumber("queue", 40, 0, 1_000_000),
+        fields.wholeNumber("memory_keys", 2000, 1, 50_000_000),
+        fields.wholeNumber("connections", 1000, 1, 1_000_000),
         fields.number("handshake_ms", 0.5, 0, 1000), fields.number("idle_ms", 10_000, 1, 3_600_000),
         fields.number("miss_part", 0.2, 0.001, 1), fields.number("filled", 1, 0, 1));
     fields.rejectUnknownFields();
     return caches;
   }
 
-  private static Origin origin(Yaml fields) throws InputException {
-    Origin origin = new Origin(fields.whole("servers", 10, 1, 100_000),
-        fields.number("work_ms", 100, 0.001, 60_000), fields.whole("queue", 200, 0, 1_000_000),
+  private static Origin origin(YamlMapping fields) throws InputException {
+    Origin origin = new Origin(fields.wholeNumber("servers", 10, 1, 100_000),
+        fields.number("work_ms", 100, 0.001, 60_000), fields.wholeNumber("queue", 200, 0, 1_000_000),
         fields.number("stop_multiple", 3, 1, 1000), fields.number("stop_window_ms", 3000, 1, 60_000),
         fields.number("stopped_ms", 3000, 0, 600_000));
     fields.rejectUnknownFields();
     return origin;
   }
 
-  private static Clients clients(Yaml fields) throws InputException {
-    Clients clients = new Clients(fields.whole("retries", 2, 0, 100),
+  private static Clients clients(YamlMapping fields) throws InputException {
+    Clients clients = new Clients(fields.wholeNumber("retries", 2, 0, 100),
         fields.number("wait_ms", 200, 0, 60_000), fields.number("try_part", 0.6, 0.01, 1),
         fields.number("front_notices_ms", 2000, 0, 60_000));
     fields.rejectUnknownFields();
     return clients;
   }
 
-  private static Fault fault(Yaml fields, int zones, List<Client> tenants) throws InputException {
+  private static Fault fault(YamlMapping fields, int zones, List<Client> tenants) throws InputException {
     What what = fields.enumValue("what", null, What.class);
     String tenant = fields.text("tenant", "");
     if (what == What.SURGE && tenants.stream().noneMatch(t -> t.name().equals(tenant))) {
@@ -216,7 +217,7 @@
     Fault fault = new Fault(what, 1000 * fields.number("at_s", Double.NaN, 0, MAX_LENGTH_S),
         1000 * fields.number("for_s", 5, 0, MAX_LENGTH_S), fields.number("part", 0.25, 0, 1),
         fields.number("factor", errors ? 0.5 : 4, 0, errors ? 1 : 1000), tenant,
-        fields.whole("zone", -1, -1, zones - 1));
+        fields.wholeNumber("zone", -1, -1, zones - 1));
     fields.rejectUnknownFields();
     return fault;
   }
--- a/src/main/java/beampoint/experiment/Plan.java
+++ b/src/main/java/beampoint/experiment/Plan.java
@@ -3,7 +3,7 @@
 import beampoint.emulator.Report;
 import beampoint.emulator.Scenario;
 import beampoint.settings.InputException;
-import beampoint.yaml.Yaml;
+import beampoint.yaml.YamlMapping;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -24,24 +24,24 @@
 
   /** Reads a plan and its scenario; an error is reported in one sentence with its line and field. */
   public static Plan read(Path file) throws InputException {
-    Yaml top = Yaml.read(file);
-    if (top.whole("version", Double.NaN, -1_000_000, 1_000_000) != VERSION) {
+    YamlMapping top = YamlMapping.read(file);
+    if (top.wholeNumber("version", Double.NaN, -1_000_000, 1_000_000) != VERSION) {
       throw top.invalid("version", "this program reads version " + VERSION + " only");
     }
     Path scenario = file.toAbsolutePath().resolveSibling(top.text("scenario", null));
-    int repeats = top.whole("repeats", Double.NaN, 1, 100_000);
+    int repeats = top.wholeNumber("repeats", Double.NaN, 1, 100_000);
     if (repeats < MIN_REPEATS) {
       throw top.invalid("repeats", repeats + " are too few for an interval, which needs " + MIN_REPEATS);
     }
     long firstSeed = (long) top.number("first_seed", 1, 0, 1e15);
     String figureNames = top.text("figures", String.join(" ", DEFAULT_FIGURES));
     List<Variant> variants = new ArrayList<>();
-    for (Yaml fields : top.list("variants", 2)) {
+    for (YamlMapping fields : top.list("variants", 2)) {
       String name = fields.text("name", null);
       if (variants.stream().anyMatch(v -> v.name().equals(name))) {
         throw fields.invalid("name", "duplicate variant name: '" + name + "'");
       }
-      Map<String, String> changes = fields.fields("set").texts();
+      Map<String, String> changes = fields.mapping("set").texts();
       fields.rejectUnknownFields();
       variants.add(new Variant(name, changes, Scenario.read(scenario, changes)));
     }
--- a/src/main/java/beampoint/fleet/node/FleetNode.java
+++ b/src/main/java/beampoint/fleet/node/FleetNode.java
@@ -87,11 +87,11 @@
     List<MemberState> known = new ArrayList<>();
     settings.peers()
         .forEach((peer, at) -> known
-            .add(new MemberState(peer, Address.text(at), Status.ALIVE, 0, false, peer)));
-    LOG.info(name + " is a member of " + settings.cluster() + " at " + Address.text(address));
+            .add(new MemberState(peer, Address.format(at), Status.ALIVE, 0, false, peer)));
+    LOG.info(name + " is a member of " + settings.cluster() + " at " + Address.format(address));
     long tickMs = (long) membershipSettings.tickInterval();
     loop.execute(() -> {
-      membership = new Membership(membershipSettings, name, Address.text(address), known,
+      membership = new Membership(membershipSettings, name, Address.format(address), known,
           RandomSource.XO_SHI_RO_256_PP.create(seed), clock.getAsDouble());
       loop.scheduleWithFixedDelay(this::tick, 0, tickMs, TimeUnit.MILLISECONDS);
     });
--- a/src/main/java/beampoint/http/HttpFilter.java
+++ b/src/main/java/beampoint/http/HttpFilter.java
@@ -23,7 +23,7 @@
   private enum Part { HEAD, BODY, UNTIL_CLOSE, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER }
 
   /** The kind of messages to parse. */
-  public enum Side { RESPONSES, REQUESTS }
+  public enum MessageKind { RESPONSES, REQUESTS }
 
   /** The state of the parser of one connection. */
   static final class Progress {
@@ -39,10 +39,10 @@
     private boolean declined; // srv-declined: the server did not carry out the request
   }
 
-  private final Side side;
+  private final MessageKind kind;
 
-  public HttpFilter(Side side) {
-    this.side = side;
+  public HttpFilter(MessageKind kind) {
+    this.kind = kind;
   }
 
   private final Attribute<Progress> progress =
@@ -53,7 +53,7 @@
     Connection<?> connection = ctx.getConnection();
     Buffer in = ctx.getMessage();
     try {
-      Object message = parse(side, progress.get(connection), in);
+      Object message = parse(kind, progress.get(connection), in);
       if (message == null) {
         return in.hasRemaining() ? ctx.getStopAction(in) : ctx.getStopAction();
       }
@@ -71,7 +71,7 @@
    * Consumes one head or one part of a body from the buffer. Returns an {@link HttpHead}, an
    * {@link HttpRequest} or an {@link HttpContent}, or null if more bytes are needed.
    */
-  static Object parse(Side side, Progress progress, Buffer in) throws HttpException {
+  static Object parse(MessageKind kind, Progress progress, Buffer in) throws HttpException {
     while (true) {
       switch (progress.part) {
         case HEAD -> {
@@ -79,7 +79,7 @@
           if (end < 0) {
             return null;
           }
-          if (side == Side.REQUESTS) {
+          if (kind == MessageKind.REQUESTS) {
             return request(progress, in, end);
           }
           HttpHead head = head(progress, in, end);
@@ -180,9 +180,9 @@
       throw new HttpException("invalid status of a response: " + status);
     }
     boolean untilClose = !noBody && !headers.chunked && headers.length < 0;
-    boolean whole = beginBody(progress, headers, !noBody);
-    return new HttpHead(status, headers.declined, headers.closes || untilClose, headers.length, whole,
-        whole && in.hasRemaining(), untilClose);
+    boolean hasNoBody = beginBody(progress, headers, !noBody);
+    return new HttpHead(status, headers.declined, headers.closes || untilClose, headers.length, hasNoBody,
+        hasNoBody && in.hasRemaining(), untilClose);
   }
 
   /** Consumes the head of a request; a request without a length and chunks has no body. */
@@ -196,8 +196,8 @@
     }
     Headers headers = headers(in, nextLine(in, start, end), end);
     in.position(end);
-    boolean whole = beginBody(progress, headers, headers.chunked || headers.length >= 0);
-    return new HttpRequest(words[0], words[1], whole);
+    boolean hasNoBody = beginBody(progress, headers, headers.chunked || headers.length >= 0);
+    return new HttpRequest(words[0], words[1], hasNoBody);
   }
 
   /**
@@ -205,11 +205,11 @@
    * bytes would arrive to complete it.
    */
   private static boolean beginBody(Progress progress, Headers headers, boolean hasBody) {
-    boolean whole = !hasBody || headers.length == 0;
+    boolean hasNoBody = !hasBody || headers.length == 0;
     progress.left = hasBody ? headers.length : 0;
-    progress.part = whole ? Part.HEAD : headers.chunked ? Part.CHUNK_SIZE
+    progress.part = hasNoBody ? Part.HEAD : headers.chunked ? Part.CHUNK_SIZE
         : headers.length < 0 ? Part.UNTIL_CLOSE : Part.BODY;
-    return whole;
+    return hasNoBody;
   }
 
   private static Headers headers(Buffer in, int from, int end) throws HttpException {
--- a/src/main/java/beampoint/http/HttpRequest.java
+++ b/src/main/java/beampoint/http/HttpRequest.java
@@ -5,6 +5,6 @@
  *
  * @param method the method, such as GET
  * @param target the path, with its query if there is one
- * @param whole true if no body follows
+ * @param hasNoBody true if no body follows
  */
-public record HttpRequest(String method, String target, boolean whole) {}
+public record HttpRequest(String method, String target, boolean hasNoBody) {}
--- a/src/main/java/beampoint/ops/AdminServer.java
+++ b/src/main/java/beampoint/ops/AdminServer.java
@@ -79,7 +79,7 @@
   /** Listens on this address only; returns it, with the port chosen by the system if its port is 0. */
   public InetSocketAddress listen(SocketAddress address) throws IOException {
     FilterChainBuilder chain = FilterChainBuilder.stateless().add(new SocketReadFilter())
-        .add(new HttpFilter(HttpFilter.Side.REQUESTS)).add(new Events());
+        .add(new HttpFilter(HttpFilter.MessageKind.REQUESTS)).add(new Events());
     listener = TCPNIOBindingHandler.builder(transport).processor(chain.build()).build().bind(address);
     return (InetSocketAddress) listener.getLocalAddress();
   }
@@ -154,7 +154,7 @@
       respond(connection, new Response(400, "Bad Request", fault.problem()));
     } else if (message instanceof HttpRequest request) {
       exchange.request = request;
-      if (request.whole()) {
+      if (request.hasNoBody()) {
         respond(connection, carryOut(request));
       }
     } else if (message instanceof HttpContent content) {
--- a/src/main/java/beampoint/serve/Config.java
+++ b/src/main/java/beampoint/serve/Config.java
@@ -57,16 +57,16 @@
     try {
       seed = Long.parseUnsignedLong(root.text("seed"), 16);
     } catch (NumberFormatException e) {
-      throw root.malformed("seed", "not a hexadecimal number");
+      throw root.invalid("seed", "not a hexadecimal number");
     }
     if (!json.has("settings") || !json.has("known")) {
-      throw root.malformed(json.has("known") ? "settings" : "known", "missing");
+      throw root.invalid(json.has("known") ? "settings" : "known", "missing");
     }
     JsonFields settings = new JsonFields(source + ", settings", json.getAsJsonObject("settings"));
     settings.put("nonce64", Long.toString(seed));
-    int sockets = Descriptors.atMost(root.index("limits.sockets", 1024));
+    int sockets = Descriptors.atMost(root.integer("limits.sockets", 1024));
     if (sockets < MIN_SOCKETS) {
-      throw root.malformed("limits.sockets", "too few: " + sockets + ", at least " + MIN_SOCKETS);
+      throw root.invalid("limits.sockets", "too few: " + sockets + ", at least " + MIN_SOCKETS);
     }
     String ops = System.getenv("PROXY_OPS");
     if (ops != null && !ops.isBlank()) {
@@ -75,7 +75,7 @@
     return new Config(root.text("name"), root.address("listen"),
         root.text("ops", null) == null ? null : root.address("ops"),
         json.has("fleet") ? FleetSettings.read(root) : null, root.address("discovery"), seed,
-        sockets, root.index("limits.memory_mb", 192), HostList.read(json.getAsJsonObject("known")),
+        sockets, root.integer("limits.memory_mb", 192), HostList.read(json.getAsJsonObject("known")),
         SettingsReader.read(settings), SocketSettings.read(settings), KeyPaths.of(fields));
   }
 
--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -234,7 +234,7 @@
     }
     releaseIfDone(exchange);
     dispatch(new AttemptEnded(exchange.id(), attempt, endpoint, elapsed, result, exchange.isOver(),
-        names.settings().loads().parseNamed(load)));
+        names.settings().loadColumns().parseNamed(load)));
   }
 
   @Override
@@ -288,7 +288,7 @@
     } else if (action instanceof Balancer.CloseIdle a) {
       upstreams.closeIdle(a.endpoint());
     } else if (action instanceof Balancer.FollowList) {
-      watcher.follow();
+      watcher.openWatch();
     } else if (action instanceof Balancer.Log a) {
       LOG.info(a.text());
     }
--- a/src/main/java/beampoint/serve/Proxy.java
+++ b/src/main/java/beampoint/serve/Proxy.java
@@ -106,13 +106,13 @@
     this.decisions = new Decisions(moduleFactory.apply(settings), settings, names, counters, clock, loop,
         this::isReady, this::isBanned);
     this.upstreams = new Upstreams(transport, loop, clock, decisions, counters, budget,
-        settings.limits().connectTimeout(), config.socketSettings().connectionIdle());
+        settings.limits().connectTimeout(), config.socketSettings().peerIdleTimeoutMs());
     this.sessions = new Sessions(transport, loop, clock, loop.arrivals(clock), decisions, counters, budget);
     divideResources(1);
     this.hosts = new HostListReceiver(names, decisions, upstreams, this::listReceived);
     this.watcher = new HostListWatcher(transport, loop, counters, new Random(config.seed()),
         config.discovery(), config.known().version(), hosts::receive, this::watchFailed,
-        HostListWatcher.HEARTBEAT_TIMEOUT_MS, HostListWatcher.ANSWER_TIMEOUT_MS);
+        HostListWatcher.HEARTBEAT_TIMEOUT_MS, HostListWatcher.RESPONSE_TIMEOUT_MS);
     decisions.connect(upstreams, watcher);
     watcher.onWatchResult(hosts::onContact);
     this.reload = new Reload(config, names, decisions, upstreams, watcher, counters, loop);
@@ -216,7 +216,7 @@
     }
     loop.execute(() -> {
       if (decisions.settings().listPushed()) {
-        watcher.follow();
+        watcher.openWatch();
       } else if (!watcher.isWatching()) {
         decisions.discoveryContacted(); // no list comes until the module asks for one
       }
@@ -349,7 +349,7 @@
 
   private void watchFailed() {
     if (decisions.settings().listPushed()) {
-      watcher.followLater();
+      watcher.openWatchLater();
     } else {
       decisions.dispatch(new ListReceived(ListKind.UNAVAILABLE, List.of()));
     }
--- a/src/main/java/beampoint/serve/Reload.java
+++ b/src/main/java/beampoint/serve/Reload.java
@@ -51,7 +51,7 @@
     }
     config = next;
     if (addressChanged && !watcher.move(next.discovery()) && decisions.settings().listPushed()) {
-      watcher.follow(); // it was waiting for its next retry
+      watcher.openWatch(); // it was waiting for its next retry
     }
     applySettings(next);
   }
@@ -84,11 +84,12 @@
   private void change(NamedSettings next) {
     NamedSettings present = new NamedSettings(decisions.settings(), names.settings());
     if (!next.equals(present)) {
-      LOG.info("classes: " + next.names().classes() + ", attempts: "
+      LOG.info("classes: " + next.socketSettings().classes() + ", attempts: "
           + next.settings().limits().maxAttempts());
       decisions.setSettings(next.settings());
-      names.update(next.names());
-      upstreams.setTimeouts(next.settings().limits().connectTimeout(), next.names().connectionIdle());
+      names.update(next.socketSettings());
+      upstreams.setTimeouts(next.settings().limits().connectTimeout(),
+          next.socketSettings().peerIdleTimeoutMs());
       decisions.dispatch(Transition.change(present, next));
     }
   }
--- a/src/main/java/beampoint/settings/Address.java
+++ b/src/main/java/beampoint/settings/Address.java
@@ -20,7 +20,7 @@
   }
 
   /** Formats an address as host:port. */
-  public static String text(InetSocketAddress address) {
+  public static String format(InetSocketAddress address) {
     return address.getHostString() + ":" + address.getPort();
   }
 }
--- a/src/main/java/beampoint/settings/Fields.java
+++ b/src/main/java/beampoint/settings/Fields.java
@@ -9,13 +9,13 @@
   protected abstract String find(String field);
 
   /** Makes an error that states the place of a field and what is wrong with it. */
-  public abstract InputException malformed(String field, String problem);
+  public abstract InputException invalid(String field, String problem);
 
   /** Reads a text; throws if the field is missing. */
   public final String text(String field) throws InputException {
     String value = find(field);
     if (value == null) {
-      throw malformed(field, "missing");
+      throw invalid(field, "missing");
     }
     return value;
   }
@@ -41,7 +41,7 @@
   public final double positive(String field) throws InputException {
     double value = number(field);
     if (value <= 0) {
-      throw malformed(field, "not above 0: " + text(field));
+      throw invalid(field, "not above 0: " + text(field));
     }
     return value;
   }
@@ -55,33 +55,33 @@
     } catch (NumberFormatException e) {
       // reported below, with the place and the field
     }
-    throw malformed(field, "not a number: '" + value + "'");
+    throw invalid(field, "not a number: '" + value + "'");
   }
 
   /** Reads a whole number; throws if the field is missing. */
-  public final long whole(String field) throws InputException {
-    return whole(field, text(field));
+  public final long wholeNumber(String field) throws InputException {
+    return wholeNumber(field, text(field));
   }
 
   /** Reads a whole number, or returns the default where the field is missing. */
-  public final long whole(String field, long defaultValue) throws InputException {
+  public final long wholeNumber(String field, long defaultValue) throws InputException {
     String value = find(field);
-    return value == null ? defaultValue : whole(field, value);
+    return value == null ? defaultValue : wholeNumber(field, value);
   }
 
-  private long whole(String field, String value) throws InputException {
+  private long wholeNumber(String field, String value) throws InputException {
     try {
       return Long.parseLong(value);
     } catch (NumberFormatException e) {
-      throw malformed(field, "not a whole number: '" + value + "'");
+      throw invalid(field, "not a whole number: '" + value + "'");
     }
   }
 
   /** Reads a whole number of 32 bits, or returns the default where the field is missing. */
-  public final int index(String field, int defaultValue) throws InputException {
-    long value = whole(field, defaultValue);
+  public final int integer(String field, int defaultValue) throws InputException {
+    long value = wholeNumber(field, defaultValue);
     if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
-      throw malformed(field, "not a whole number of 32 bits: " + value);
+      throw invalid(field, "not a whole number of 32 bits: " + value);
     }
     return (int) value;
   }
@@ -91,7 +91,7 @@
     String text = text(field);
     InetSocketAddress address = Address.parse(text);
     if (address == null) {
-      throw malformed(field, "not of the form host:port: '" + text + "'");
+      throw invalid(field, "not of the form host:port: '" + text + "'");
     }
     return address;
   }
@@ -102,7 +102,7 @@
     return switch (value) {
       case "1", "true" -> true;
       case "0", "false" -> false;
-      default -> throw malformed(field, "none of 0, 1, true, false: '" + value + "'");
+      default -> throw invalid(field, "none of 0, 1, true, false: '" + value + "'");
     };
   }
 }
--- a/src/main/java/beampoint/settings/FleetSettings.java
+++ b/src/main/java/beampoint/settings/FleetSettings.java
@@ -31,14 +31,14 @@
   private static Map<String, InetSocketAddress> addresses(JsonFields fields, String list)
       throws InputException {
     Map<String, InetSocketAddress> addresses = new TreeMap<>();
-    int count = fields.index(list + ".count", 0);
+    int count = fields.integer(list + ".count", 0);
     if (count > MAX_MEMBERS) {
-      throw fields.malformed(list, "more than " + MAX_MEMBERS + " entries: " + count);
+      throw fields.invalid(list, "more than " + MAX_MEMBERS + " entries: " + count);
     }
     for (int i = 0; i < count; i++) {
       String name = name(fields, list + "." + i + ".name");
       if (addresses.put(name, fields.address(list + "." + i + ".address")) != null) {
-        throw fields.malformed(list + "." + i + ".name", "duplicate name: '" + name + "'");
+        throw fields.invalid(list + "." + i + ".name", "duplicate name: '" + name + "'");
       }
     }
     return addresses;
@@ -48,7 +48,7 @@
     String name = fields.text(field);
     boolean printable = name.chars().allMatch(c -> c > ' ' && c <= '~');
     if (name.isEmpty() || name.length() > MAX_NAME_LENGTH || !printable) {
-      throw fields.malformed(field,
+      throw fields.invalid(field,
           "not a name of 1 to " + MAX_NAME_LENGTH + " printable characters: '" + name + "'");
     }
     return name;
--- a/src/main/java/beampoint/settings/JsonFields.java
+++ b/src/main/java/beampoint/settings/JsonFields.java
@@ -48,7 +48,7 @@
   }
 
   @Override
-  public InputException malformed(String field, String problem) {
+  public InputException invalid(String field, String problem) {
     return new InputException(source + ", field '" + field + "': " + problem);
   }
 }
--- a/src/main/java/beampoint/settings/LoadColumns.java
+++ b/src/main/java/beampoint/settings/LoadColumns.java
@@ -20,7 +20,7 @@
   public static LoadColumns read(Fields fields) throws InputException {
     List<String> names = new ArrayList<>();
     String columns = fields.text("telemetry.columns", "");
-    int count = fields.index("telemetry.columns.count", 0);
+    int count = fields.integer("telemetry.columns.count", 0);
     for (int i = 0; i < count; i++) {
       names.add(fields.text("telemetry.columns." + i));
     }
--- a/src/main/java/beampoint/settings/SettingsReader.java
+++ b/src/main/java/beampoint/settings/SettingsReader.java
@@ -18,7 +18,7 @@
   /** Reads the settings with which a balancer starts. */
   public static Settings read(Fields fields) throws InputException {
     List<RequestClass> classes = new ArrayList<>();
-    int classCount = fields.index("lanes.count", 0);
+    int classCount = fields.integer("lanes.count", 0);
     for (int i = 0; i < classCount; i++) {
       String prefix = "lanes." + i + ".";
       classes.add(new RequestClass(idempotency(fields, prefix + "idempotency"),
@@ -27,18 +27,19 @@
           fields.number(prefix + "points", 1), fields.number(prefix + "late-worth", 0)));
     }
     List<Tenant> tenants = new ArrayList<>();
-    int tenantCount = fields.index("accounts.count", 0);
+    int tenantCount = fields.integer("accounts.count", 0);
     for (int i = 0; i < tenantCount; i++) {
       tenants.add(new Tenant(fields.number("accounts." + i + ".quota-per-s", 0)));
     }
-    int maxAttempts = fields.index("policy-limits.max-attempts", 1);
+    int maxAttempts = fields.integer("policy-limits.max-attempts", 1);
     if (maxAttempts <= 0) {
-      throw fields.malformed("policy-limits.max-attempts", "not above 0: " + maxAttempts);
+      throw fields.invalid("policy-limits.max-attempts", "not above 0: " + maxAttempts);
     }
     boolean hasOrigin = fields.text("family-info.mode", "").equals("aside");
-    return new Settings(fields.whole("nonce64"), fields.index("siblings", 1), fields.index("zone", 0),
+    return new Settings(fields.wholeNumber("nonce64"), fields.integer("siblings", 1),
+        fields.integer("zone", 0),
         !fields.text("discovery", "automatic").equals("subscribe"), weightSource(fields),
-        hasOrigin ? fields.index("family-info.origin-kind", -1) : -1, fields.number("over-share-worth", 1),
+        hasOrigin ? fields.integer("family-info.origin-kind", -1) : -1, fields.number("over-share-worth", 1),
         new Balancer.Limits(maxAttempts,
             fields.flag("policy-limits.second-copies", false), fields.flag("policy-limits.probes", false),
             fields.flag("policy-limits.retry-after", false),
@@ -55,7 +56,7 @@
   private static double price(Fields fields, String name) throws InputException {
     double price = fields.number("prices." + name, 0);
     if (price < 0) {
-      throw fields.malformed("prices." + name, "below 0: " + price);
+      throw fields.invalid("prices." + name, "below 0: " + price);
     }
     return price;
   }
@@ -65,7 +66,7 @@
       case "safe" -> Idempotency.SAFE;
       case "keyed" -> Idempotency.KEYED;
       case "unsafe" -> Idempotency.UNSAFE;
-      default -> throw fields.malformed(field, "unknown: '" + fields.text(field) + "'");
+      default -> throw fields.invalid(field, "unknown: '" + fields.text(field) + "'");
     };
   }
 
@@ -74,7 +75,7 @@
       case "all" -> DedupGroup.ALL;
       case "zone" -> DedupGroup.ZONE;
       case "cell" -> DedupGroup.CELL;
-      default -> throw fields.malformed(field, "unknown: '" + fields.text(field) + "'");
+      default -> throw fields.invalid(field, "unknown: '" + fields.text(field) + "'");
     };
   }
 
--- a/src/main/java/beampoint/settings/SocketSettings.java
+++ b/src/main/java/beampoint/settings/SocketSettings.java
@@ -10,11 +10,11 @@
  * @param tenants the names of the tenants by number
  * @param zones the names of the zones by number
  * @param kinds the names of the hardware kinds by number
- * @param connectionIdle the time in ms after which peers close an idle connection
- * @param loads the values in the load reports that come with responses
+ * @param peerIdleTimeoutMs the time in ms after which peers close an idle connection
+ * @param loadColumns the values in the load reports that come with responses
  */
 public record SocketSettings(List<String> classes, List<String> tenants, List<String> zones,
-    List<String> kinds, double connectionIdle, LoadColumns loads) {
+    List<String> kinds, double peerIdleTimeoutMs, LoadColumns loadColumns) {
 
   /** Reads the settings by their wire names. */
   public static SocketSettings read(Fields fields) throws InputException {
@@ -25,7 +25,7 @@
 
   private static List<String> names(Fields fields, String list, String field) throws InputException {
     List<String> names = new ArrayList<>();
-    int count = fields.index(list + ".count", 0);
+    int count = fields.integer(list + ".count", 0);
     for (int i = 0; i < count; i++) {
       names.add(fields.text(list + "." + i + field));
     }
--- a/src/main/java/beampoint/settings/Transition.java
+++ b/src/main/java/beampoint/settings/Transition.java
@@ -14,7 +14,7 @@
   private Transition() {}
 
   /** Settings of a balancer, with the names of the classes, tenants, zones and kinds that they number. */
-  public record NamedSettings(Settings settings, SocketSettings names) {}
+  public record NamedSettings(Settings settings, SocketSettings socketSettings) {}
 
   /**
    * The next settings with those of the present ones that take effect at a start only: how hosts are numbered
@@ -27,8 +27,10 @@
         new Settings(old.seed(), updated.siblings(), old.zone(), old.listPushed(), old.weightSource(),
             old.originKind(), updated.overShareWorth(), updated.limits(), updated.rules(), updated.prices(),
             updated.classes(), updated.tenants()),
-        new SocketSettings(next.names().classes(), next.names().tenants(), present.names().zones(),
-            present.names().kinds(), next.names().connectionIdle(), next.names().loads()));
+        new SocketSettings(next.socketSettings().classes(), next.socketSettings().tenants(),
+            present.socketSettings().zones(),
+            present.socketSettings().kinds(), next.socketSettings().peerIdleTimeoutMs(),
+            next.socketSettings().loadColumns()));
   }
 
   /**
@@ -37,10 +39,10 @@
    * gets the stricter of both, so that no request takes effect twice because its rules changed in flight.
    */
   public static NamedSettings duringTransition(NamedSettings present, NamedSettings next) {
-    List<String> names = new ArrayList<>(next.names().classes());
+    List<String> names = new ArrayList<>(next.socketSettings().classes());
     List<RequestClass> classes = new ArrayList<>(next.settings().classes());
-    for (int i = 0; i < present.names().classes().size(); i++) {
-      String name = present.names().classes().get(i);
+    for (int i = 0; i < present.socketSettings().classes().size(); i++) {
+      String name = present.socketSettings().classes().get(i);
       RequestClass old = present.settings().classes().get(i);
       int index = names.indexOf(name);
       if (index < 0) {
@@ -55,8 +57,9 @@
         new Settings(settings.seed(), settings.siblings(), settings.zone(), settings.listPushed(),
             settings.weightSource(), settings.originKind(), settings.overShareWorth(), settings.limits(),
             settings.rules(), settings.prices(), List.copyOf(classes), settings.tenants()),
-        new SocketSettings(List.copyOf(names), next.names().tenants(), next.names().zones(),
-            next.names().kinds(), next.names().connectionIdle(), next.names().loads()));
+        new SocketSettings(List.copyOf(names), next.socketSettings().tenants(), next.socketSettings().zones(),
+            next.socketSettings().kinds(), next.socketSettings().peerIdleTimeoutMs(),
+            next.socketSettings().loadColumns()));
   }
 
   private static RequestClass stricter(RequestClass old, RequestClass next) {
@@ -80,8 +83,8 @@
   /** The event that informs the decision module of a change of settings. */
   public static SettingsChanged change(NamedSettings present, NamedSettings next) {
     return new SettingsChanged(next.settings(),
-        formerIndexes(next.names().classes(), present.names().classes()),
-        formerIndexes(next.names().tenants(), present.names().tenants()));
+        formerIndexes(next.socketSettings().classes(), present.socketSettings().classes()),
+        formerIndexes(next.socketSettings().tenants(), present.socketSettings().tenants()));
   }
 
   /** For each name its index among the former names, or -1. */
--- a/src/main/java/beampoint/sim/Codec.java
+++ b/src/main/java/beampoint/sim/Codec.java
@@ -28,7 +28,7 @@
       case "all" -> ListKind.FULL;
       case "remembered" -> ListKind.REMEMBERED;
       case "refused" -> ListKind.UNAVAILABLE;
-      default -> throw m.malformed("form", "unknown: '" + m.text("form") + "'");
+      default -> throw m.invalid("form", "unknown: '" + m.text("form") + "'");
     };
   }
 
@@ -38,24 +38,26 @@
       case "Running" -> EndpointState.RUNNING;
       case "Stopping" -> EndpointState.DRAINING;
       case "Deleted" -> EndpointState.GONE;
-      default -> throw m.malformed("health", "unknown: '" + m.text("health") + "'");
+      default -> throw m.invalid("health", "unknown: '" + m.text("health") + "'");
     };
-    return new Endpoint(m.text("node"), m.index("hall", 0), m.index("shape", 0), m.index("block", 0), state,
+    return new Endpoint(m.text("node"), m.integer("hall", 0), m.integer("shape", 0), m.integer("block", 0),
+        state,
         m.number("share", 1), m.number("up-since-ms", 0));
   }
 
   /** The event that a message describes, or null for a message unknown to this version. */
   static Event event(Message m, LoadColumns columns) throws InputException {
     return switch (m.name) {
-      case "new_request" -> new RequestReceived(m.whole("rid"), m.number("not-after-ms"),
-          m.index("customer", 0), m.index("service", 0), m.whole("affinity", -1), m.flag("is-write", false),
+      case "new_request" -> new RequestReceived(m.wholeNumber("rid"), m.number("not-after-ms"),
+          m.integer("customer", 0), m.integer("service", 0), m.wholeNumber("affinity", -1),
+          m.flag("is-write", false),
           m.flag("resent", false));
-      case "established" -> new AttemptStarted(m.whole("rid"), m.index("trial", 0));
-      case "finished" -> new AttemptEnded(m.whole("rid"), m.index("trial", 0), m.text("node"),
+      case "established" -> new AttemptStarted(m.wholeNumber("rid"), m.integer("trial", 0));
+      case "finished" -> new AttemptEnded(m.wholeNumber("rid"), m.integer("trial", 0), m.text("node"),
           m.number("duration-ms", 0), result(m), m.flag("done-flag", false),
           columns.parse(m.text("pressure", null)));
-      case "vanished" -> new RequestGone(m.whole("rid"));
-      case "timer" -> new TimerFired(m.whole("name"));
+      case "vanished" -> new RequestGone(m.wholeNumber("rid"));
+      case "timer" -> new TimerFired(m.wholeNumber("name"));
       case "echo" -> new ProbeEnded(m.text("node"), result(m), m.number("duration-ms", 0));
       default -> null;
     };
@@ -72,7 +74,7 @@
       case "recalled" -> Result.CANCELLED;
       case "superseded" -> Result.NOT_SENT;
       case "lookup_miss" -> Result.MISS;
-      default -> throw m.malformed("outcome", "unknown: '" + m.text("outcome") + "'");
+      default -> throw m.invalid("outcome", "unknown: '" + m.text("outcome") + "'");
     };
   }
 
--- a/src/main/java/beampoint/sim/Message.java
+++ b/src/main/java/beampoint/sim/Message.java
@@ -47,7 +47,7 @@
   }
 
   @Override
-  public InputException malformed(String field, String problem) {
+  public InputException invalid(String field, String problem) {
     return new InputException("line " + line + ": '" + name + "', field '" + field + "': " + problem);
   }
 }
--- a/src/main/java/beampoint/sim/SimulatorHost.java
+++ b/src/main/java/beampoint/sim/SimulatorHost.java
@@ -105,7 +105,7 @@
   }
 
   private ListReceived readList(Message m) throws IOException, InputException {
-    int count = m.index("members-list", 0);
+    int count = m.integer("members-list", 0);
     List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       Message entry = next();
--- a/src/main/java/beampoint/upstream/ConnectionPools.java
+++ b/src/main/java/beampoint/upstream/ConnectionPools.java
@@ -80,7 +80,7 @@
     this.counters = counters;
     this.listener = listener;
     this.cacheConnector = connector(new ReplyFilter(transport.getMemoryManager()));
-    this.originConnector = connector(new HttpFilter(HttpFilter.Side.RESPONSES));
+    this.originConnector = connector(new HttpFilter(HttpFilter.MessageKind.RESPONSES));
   }
 
   private TCPNIOConnectorHandler connector(Filter codec) {
--- a/src/main/java/beampoint/upstream/Pool.java
+++ b/src/main/java/beampoint/upstream/Pool.java
@@ -24,7 +24,7 @@
   Pool(String endpoint, InetSocketAddress address, double startedAt) {
     this.endpoint = endpoint;
     this.address = address;
-    this.hostHeader = Address.text(address);
+    this.hostHeader = Address.format(address);
     this.startedAt = startedAt;
   }
 }
--- a/src/main/java/beampoint/upstream/Replies.java
+++ b/src/main/java/beampoint/upstream/Replies.java
@@ -77,7 +77,7 @@
       protocolError(pooled, fault.problem());
     } else if (message instanceof HttpHead head) {
       pooled.httpHead = head;
-      if (head.whole()) {
+      if (head.hasNoBody()) {
         handleContent(pooled, inFlight, new HttpContent(Buffers.EMPTY_BUFFER, true, head.surplus()));
       }
     } else if (message instanceof HttpContent content) {
--- a/src/main/java/beampoint/yaml/Yaml.java
+++ b/src/main/java/beampoint/yaml/YamlMapping.java
@@ -31,7 +31,7 @@
  * One mapping of a YAML file, whose fields are read by name. Errors state the file, line and field. A field
  * that is never read is an error as well, see {@link #rejectUnknownFields}: it would have no effect.
  */
-public final class Yaml {
+public final class YamlMapping {
 
   private static final Pattern LIST_ENTRY = Pattern.compile("(\\w+)\\[(\\d{1,4})\\]");
 
@@ -40,14 +40,14 @@
   private final MappingNode node;
   private final Set<String> fieldsRead = new HashSet<>();
 
-  private Yaml(String file, String path, MappingNode node) {
+  private YamlMapping(String file, String path, MappingNode node) {
     this.file = file;
     this.path = path;
     this.node = node;
   }
 
   /** Reads the top mapping of a file. */
-  public static Yaml read(Path file) throws InputException {
+  public static YamlMapping read(Path file) throws InputException {
     try {
       return read(file.toString(), Files.readString(file));
     } catch (IOException e) {
@@ -56,7 +56,7 @@
   }
 
   /** Reads the top mapping of a text; error messages state {@code file} as its source. */
-  public static Yaml read(String file, String text) throws InputException {
+  public static YamlMapping read(String file, String text) throws InputException {
     Optional<Node> top;
     try {
       top = new Compose(LoadSettings.builder().setUseMarks(true).setLabel(file).build()).composeString(text);
@@ -67,7 +67,7 @@
       throw new InputException(file + ": not a mapping of fields to values");
     }
     Set<String> names = new HashSet<>();
-    Yaml yaml = new Yaml(file, "", mapping);
+    YamlMapping yaml = new YamlMapping(file, "", mapping);
     yaml.checkNames(mapping, names);
     return yaml;
   }
@@ -87,7 +87,7 @@
    * of fields and list entries, as in error messages: {@code classes[0].aim_ms}.
    */
   public void set(String fieldPath, String value) throws InputException {
-    Yaml inner = this;
+    YamlMapping inner = this;
     String[] names = fieldPath.split("\\.");
     for (int i = 0; i < names.length - 1; i++) {
       inner = inner.descend(names[i], fieldPath);
@@ -103,7 +103,7 @@
   }
 
   /** The mapping that one part of a field path leads to. */
-  private Yaml descend(String name, String fieldPath) throws InputException {
+  private YamlMapping descend(String name, String fieldPath) throws InputException {
     Matcher listEntry = LIST_ENTRY.matcher(name);
     Node found = find(listEntry.matches() ? listEntry.group(1) : name);
     if (listEntry.matches() && found instanceof SequenceNode list) {
@@ -118,7 +118,7 @@
     if (!(found instanceof MappingNode mapping)) {
       throw invalid(node, name, "can't set '" + fieldPath + "': no such mapping");
     }
-    return new Yaml(file, path + name + ".", mapping);
+    return new YamlMapping(file, path + name + ".", mapping);
   }
 
   private void checkNames(MappingNode mapping, Set<String> names) throws InputException {
@@ -185,7 +185,7 @@
   }
 
   /** Reads a whole number within a range, as {@link #number} does. */
-  public int whole(String field, double defaultValue, int min, int max) throws InputException {
+  public int wholeNumber(String field, double defaultValue, int min, int max) throws InputException {
     double number = number(field, defaultValue, min, max);
     if (number != Math.rint(number)) {
       throw invalid(field, "not a whole number: " + number);
@@ -221,28 +221,28 @@
   }
 
   /** Reads a mapping below this one; returns an empty one if the field is missing. */
-  public Yaml fields(String field) throws InputException {
+  public YamlMapping mapping(String field) throws InputException {
     Node found = find(field);
     if (found == null) {
       MappingNode empty = new MappingNode(node.getTag(), List.of(), node.getFlowStyle());
-      return new Yaml(file, path + field + ".", empty);
+      return new YamlMapping(file, path + field + ".", empty);
     }
     return mapping(found, field);
   }
 
-  private Yaml mapping(Node found, String field) throws InputException {
+  private YamlMapping mapping(Node found, String field) throws InputException {
     if (!(found instanceof MappingNode mapping)) {
       throw invalid(found, field, "not a mapping of fields to values");
     }
-    Yaml yaml = new Yaml(file, path + field + ".", mapping);
+    YamlMapping yaml = new YamlMapping(file, path + field + ".", mapping);
     yaml.checkNames(mapping, new HashSet<>());
     return yaml;
   }
 
   /** Reads a list of mappings, which has at least {@code min} entries; a missing list is empty. */
-  public List<Yaml> list(String field, int min) throws InputException {
+  public List<YamlMapping> list(String field, int min) throws InputException {
     Node found = find(field);
-    List<Yaml> entries = new ArrayList<>();
+    List<YamlMapping> entries = new ArrayList<>();
     if (found instanceof SequenceNode sequence) {
       for (Node entry : sequence.getValue()) {
         entries.add(mapping(entry, field + "[" + entries.size() + "]"));
--- a/src/test/java/beampoint/discovery/HostListLimitsTest.java
+++ b/src/test/java/beampoint/discovery/HostListLimitsTest.java
@@ -64,7 +64,7 @@
       })) {
         HostListWatcher watch = new HostListWatcher(transport, loop, new Counters(), new Random(1),
             Address.parse(discovery.address()), 0, lists::add, () -> breaks.add(true), 10_000, 5_000);
-        loop.execute(watch::follow);
+        loop.execute(watch::openWatch);
         if (length <= HostListWatcher.MAX_LIST_BYTES) {
           HostList list = lists.poll(10, TimeUnit.SECONDS);
           assertTrue(list != null && list.version() == 42, "a list of " + length + " bytes");
--- a/src/test/java/beampoint/discovery/HostListMoveTest.java
+++ b/src/test/java/beampoint/discovery/HostListMoveTest.java
@@ -39,9 +39,9 @@
     })) {
       watch = new HostListWatcher(transport, loop, counters, new Random(1),
           Address.parse(old.address()), 41,
-          lists::add, () -> watch.followLater(), HostListWatcher.HEARTBEAT_TIMEOUT_MS,
-          HostListWatcher.ANSWER_TIMEOUT_MS);
-      loop.execute(watch::follow);
+          lists::add, () -> watch.openWatchLater(), HostListWatcher.HEARTBEAT_TIMEOUT_MS,
+          HostListWatcher.RESPONSE_TIMEOUT_MS);
+      loop.execute(watch::openWatch);
       assertEquals(42, lists.poll(5, TimeUnit.SECONDS).version());
       long movedAt = System.nanoTime();
       loop.execute(() -> watch.move(Address.parse(next.address())));
--- a/src/test/java/beampoint/discovery/HostListRetryTest.java
+++ b/src/test/java/beampoint/discovery/HostListRetryTest.java
@@ -145,11 +145,11 @@
       LinkedBlockingQueue<Boolean> broken = new LinkedBlockingQueue<>();
       watch = new HostListWatcher(transport, loop, counters, new Random(1), Address.parse(Stub.nobody()), 41,
           lists::add, () -> broken.add(true), 5000, 5000);
-      loop.execute(watch::follow);
+      loop.execute(watch::openWatch);
       assertTrue(broken.take());
       loop.execute(() -> {
         if (!watch.move(Address.parse(next.address()))) {
-          watch.followLater();
+          watch.openWatchLater();
         }
       });
       assertEquals(44, next().version());
@@ -176,9 +176,9 @@
         int number = i;
         fleet.add(
             new HostListWatcher(transport, loop, counters, new Random(i), Address.parse(discovery.address()),
-                41, lists::add, () -> fleet.get(number).followLater(), 60_000, 60_000));
+                41, lists::add, () -> fleet.get(number).openWatchLater(), 60_000, 60_000));
       }
-      loop.execute(() -> fleet.forEach(HostListWatcher::follow));
+      loop.execute(() -> fleet.forEach(HostListWatcher::openWatch));
       for (int i = 0; i < 14; i++) {
         assertTrue(next().whole());
       }
@@ -211,9 +211,9 @@
     })) {
       watch = new HostListWatcher(transport, loop, counters, new Random(1),
           Address.parse(discovery.address()), 41,
-          lists::add, () -> watch.followLater(), HostListWatcher.HEARTBEAT_TIMEOUT_MS,
-          HostListWatcher.ANSWER_TIMEOUT_MS);
-      loop.execute(watch::follow);
+          lists::add, () -> watch.openWatchLater(), HostListWatcher.HEARTBEAT_TIMEOUT_MS,
+          HostListWatcher.RESPONSE_TIMEOUT_MS);
+      loop.execute(watch::openWatch);
       assertEquals(HostList.Health.TERMINATING, next().hosts().get(0).health());
       long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - backAt.get());
       assertTrue(took < 2000, "received after " + took + " ms");
@@ -235,8 +235,8 @@
     })) {
       watch = new HostListWatcher(transport, loop, counters, new Random(1),
           Address.parse(discovery.address()), 41,
-          lists::add, () -> watch.followLater(), 20_000, 50);
-      loop.execute(watch::follow);
+          lists::add, () -> watch.openWatchLater(), 20_000, 50);
+      loop.execute(watch::openWatch);
       assertEquals(44, next().version());
       assertTrue(discovery.ends.poll(5, TimeUnit.SECONDS), "the other watches are closed");
     }
@@ -279,7 +279,8 @@
   void noKindOfFailureDelaysTheNextRequestForLong() {
     long longestWait = 3 * HostListWatcher.MAX_BACKOFF_MS / 2;
     assertTrue(
-        HostListWatcher.HEARTBEAT_TIMEOUT_MS + longestWait + HostListWatcher.ANSWER_TIMEOUT_MS < 6000 - 1000);
-    assertTrue(HostListWatcher.ANSWER_TIMEOUT_MS + longestWait < 2000);
+        HostListWatcher.HEARTBEAT_TIMEOUT_MS + longestWait + HostListWatcher.RESPONSE_TIMEOUT_MS < 6000
+            - 1000);
+    assertTrue(HostListWatcher.RESPONSE_TIMEOUT_MS + longestWait < 2000);
   }
 }
--- a/src/test/java/beampoint/discovery/HostListWatcherFixture.java
+++ b/src/test/java/beampoint/discovery/HostListWatcherFixture.java
@@ -58,8 +58,8 @@
   void follow(Stub discovery, long heartbeatTimeoutMs) {
     watch =
         new HostListWatcher(transport, loop, counters, new Random(1), Address.parse(discovery.address()), 41,
-            lists::add, () -> watch.followLater(), heartbeatTimeoutMs, heartbeatTimeoutMs / 2);
-    loop.execute(watch::follow);
+            lists::add, () -> watch.openWatchLater(), heartbeatTimeoutMs, heartbeatTimeoutMs / 2);
+    loop.execute(watch::openWatch);
   }
 
   HostList next() throws InterruptedException {
--- a/src/test/java/beampoint/http/HttpFilterTest.java
+++ b/src/test/java/beampoint/http/HttpFilterTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import beampoint.http.HttpFilter.Side;
+import beampoint.http.HttpFilter.MessageKind;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -23,7 +23,7 @@
   }
 
   private static Object parse(HttpFilter.Progress progress, Buffer in) throws HttpException {
-    return HttpFilter.parse(Side.RESPONSES, progress, in);
+    return HttpFilter.parse(MessageKind.RESPONSES, progress, in);
   }
 
   /** Parses a text that arrives in pieces of this size; returns heads and bodies, with a bar at each end. */
@@ -44,7 +44,7 @@
           read.append(content.last() ? "|" : "");
         } else if (part instanceof HttpHead head) {
           read.append(head.status()).append(head.declined() ? "declined" : "")
-              .append(head.closes() ? "closes" : "").append(head.whole() ? "|" : ":");
+              .append(head.closes() ? "closes" : "").append(head.hasNoBody() ? "|" : ":");
         }
       }
     }
@@ -81,10 +81,10 @@
       for (String more : new String[] {"", "x"}) {
         Buffer in = buffer("HTTP/1.1 200 OK\r\n" + answer + more);
         HttpFilter.Progress progress = new HttpFilter.Progress();
-        Object last = HttpFilter.parse(Side.RESPONSES, progress, in);
-        while (!(last instanceof HttpHead head && head.whole())
+        Object last = HttpFilter.parse(MessageKind.RESPONSES, progress, in);
+        while (!(last instanceof HttpHead head && head.hasNoBody())
             && !(last instanceof HttpContent content && content.last())) {
-          last = HttpFilter.parse(Side.RESPONSES, progress, in);
+          last = HttpFilter.parse(MessageKind.RESPONSES, progress, in);
         }
         boolean surplus = last instanceof HttpHead head ? head.surplus() : ((HttpContent) last).surplus();
         assertEquals(!more.isEmpty(), surplus, answer);
--- a/src/test/java/beampoint/serve/ConfigTest.java
+++ b/src/test/java/beampoint/serve/ConfigTest.java
@@ -51,7 +51,7 @@
     assertEquals(Idempotency.KEYED, config.settings().classes().get(1).idempotency());
     assertEquals(50, config.settings().tenants().get(0).quotaPerSecond());
     assertEquals(List.of("read", "put"), config.socketSettings().classes());
-    assertEquals(60_000, config.socketSettings().connectionIdle());
+    assertEquals(60_000, config.socketSettings().peerIdleTimeoutMs());
     assertEquals(1, new NameIndex(config.socketSettings()).endpoint(config.known().hosts().get(0)).kind());
   }
 
@@ -99,14 +99,14 @@
   void byDefaultCrossingZonesIsFreeAndNoLoadReportIsExpected() throws Exception {
     Config config = Config.read("config.json", validConfig());
     assertEquals(0, config.settings().prices().crossZone());
-    assertEquals(List.of(), config.socketSettings().loads().names());
+    assertEquals(List.of(), config.socketSettings().loadColumns().names());
     JsonObject json = validConfig();
     json.getAsJsonObject("settings").add("prices", JsonParser.parseString("{\"cross-zone\":0.03}"));
     json.getAsJsonObject("settings").add("telemetry",
         JsonParser.parseString("{\"source\":\"inline\",\"columns\":[\"depth\"]}"));
     Config extended = Config.read("config.json", json);
     assertEquals(0.03, extended.settings().prices().crossZone());
-    assertEquals(List.of("depth"), extended.socketSettings().loads().names());
+    assertEquals(List.of("depth"), extended.socketSettings().loadColumns().names());
   }
 
   /** Guards against a host of an unknown kind that is taken for the origin where the settings have none. */
--- a/src/test/java/beampoint/serve/InitialListGateTest.java
+++ b/src/test/java/beampoint/serve/InitialListGateTest.java
@@ -95,7 +95,7 @@
         assertEquals("SERVER_ERROR busy", start.client.line());
       }
     }
-    assertTrue(answeredInTime, "no call was answered within " + HostListWatcher.ANSWER_TIMEOUT_MS + " ms");
+    assertTrue(answeredInTime, "no call was answered within " + HostListWatcher.RESPONSE_TIMEOUT_MS + " ms");
   }
 
   /** Guards against requests that wait for a discovery that is down: it answers at once, or not at all. */
--- a/src/test/java/beampoint/settings/TransitionTest.java
+++ b/src/test/java/beampoint/settings/TransitionTest.java
@@ -46,7 +46,7 @@
     NamedSettings before = namedSettings(4, lane("a", "safe", ""), lane("b", "safe", ""));
     NamedSettings next = namedSettings(2, lane("new", "unsafe", ""), lane("b", "safe", ""));
     NamedSettings meanwhile = Transition.duringTransition(before, next);
-    assertEquals(List.of("new", "b", "a"), meanwhile.names().classes());
+    assertEquals(List.of("new", "b", "a"), meanwhile.socketSettings().classes());
     assertEquals(2, meanwhile.settings().limits().maxAttempts());
     assertEquals(List.of(-1, 1, 0), Transition.change(before, meanwhile).formerClasses());
     assertEquals(List.of(-1, 1), Transition.change(before, meanwhile).formerTenants());
@@ -74,7 +74,7 @@
   void theNumberingOfHostsStaysUntilTheNextStart() throws InputException {
     NamedSettings taken =
         Transition.keepStartupSettings(inZones("[\"a\",\"b\"]", 4), inZones("[\"b\",\"a\"]", 2));
-    assertEquals(List.of("a", "b"), taken.names().zones());
+    assertEquals(List.of("a", "b"), taken.socketSettings().zones());
     assertEquals(2, taken.settings().limits().maxAttempts());
   }
 
