--- a/src/main/java/beampoint/discovery/HostList.java
+++ b/src/main/java/beampoint/discovery/HostList.java
@@ -21,21 +21,24 @@
 
   private static final Log LOG = Log.of("discovery");
 
-  /** The state of a host as discovery reports it. */
+  /**
+   * The state of a host as discovery reports it. READY: accepts requests. TERMINATING: drains and gets no new
+   * requests. GONE: no longer exists.
+   */
   public enum Health { READY, TERMINATING, GONE }
 
   /**
    * One entry of a list.
    *
    * @param host the name of the host, the same for all proxies
-   * @param dial the address at which this proxy connects to it; null where a host that is gone or draining
-   *        has none, as it gets no new requests
+   * @param dial the address at which this proxy connects to it; null if not stated; only a host that is
+   *     TERMINATING or GONE may lack it, because it gets no new requests
    * @param site the name of its zone, or empty
    * @param kind the name of its hardware kind ({@code class} in JSON), or empty
-   * @param block the number of its cell, 0 where none is stated
+   * @param block the number of its cell, 0 if none is stated
    * @param health its state
-   * @param share its weight relative to other hosts, 1 where none is stated
-   * @param bornMs its start time in ms, 0 where none is stated
+   * @param share its weight relative to other hosts, 1 if none is stated
+   * @param bornMs its start time in ms, 0 if none is stated
    */
   public record Host(String host, InetSocketAddress dial, String site, String kind, int block, Health health,
       double share, double bornMs) {}
--- a/src/main/java/beampoint/discovery/HostListSplitter.java
+++ b/src/main/java/beampoint/discovery/HostListSplitter.java
@@ -5,8 +5,8 @@
 
 /**
  * Splits the byte stream of a watch into lists: JSON objects on one line, or indented over several lines. An
- * empty line is a heartbeat without a change. Within an object it means that the object was cut off and its
- * rest will not follow.
+ * empty line is a heartbeat without a change. An empty line inside an object means that the object was cut
+ * off and its rest will not follow.
  */
 final class HostListSplitter {
 
@@ -16,7 +16,10 @@
   private boolean escaped;
   private boolean blank = true; // the current line has only white space so far
 
-  /** Adds the next byte; returns the text that it completes, empty for a heartbeat, or null within a text. */
+  /**
+   * Adds the next byte; returns the text that it completes, empty for a heartbeat, or null if the text is not
+   * complete yet.
+   */
   String append(byte next) {
     if (next == '\n') {
       boolean complete = depth <= 0 || blank;
--- a/src/main/java/beampoint/http/HttpFilter.java
+++ b/src/main/java/beampoint/http/HttpFilter.java
@@ -13,21 +13,24 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * Parses one direction of HTTP/1.1, responses or requests, into heads and the parts of their bodies as they
- * arrive. A body has a stated length, is chunked, or lasts until the connection is closed (RFC 9112).
+ * Parses HTTP/1.1 messages of one kind, responses or requests, into heads and the parts of their bodies as
+ * they arrive. A body has a stated length, is chunked, or lasts until the connection is closed (RFC 9112).
  */
 public final class HttpFilter extends BaseFilter {
 
   private static final int MAX_HEAD_BYTES = 16 * 1024;
 
-  private enum Part { HEAD, BODY, UNTIL_CLOSE, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER }
+  /** What the parser expects next. */
+  private enum State {
+    HEAD, BODY, BODY_UNTIL_CLOSE, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER
+  }
 
   /** The kind of messages to parse. */
   public enum MessageKind { RESPONSES, REQUESTS }
 
   /** The state of the parser of one connection. */
   static final class Progress {
-    private Part part = Part.HEAD;
+    private State state = State.HEAD;
     private long left; // bytes of the body or chunk that are still to come
   }
 
@@ -60,7 +63,7 @@
       ctx.setMessage(message);
       return in.hasRemaining() ? ctx.getInvokeAction(in) : ctx.getInvokeAction();
     } catch (HttpException e) {
-      // No message boundary can be found after it, and the peer may send without end.
+      // After an error no message boundary can be found, so reading stops; the peer might send forever.
       connection.disableIOEvent(IOEvent.READ);
       ctx.setMessage(new HttpFault(e.getMessage()));
       return ctx.getInvokeAction();
@@ -73,7 +76,7 @@
    */
   static Object parse(MessageKind kind, Progress progress, Buffer in) throws HttpException {
     while (true) {
-      switch (progress.part) {
+      switch (progress.state) {
         case HEAD -> {
           int end = headEnd(in);
           if (end < 0) {
@@ -88,7 +91,7 @@
           }
           // An interim response (1xx): the final one follows it.
         }
-        case UNTIL_CLOSE -> {
+        case BODY_UNTIL_CLOSE -> {
           if (!in.hasRemaining()) {
             return null;
           }
@@ -104,9 +107,9 @@
           Buffer bytes = in.slice(in.position(), in.position() + size);
           in.position(in.position() + size);
           progress.left -= size;
-          boolean last = progress.part == Part.BODY && progress.left == 0;
+          boolean last = progress.state == State.BODY && progress.left == 0;
           if (progress.left == 0) {
-            progress.part = last ? Part.HEAD : Part.CHUNK_END;
+            progress.state = last ? State.HEAD : State.CHUNK_END;
           }
           return new HttpContent(bytes, last, last && in.hasRemaining());
         }
@@ -118,16 +121,16 @@
           int from = in.position();
           in.position(end);
           int textEnd = textEnd(in, from, end);
-          if (progress.part == Part.CHUNK_SIZE) {
+          if (progress.state == State.CHUNK_SIZE) {
             progress.left = chunkSize(in, from, textEnd);
-            progress.part = progress.left == 0 ? Part.TRAILER : Part.CHUNK;
-          } else if (progress.part == Part.CHUNK_END) {
+            progress.state = progress.left == 0 ? State.TRAILER : State.CHUNK;
+          } else if (progress.state == State.CHUNK_END) {
             if (textEnd > from) {
               throw new HttpException("a chunk longer than stated");
             }
-            progress.part = Part.CHUNK_SIZE;
+            progress.state = State.CHUNK_SIZE;
           } else if (textEnd == from) {
-            progress.part = Part.HEAD;
+            progress.state = State.HEAD;
             return new HttpContent(Buffers.EMPTY_BUFFER, true, in.hasRemaining());
           }
         }
@@ -175,17 +178,19 @@
     int status = number(in, start + 9, start + 12);
     Headers headers = headers(in, nextLine(in, start, end), end);
     in.position(end);
-    boolean noBody = status < 200 || status == 204 || status == 304;
+    boolean statusExcludesBody = status < 200 || status == 204 || status == 304;
     if (status < 100 || status == 101) {
       throw new HttpException("invalid status of a response: " + status);
     }
-    boolean untilClose = !noBody && !headers.chunked && headers.length < 0;
-    boolean hasNoBody = beginBody(progress, headers, !noBody);
+    boolean untilClose = !statusExcludesBody && !headers.chunked && headers.length < 0;
+    boolean hasNoBody = beginBody(progress, headers, !statusExcludesBody);
     return new HttpHead(status, headers.declined, headers.closes || untilClose, headers.length, hasNoBody,
         hasNoBody && in.hasRemaining(), untilClose);
   }
 
-  /** Consumes the head of a request; a request without a length and chunks has no body. */
+  /**
+   * Consumes the head of a request; a request with neither Content-Length nor chunked encoding has no body.
+   */
   private static HttpRequest request(Progress progress, Buffer in, int end) throws HttpException {
     int start = in.position();
     int lineEnd = textEnd(in, start, nextLine(in, start, end));
@@ -204,11 +209,11 @@
    * Prepares for reading the body. Returns true if no body follows; a body of length 0 counts as none, as no
    * bytes would arrive to complete it.
    */
-  private static boolean beginBody(Progress progress, Headers headers, boolean hasBody) {
-    boolean hasNoBody = !hasBody || headers.length == 0;
-    progress.left = hasBody ? headers.length : 0;
-    progress.part = hasNoBody ? Part.HEAD : headers.chunked ? Part.CHUNK_SIZE
-        : headers.length < 0 ? Part.UNTIL_CLOSE : Part.BODY;
+  private static boolean beginBody(Progress progress, Headers headers, boolean mayHaveBody) {
+    boolean hasNoBody = !mayHaveBody || headers.length == 0;
+    progress.left = mayHaveBody ? headers.length : 0;
+    progress.state = hasNoBody ? State.HEAD : headers.chunked ? State.CHUNK_SIZE
+        : headers.length < 0 ? State.BODY_UNTIL_CLOSE : State.BODY;
     return hasNoBody;
   }
 
@@ -281,7 +286,7 @@
     return Math.min(end, i + 1);
   }
 
-  /** True if the buffer has this text at a position, in any case of letters. */
+  /** True if the buffer has this text at a position, ignoring case. */
   private static boolean matches(Buffer in, int from, String lowerCase) {
     for (int i = 0; i < lowerCase.length(); i++) {
       if (from + i >= in.limit() || Character.toLowerCase((char) in.get(from + i)) != lowerCase.charAt(i)) {
@@ -291,7 +296,7 @@
     return true;
   }
 
-  /** True if the line that begins at {@code from} contains this text, in any case of letters. */
+  /** True if the line that begins at {@code from} contains this text, ignoring case. */
   private static boolean contains(Buffer in, int from, int end, String lowerCase) {
     int next = nextLine(in, from, end);
     for (int i = from; i + lowerCase.length() <= next; i++) {
@@ -315,7 +320,7 @@
     return b == ' ' || b == '\t';
   }
 
-  /** True if a header value, without blanks around it, is this token, in any case of letters. */
+  /** True if a header value, without blanks around it, is this token, ignoring case. */
   private static boolean isToken(Buffer in, int from, int to, String lowerCase) {
     int start = from;
     int end = to;
--- a/src/main/java/beampoint/http/HttpHead.java
+++ b/src/main/java/beampoint/http/HttpHead.java
@@ -6,7 +6,8 @@
  * @param status the status code
  * @param declined true if the server states that it did not carry out the request
  * @param closes true if the server closes the connection after the response
- * @param length the length of the body in bytes, -1 if it is not known before its end
+ * @param length the length of the body in bytes, -1 if the head does not state it (a chunked body, or one
+ *     that lasts until the connection closes)
  * @param hasNoBody true if no body follows
  * @param surplus true if no body follows and more bytes were received than belong to the response
  * @param untilClose true if the body ends when the server closes the connection in order; a reset cuts it off
--- a/src/main/java/beampoint/http/HttpWriter.java
+++ b/src/main/java/beampoint/http/HttpWriter.java
@@ -21,8 +21,10 @@
   }
 
   /**
-   * The request of a client to the origin: a PUT with a body for a write, or a GET.
+   * A request to the origin on behalf of a client: a PUT with a body for a write, or a GET.
    *
+   * @param host the value of the header Host
+   * @param key the key, sent as the path after the slash
    * @param id the id of the request, sent in the header Req-Id
    * @param parameters its parameters, sent in the header Req-Extra
    * @param timeLeftMs the time left until its deadline, in ms, sent with the parameters
--- a/src/main/java/beampoint/ops/AdminServer.java
+++ b/src/main/java/beampoint/ops/AdminServer.java
@@ -40,8 +40,9 @@
 
   /**
    * Connections that may be open at once; beyond that the one that has been open longest is closed. Each
-   * request is answered in the pass of the event loop that reads it, so a few connections are enough for any
-   * number of nodes to detach, and more would take file descriptors from clients and cache nodes.
+   * request gets its response in the pass of the event loop that reads it, so a few connections suffice,
+   * however many cache nodes operators detach, and more would take file descriptors from clients and cache
+   * nodes.
    */
   public static final int MAX_CONNECTIONS = 16;
   private static final long MAX_REQUEST_MS = 3000;
@@ -62,7 +63,7 @@
     private Future<?> timeout;
     private HttpRequest request;
     private long bodyBytes;
-    private boolean answered;
+    private boolean responded;
   }
 
   private record Response(int status, String reason, String text) {}
@@ -89,13 +90,13 @@
     return listener == null ? 0 : ((InetSocketAddress) listener.getLocalAddress()).getPort();
   }
 
-  /** Passes on what was read as tasks, which run after all pending reads. */
+  /** Hands each message over to the event loop as a task, which runs after all pending reads. */
   private final class Events extends BaseFilter {
 
     @Override
     public NextAction handleAccept(FilterChainContext ctx) {
       Connection<SocketAddress> connection = connection(ctx);
-      loop.execute(() -> opened(connection));
+      loop.execute(() -> handleOpened(connection));
       return ctx.getInvokeAction();
     }
 
@@ -103,14 +104,14 @@
     public NextAction handleRead(FilterChainContext ctx) {
       Connection<SocketAddress> connection = connection(ctx);
       Object message = ctx.getMessage();
-      loop.execute(() -> read(connection, message));
+      loop.execute(() -> handleMessage(connection, message));
       return ctx.getStopAction();
     }
 
     @Override
     public NextAction handleClose(FilterChainContext ctx) {
       Connection<SocketAddress> connection = connection(ctx);
-      loop.execute(() -> closed(connection));
+      loop.execute(() -> handleClosed(connection));
       return ctx.getInvokeAction();
     }
 
@@ -120,35 +121,40 @@
     }
   }
 
-  private void opened(Connection<SocketAddress> connection) {
+  private void handleOpened(Connection<SocketAddress> connection) {
     if (open.size() >= MAX_CONNECTIONS) {
-      end(open.keySet().iterator().next());
+      closeConnection(open.keySet().iterator().next());
     }
     Exchange exchange = new Exchange();
-    exchange.timeout = loop.schedule(() -> end(connection), MAX_REQUEST_MS, TimeUnit.MILLISECONDS);
+    exchange.timeout =
+        loop.schedule(() -> closeConnection(connection), MAX_REQUEST_MS, TimeUnit.MILLISECONDS);
     open.put(connection, exchange);
   }
 
-  private void end(Connection<SocketAddress> connection) {
+  /**
+   * Closes a connection that is open for too long, or the oldest of too many; counts it if it got no
+   * response.
+   */
+  private void closeConnection(Connection<SocketAddress> connection) {
     Exchange exchange = open.get(connection);
-    if (exchange != null && !exchange.answered) {
+    if (exchange != null && !exchange.responded) {
       counters.add(Counter.OPS_CALLS_UNFINISHED);
     }
-    closed(connection);
+    handleClosed(connection);
     connection.terminateSilently();
   }
 
-  private void closed(Connection<SocketAddress> connection) {
+  private void handleClosed(Connection<SocketAddress> connection) {
     Exchange exchange = open.remove(connection);
     if (exchange != null) {
       exchange.timeout.cancel(false);
     }
   }
 
-  private void read(Connection<SocketAddress> connection, Object message) {
+  private void handleMessage(Connection<SocketAddress> connection, Object message) {
     Exchange exchange = open.get(connection);
-    if (exchange == null || exchange.answered) {
-      return; // closed, or already answered
+    if (exchange == null || exchange.responded) {
+      return; // closed, or the response was already sent
     }
     if (message instanceof HttpFault fault) {
       respond(connection, new Response(400, "Bad Request", fault.problem()));
@@ -168,7 +174,7 @@
   }
 
   private void respond(Connection<SocketAddress> connection, Response response) {
-    open.get(connection).answered = true;
+    open.get(connection).responded = true;
     Buffer message = writer.response(response.status(), response.reason(), response.text());
     connection.write(message, new EmptyCompletionHandler<>() {
       @Override
--- a/src/test/java/beampoint/discovery/HostListLimitsTest.java
+++ b/src/test/java/beampoint/discovery/HostListLimitsTest.java
@@ -62,9 +62,9 @@
         sendList(peer, length);
         peer.beSilent();
       })) {
-        HostListWatcher watch = new HostListWatcher(transport, loop, new Counters(), new Random(1),
+        HostListWatcher watcher = new HostListWatcher(transport, loop, new Counters(), new Random(1),
             Address.parse(discovery.address()), 0, lists::add, () -> breaks.add(true), 10_000, 5_000);
-        loop.execute(watch::openWatch);
+        loop.execute(watcher::openWatch);
         if (length <= HostListWatcher.MAX_LIST_BYTES) {
           HostList list = lists.poll(10, TimeUnit.SECONDS);
           assertTrue(list != null && list.version() == 42, "a list of " + length + " bytes");
--- a/src/test/java/beampoint/discovery/HostListMoveTest.java
+++ b/src/test/java/beampoint/discovery/HostListMoveTest.java
@@ -37,14 +37,14 @@
         default -> sendList(peer, 44);
       }
     })) {
-      watch = new HostListWatcher(transport, loop, counters, new Random(1),
+      watcher = new HostListWatcher(transport, loop, counters, new Random(1),
           Address.parse(old.address()), 41,
-          lists::add, () -> watch.openWatchLater(), HostListWatcher.HEARTBEAT_TIMEOUT_MS,
+          lists::add, () -> watcher.openWatchLater(), HostListWatcher.HEARTBEAT_TIMEOUT_MS,
           HostListWatcher.RESPONSE_TIMEOUT_MS);
-      loop.execute(watch::openWatch);
+      loop.execute(watcher::openWatch);
       assertEquals(42, lists.poll(5, TimeUnit.SECONDS).version());
       long movedAt = System.nanoTime();
-      loop.execute(() -> watch.move(Address.parse(next.address())));
+      loop.execute(() -> watcher.move(Address.parse(next.address())));
       assertEquals(44, lists.poll(10, TimeUnit.SECONDS).version());
       long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - movedAt);
       assertTrue(took < MAX_MOVE_MS, "received after " + took + " ms");
--- a/src/test/java/beampoint/discovery/HostListRetryTest.java
+++ b/src/test/java/beampoint/discovery/HostListRetryTest.java
@@ -26,7 +26,7 @@
    * with heartbeats only in between, must be opened again without a growing backoff.
    */
   @Test
-  void aWatchThatBreaksRepeatedlyAfterHeartbeatsIsReopenedAsSoonEachTime() throws Exception {
+  void aWatchThatBreaksRepeatedlyAfterHeartbeatsIsReopenedWithoutGrowingBackoff() throws Exception {
     try (Stub discovery = new Stub(peer -> {
       peer.head();
       peer.say(HEAD + chunk(peer.stub().connections() < 7 ? "\n" : list(44, true, "")));
@@ -34,11 +34,12 @@
         peer.beSilent();
       }
     })) {
-      follow(discovery, HostListWatcher.HEARTBEAT_TIMEOUT_MS);
+      openWatch(discovery, HostListWatcher.HEARTBEAT_TIMEOUT_MS);
       assertEquals(44, next().version());
-      assertEquals(6, waits.size());
-      assertTrue(Collections.max(waits) + HostListWatcher.HEARTBEAT_TIMEOUT_MS < 6000, "waits: " + waits);
-      assertTrue(Collections.max(waits) <= 150, "waits: " + waits);
+      assertEquals(6, backoffsMs.size());
+      assertTrue(Collections.max(backoffsMs) + HostListWatcher.HEARTBEAT_TIMEOUT_MS < 6000,
+          "backoffs in ms: " + backoffsMs);
+      assertTrue(Collections.max(backoffsMs) <= 150, "backoffs in ms: " + backoffsMs);
     }
   }
 
@@ -52,7 +53,7 @@
         peer.beSilent();
       }
     })) {
-      follow(discovery, 5000);
+      openWatch(discovery, 5000);
       assertEquals(50, next().version());
       assertEquals(51, next().version());
       assertEquals(1, counters.get(Counter.WATCHES_BROKEN));
@@ -70,7 +71,7 @@
       peer.say(HEAD + chunk(list(44, true, "")));
       peer.beSilent();
     })) {
-      follow(discovery, 100);
+      openWatch(discovery, 100);
       assertEquals(44, next().version());
       assertTrue(discovery.ends.take());
     }
@@ -93,9 +94,9 @@
       peer.say(chunk(list(44, false, "")));
       peer.beSilent();
     })) {
-      follow(old, 5000);
+      openWatch(old, 5000);
       assertEquals(42, next().version());
-      loop.execute(() -> watch.move(Address.parse(next.address())));
+      loop.execute(() -> watcher.move(Address.parse(next.address())));
       assertEquals("GET /discovery/hosts?watch=1&from=42 HTTP/1.1", next.nextLine());
       old.ends.add(true);
       assertEquals(43, next().version());
@@ -121,10 +122,10 @@
       peer.say(HEAD + chunk(list(43, false, "")));
       peer.beSilent();
     })) {
-      follow(old, 5000);
+      openWatch(old, 5000);
       next();
-      loop.execute(() -> watch.move(Address.parse(silent.address())));
-      loop.execute(() -> watch.move(Address.parse(last.address())));
+      loop.execute(() -> watcher.move(Address.parse(silent.address())));
+      loop.execute(() -> watcher.move(Address.parse(last.address())));
       last.nextLine();
       old.ends.add(true);
       last.ends.add(true);
@@ -143,13 +144,14 @@
       peer.beSilent();
     })) {
       LinkedBlockingQueue<Boolean> broken = new LinkedBlockingQueue<>();
-      watch = new HostListWatcher(transport, loop, counters, new Random(1), Address.parse(Stub.nobody()), 41,
-          lists::add, () -> broken.add(true), 5000, 5000);
-      loop.execute(watch::openWatch);
+      watcher =
+          new HostListWatcher(transport, loop, counters, new Random(1), Address.parse(Stub.nobody()), 41,
+              lists::add, () -> broken.add(true), 5000, 5000);
+      loop.execute(watcher::openWatch);
       assertTrue(broken.take());
       loop.execute(() -> {
-        if (!watch.move(Address.parse(next.address()))) {
-          watch.openWatchLater();
+        if (!watcher.move(Address.parse(next.address()))) {
+          watcher.openWatchLater();
         }
       });
       assertEquals(44, next().version());
@@ -209,11 +211,11 @@
       peer.say(HEAD + chunk(hostList(44, "Terminating")));
       peer.beSilent();
     })) {
-      watch = new HostListWatcher(transport, loop, counters, new Random(1),
+      watcher = new HostListWatcher(transport, loop, counters, new Random(1),
           Address.parse(discovery.address()), 41,
-          lists::add, () -> watch.openWatchLater(), HostListWatcher.HEARTBEAT_TIMEOUT_MS,
+          lists::add, () -> watcher.openWatchLater(), HostListWatcher.HEARTBEAT_TIMEOUT_MS,
           HostListWatcher.RESPONSE_TIMEOUT_MS);
-      loop.execute(watch::openWatch);
+      loop.execute(watcher::openWatch);
       assertEquals(HostList.Health.TERMINATING, next().hosts().get(0).health());
       long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - backAt.get());
       assertTrue(took < 2000, "received after " + took + " ms");
@@ -233,10 +235,10 @@
       }
       peer.beSilent();
     })) {
-      watch = new HostListWatcher(transport, loop, counters, new Random(1),
+      watcher = new HostListWatcher(transport, loop, counters, new Random(1),
           Address.parse(discovery.address()), 41,
-          lists::add, () -> watch.openWatchLater(), 20_000, 50);
-      loop.execute(watch::openWatch);
+          lists::add, () -> watcher.openWatchLater(), 20_000, 50);
+      loop.execute(watcher::openWatch);
       assertEquals(44, next().version());
       assertTrue(discovery.ends.poll(5, TimeUnit.SECONDS), "the other watches are closed");
     }
@@ -255,7 +257,7 @@
       }
       peer.beSilent();
     })) {
-      follow(discovery, 300);
+      openWatch(discovery, 300);
       assertEquals(44, next().version());
     }
   }
@@ -268,7 +270,7 @@
       peer.say(HEAD + (peer.stub().connections() == 1 ? "" : chunk(list(44, true, ""))));
       peer.beSilent();
     })) {
-      follow(discovery, 200);
+      openWatch(discovery, 200);
       assertEquals(44, next().version());
       assertTrue(discovery.ends.poll(5, TimeUnit.SECONDS), "the first watch is closed");
     }
--- a/src/test/java/beampoint/discovery/HostListWatcherFixture.java
+++ b/src/test/java/beampoint/discovery/HostListWatcherFixture.java
@@ -29,20 +29,20 @@
   private static final long MIN_TIMEOUT_MS = 1500;
 
   final TCPNIOTransport transport = TCPNIOTransportBuilder.newInstance().build();
-  final List<Long> waits = Collections.synchronizedList(new ArrayList<>());
+  final List<Long> backoffsMs = Collections.synchronizedList(new ArrayList<>());
   final ScheduledExecutorService loop =
       new ScheduledThreadPoolExecutor(1, new ThreadPoolExecutor.DiscardPolicy()) {
         @Override
         public ScheduledFuture<?> schedule(Runnable task, long delay, TimeUnit unit) {
           if (unit == TimeUnit.MILLISECONDS && delay > 0 && delay < MIN_TIMEOUT_MS) {
-            waits.add(delay);
+            backoffsMs.add(delay);
           }
           return super.schedule(task, delay, unit);
         }
       };
   final LinkedBlockingQueue<HostList> lists = new LinkedBlockingQueue<>();
   final Counters counters = new Counters();
-  HostListWatcher watch;
+  HostListWatcher watcher;
 
   @BeforeEach
   void start() throws Exception {
@@ -55,11 +55,11 @@
     loop.shutdownNow();
   }
 
-  void follow(Stub discovery, long heartbeatTimeoutMs) {
-    watch =
+  void openWatch(Stub discovery, long heartbeatTimeoutMs) {
+    watcher =
         new HostListWatcher(transport, loop, counters, new Random(1), Address.parse(discovery.address()), 41,
-            lists::add, () -> watch.openWatchLater(), heartbeatTimeoutMs, heartbeatTimeoutMs / 2);
-    loop.execute(watch::openWatch);
+            lists::add, () -> watcher.openWatchLater(), heartbeatTimeoutMs, heartbeatTimeoutMs / 2);
+    loop.execute(watcher::openWatch);
   }
 
   HostList next() throws InterruptedException {
--- a/src/test/java/beampoint/discovery/HostListWatcherTest.java
+++ b/src/test/java/beampoint/discovery/HostListWatcherTest.java
@@ -27,7 +27,7 @@
       peer.say(chunk(second.substring(9)));
       peer.beSilent();
     })) {
-      follow(discovery, 5000);
+      openWatch(discovery, 5000);
       assertTrue(next().whole());
       HostList list = next();
       assertEquals(new HostList.Host("s-1", Address.parse("127.0.0.1:7"),
@@ -53,7 +53,7 @@
       peer.say(again ? chunk(list(44, true, "")) : chunk("\r\n\n{\n  \"seq\":\n\n"));
       peer.beSilent();
     })) {
-      follow(discovery, 5000);
+      openWatch(discovery, 5000);
       assertEquals("s-\\\"}{", next().hosts().get(0).host());
       assertEquals(44, next().version());
     }
@@ -66,7 +66,7 @@
       peer.say(HEAD + chunk(head.contains("from=0") ? list(45, true, "") : "{\"seq\":42}\n"));
       peer.beSilent();
     })) {
-      follow(discovery, 5000);
+      openWatch(discovery, 5000);
       assertEquals(45, next().version());
     }
   }
@@ -100,7 +100,7 @@
       peer.say(list(45, false, ""));
       peer.beSilent();
     })) {
-      follow(discovery, 5000);
+      openWatch(discovery, 5000);
       assertEquals(44, next().version());
       assertEquals(45, next().version());
     }
