--- a/src/main/java/beampoint/emulator/MemberFleet.java
+++ b/src/main/java/beampoint/emulator/MemberFleet.java
@@ -1,7 +1,7 @@
 package beampoint.emulator;
 
 import beampoint.fleet.membership.MemberAction;
-import beampoint.fleet.membership.MemberAction.Changed;
+import beampoint.fleet.membership.MemberAction.ReportChange;
 import beampoint.fleet.membership.MemberAction.Exchange;
 import beampoint.fleet.membership.MemberAction.Send;
 import beampoint.fleet.membership.MemberEvent;
@@ -291,7 +291,7 @@
       send(host, hosts.get(number(a.to().member())), a.message());
     } else if (action instanceof Exchange a) {
       exchange(host, hosts.get(number(a.peer().member())));
-    } else if (action instanceof Changed a) {
+    } else if (action instanceof ReportChange a) {
       statusChanged(host, number(a.state().member()), a.state().status());
     }
   }
--- a/src/main/java/beampoint/emulator/MembershipViews.java
+++ b/src/main/java/beampoint/emulator/MembershipViews.java
@@ -1,7 +1,7 @@
 package beampoint.emulator;
 
 import beampoint.fleet.membership.MemberAction;
-import beampoint.fleet.membership.MemberAction.Changed;
+import beampoint.fleet.membership.MemberAction.ReportChange;
 import beampoint.fleet.membership.MemberAction.Exchange;
 import beampoint.fleet.membership.MemberAction.Send;
 import beampoint.fleet.membership.MemberEvent;
@@ -112,7 +112,7 @@
       send(host, hosts.get(layout.number(send.to().member())), send.message());
     } else if (action instanceof Exchange exchange) {
       exchange(host, hosts.get(layout.number(exchange.peer().member())));
-    } else if (action instanceof Changed changed) {
+    } else if (action instanceof ReportChange changed) {
       recordChange(host, changed.state());
     }
   }
--- a/src/main/java/beampoint/fleet/membership/Gossip.java
+++ b/src/main/java/beampoint/fleet/membership/Gossip.java
@@ -1,6 +1,6 @@
 package beampoint.fleet.membership;
 
-import beampoint.fleet.membership.MemberAction.Changed;
+import beampoint.fleet.membership.MemberAction.ReportChange;
 import beampoint.fleet.membership.MemberAction.Exchange;
 import beampoint.fleet.membership.MemberAction.Send;
 import beampoint.fleet.message.MemberState;
@@ -50,7 +50,7 @@
   /** Disseminates and reports a member that was added to the table. */
   void memberAdded(Peer peer) {
     queue.add(peer.state);
-    actions.add(new Changed(peer.state));
+    actions.add(new ReportChange(peer.state));
   }
 
   /** Replaces the state of a member in the table and disseminates it. */
@@ -60,7 +60,7 @@
     table.update(peer, update);
     queue.add(update);
     if (isChange) {
-      actions.add(new Changed(update));
+      actions.add(new ReportChange(update));
     }
   }
 
--- a/src/main/java/beampoint/fleet/membership/MemberAction.java
+++ b/src/main/java/beampoint/fleet/membership/MemberAction.java
@@ -13,5 +13,5 @@
   record Exchange(MemberState peer) implements MemberAction {}
 
   /** The state of a member has changed in this member's view. */
-  record Changed(MemberState state) implements MemberAction {}
+  record ReportChange(MemberState state) implements MemberAction {}
 }
--- a/src/main/java/beampoint/fleet/node/FleetNode.java
+++ b/src/main/java/beampoint/fleet/node/FleetNode.java
@@ -3,7 +3,7 @@
 import beampoint.count.Counter;
 import beampoint.count.Counters;
 import beampoint.fleet.membership.MemberAction;
-import beampoint.fleet.membership.MemberAction.Changed;
+import beampoint.fleet.membership.MemberAction.ReportChange;
 import beampoint.fleet.membership.MemberAction.Exchange;
 import beampoint.fleet.membership.MemberAction.Send;
 import beampoint.fleet.membership.MemberEvent;
@@ -139,7 +139,7 @@
       if (peer != null) {
         viewExchanger.exchange(peer);
       }
-    } else if (action instanceof Changed a) {
+    } else if (action instanceof ReportChange a) {
       report(a.state());
     }
   }
--- a/src/test/java/beampoint/fleet/membership/RecordedFleet.java
+++ b/src/test/java/beampoint/fleet/membership/RecordedFleet.java
@@ -1,6 +1,6 @@
 package beampoint.fleet.membership;
 
-import beampoint.fleet.membership.MemberAction.Changed;
+import beampoint.fleet.membership.MemberAction.ReportChange;
 import beampoint.fleet.membership.MemberAction.Exchange;
 import beampoint.fleet.membership.MemberAction.Send;
 import beampoint.fleet.message.MemberState;
@@ -226,7 +226,7 @@
       exchanges++;
       text.append("exchange ");
       write(a.peer());
-    } else if (action instanceof Changed a) {
+    } else if (action instanceof ReportChange a) {
       changes++;
       text.append("changed ");
       write(a.state());
