--- a/src/main/java/beampoint/settings/Fields.java
+++ b/src/main/java/beampoint/settings/Fields.java
@@ -8,7 +8,7 @@
   /** Returns the text of a field, or null if there is none. */
   protected abstract String find(String field);
 
-  /** Makes an error that states the place of a field and what is wrong with it. */
+  /** Makes an error that names the source and the field, and states what is wrong with the field. */
   public abstract InputException invalid(String field, String problem);
 
   /** Reads a text; throws if the field is missing. */
@@ -20,7 +20,7 @@
     return value;
   }
 
-  /** Reads a text, or returns the default where the field is missing. */
+  /** Reads a text, or returns the default if the field is missing. */
   public final String text(String field, String defaultValue) {
     String value = find(field);
     return value == null ? defaultValue : value;
@@ -31,7 +31,7 @@
     return number(field, text(field));
   }
 
-  /** Reads a finite number, or returns the default where the field is missing. */
+  /** Reads a finite number, or returns the default if the field is missing. */
   public final double number(String field, double defaultValue) throws InputException {
     String value = find(field);
     return value == null ? defaultValue : number(field, value);
@@ -53,7 +53,7 @@
         return number;
       }
     } catch (NumberFormatException e) {
-      // reported below, with the place and the field
+      // reported below, with the source and the field
     }
     throw invalid(field, "not a number: '" + value + "'");
   }
@@ -63,7 +63,7 @@
     return wholeNumber(field, text(field));
   }
 
-  /** Reads a whole number, or returns the default where the field is missing. */
+  /** Reads a whole number, or returns the default if the field is missing. */
   public final long wholeNumber(String field, long defaultValue) throws InputException {
     String value = find(field);
     return value == null ? defaultValue : wholeNumber(field, value);
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Reads a whole number of 32 bits, or returns the default where the field is missing. */
+  /** Reads a whole number of 32 bits, or returns the default if the field is missing. */
   public final int integer(String field, int defaultValue) throws InputException {
     long value = wholeNumber(field, defaultValue);
     if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
@@ -96,7 +96,7 @@
     return address;
   }
 
-  /** Reads a flag, 0, 1, true or false, or returns the default where the field is missing. */
+  /** Reads a flag, 0, 1, true or false, or returns the default if the field is missing. */
   public final boolean flag(String field, boolean defaultValue) throws InputException {
     String value = text(field, defaultValue ? "1" : "0");
     return switch (value) {
--- a/src/main/java/beampoint/settings/FleetSettings.java
+++ b/src/main/java/beampoint/settings/FleetSettings.java
@@ -9,15 +9,16 @@
  *
  * @param cluster the name of the cluster; messages that state another one are ignored
  * @param listen the address at which other members reach this one, by UDP and TCP
- * @param peers the addresses of the other members by name; some of them may be gone
- * @param dial different addresses to connect to, by name, for members behind a relay for example
+ * @param peers the addresses of the other members by name; some of them may be dead or have left
+ * @param dial addresses to connect to instead of the announced ones, by member name, for example for members
+ *     behind a network relay
  */
 public record FleetSettings(String cluster, InetSocketAddress listen, Map<String, InetSocketAddress> peers,
     Map<String, InetSocketAddress> dial) {
 
   /**
-   * The most entries of a list of members: nearly twice the size of the largest fleet that is planned. Keeps
-   * a configuration with a very long list from using up the memory of the proxy.
+   * The maximum number of entries in a list of members: nearly twice the size of the largest fleet that is
+   * planned. Keeps a configuration with a very long list from using up the memory of the proxy.
    */
   public static final int MAX_MEMBERS = 4_096;
   private static final int MAX_NAME_LENGTH = 100;
--- a/src/main/java/beampoint/settings/JsonFields.java
+++ b/src/main/java/beampoint/settings/JsonFields.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * The fields of nested JSON under the flat names of the simulator's wire format: {@code lanes.0.name} for a
+ * The fields of nested JSON under flat field names, which the simulator also uses: {@code lanes.0.name} for a
  * member of a list entry, {@code lanes.count} for the length of a list.
  */
 public final class JsonFields extends Fields {
--- a/src/main/java/beampoint/settings/KeyPaths.java
+++ b/src/main/java/beampoint/settings/KeyPaths.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 
 /**
- * The paths of all keys of a configuration, at any depth, such as {@code a.b}. Of a list the paths count that
- * all entries have, such as {@code list.*.x}; keys with null values do not count.
+ * The paths of all keys of a configuration, at any depth, such as {@code a.b}. For a list, only the paths
+ * that all its entries have are included, such as {@code list.*.x}. Keys with a null value are left out.
  */
 public final class KeyPaths {
 
--- a/src/main/java/beampoint/settings/LoadColumns.java
+++ b/src/main/java/beampoint/settings/LoadColumns.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * The names of the values in the load reports that come with responses, as the settings list them; empty
- * where responses carry no reports. Values with unknown names are ignored. Load reports are advisory: a
- * malformed one is treated as missing and has no other effect.
+ * The names of the values in a load report, in the order configured; empty if responses carry no load
+ * reports. Values with unknown names are ignored. Load reports are advisory: a malformed one is treated as
+ * missing and has no other effect.
  */
 public record LoadColumns(List<String> names) {
 
@@ -16,7 +16,7 @@
   private static final List<String> QUEUE_NAMES = List.of("depth", "queue");
   private static final List<String> UTILISATION_NAMES = List.of("load_share", "util");
 
-  /** Reads the columns; there are none where reports come with probes only, or not at all. */
+  /** Reads the columns; there are none if reports come with probes only, or not at all. */
   public static LoadColumns read(Fields fields) throws InputException {
     List<String> names = new ArrayList<>();
     String columns = fields.text("telemetry.columns", "");
@@ -27,8 +27,8 @@
     if (!columns.isEmpty()) {
       Collections.addAll(names, columns.split(",", -1));
     }
-    boolean withAnswers = fields.text("telemetry.source", "off").equals("inline");
-    return new LoadColumns(withAnswers ? List.copyOf(names) : List.of());
+    boolean inResponses = fields.text("telemetry.source", "off").equals("inline");
+    return new LoadColumns(inResponses ? List.copyOf(names) : List.of());
   }
 
   /** Parses a report of values without names; null if there is none or the number of values is wrong. */
--- a/src/main/java/beampoint/settings/SettingsReader.java
+++ b/src/main/java/beampoint/settings/SettingsReader.java
@@ -10,7 +10,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads the settings of a balancer by their wire names, which the simulator and real proxies share. */
+/**
+ * Reads the settings of a balancer by their flat field names, which the simulator and real proxies share.
+ * Some of these names differ from those in the code: {@code lanes} are request classes, {@code accounts}
+ * tenants, {@code skus} hardware kinds and {@code localities} zones; {@link SocketSettings} reads the last
+ * two.
+ */
 public final class SettingsReader {
 
   private SettingsReader() {}
@@ -35,6 +40,7 @@
     if (maxAttempts <= 0) {
       throw fields.invalid("policy-limits.max-attempts", "not above 0: " + maxAttempts);
     }
+    // "aside" is cache-aside: the proxy itself sends requests to the origin.
     boolean hasOrigin = fields.text("family-info.mode", "").equals("aside");
     return new Settings(fields.wholeNumber("nonce64"), fields.integer("siblings", 1),
         fields.integer("zone", 0),
--- a/src/main/java/beampoint/settings/SocketSettings.java
+++ b/src/main/java/beampoint/settings/SocketSettings.java
@@ -11,12 +11,12 @@
  * @param zones the names of the zones by number
  * @param kinds the names of the hardware kinds by number
  * @param peerIdleTimeoutMs the time in ms after which peers close an idle connection
- * @param loadColumns the values in the load reports that come with responses
+ * @param loadColumns the names of the values in the load reports that responses carry
  */
 public record SocketSettings(List<String> classes, List<String> tenants, List<String> zones,
     List<String> kinds, double peerIdleTimeoutMs, LoadColumns loadColumns) {
 
-  /** Reads the settings by their wire names. */
+  /** Reads the settings by their flat field names. */
   public static SocketSettings read(Fields fields) throws InputException {
     return new SocketSettings(names(fields, "lanes", ".name"), names(fields, "accounts", ".name"),
         names(fields, "localities", ""), names(fields, "skus", ""),
--- a/src/main/java/beampoint/settings/Transition.java
+++ b/src/main/java/beampoint/settings/Transition.java
@@ -17,39 +17,41 @@
   public record NamedSettings(Settings settings, SocketSettings socketSettings) {}
 
   /**
-   * The next settings with those of the present ones that take effect at a start only: how hosts are numbered
-   * and how the host list is followed.
+   * The next settings, except that those which take effect only at a start are kept from the current ones:
+   * how hosts are numbered and how the host list is followed.
    */
-  public static NamedSettings keepStartupSettings(NamedSettings present, NamedSettings next) {
-    Settings old = present.settings();
-    Settings updated = next.settings();
+  public static NamedSettings keepStartupSettings(NamedSettings current, NamedSettings next) {
+    Settings currentSettings = current.settings();
+    Settings nextSettings = next.settings();
     return new NamedSettings(
-        new Settings(old.seed(), updated.siblings(), old.zone(), old.listPushed(), old.weightSource(),
-            old.originKind(), updated.overShareWorth(), updated.limits(), updated.rules(), updated.prices(),
-            updated.classes(), updated.tenants()),
+        new Settings(currentSettings.seed(), nextSettings.siblings(), currentSettings.zone(),
+            currentSettings.listPushed(), currentSettings.weightSource(),
+            currentSettings.originKind(), nextSettings.overShareWorth(), nextSettings.limits(),
+            nextSettings.rules(), nextSettings.prices(),
+            nextSettings.classes(), nextSettings.tenants()),
         new SocketSettings(next.socketSettings().classes(), next.socketSettings().tenants(),
-            present.socketSettings().zones(),
-            present.socketSettings().kinds(), next.socketSettings().peerIdleTimeoutMs(),
+            current.socketSettings().zones(),
+            current.socketSettings().kinds(), next.socketSettings().peerIdleTimeoutMs(),
             next.socketSettings().loadColumns()));
   }
 
   /**
    * The settings in force while requests under both sets arrive. Classes that the next settings drop are
-   * kept, so that a request is not refused that was valid when it was sent. A class whose idempotency changes
+   * kept, so that a request that was valid when it was sent is not refused. A class whose idempotency changes
    * gets the stricter of both, so that no request takes effect twice because its rules changed in flight.
    */
-  public static NamedSettings duringTransition(NamedSettings present, NamedSettings next) {
+  public static NamedSettings duringTransition(NamedSettings current, NamedSettings next) {
     List<String> names = new ArrayList<>(next.socketSettings().classes());
     List<RequestClass> classes = new ArrayList<>(next.settings().classes());
-    for (int i = 0; i < present.socketSettings().classes().size(); i++) {
-      String name = present.socketSettings().classes().get(i);
-      RequestClass old = present.settings().classes().get(i);
+    for (int i = 0; i < current.socketSettings().classes().size(); i++) {
+      String name = current.socketSettings().classes().get(i);
+      RequestClass currentClass = current.settings().classes().get(i);
       int index = names.indexOf(name);
       if (index < 0) {
         names.add(name);
-        classes.add(old);
+        classes.add(currentClass);
       } else {
-        classes.set(index, stricter(old, classes.get(index)));
+        classes.set(index, stricter(currentClass, classes.get(index)));
       }
     }
     Settings settings = next.settings();
@@ -62,14 +64,14 @@
             next.socketSettings().loadColumns()));
   }
 
-  private static RequestClass stricter(RequestClass old, RequestClass next) {
-    Idempotency idempotency = stricter(old.idempotency(), next.idempotency());
+  private static RequestClass stricter(RequestClass current, RequestClass next) {
+    Idempotency idempotency = stricter(current.idempotency(), next.idempotency());
     DedupGroup group = next.group();
     double window = next.dedupWindow();
-    if (idempotency == Idempotency.KEYED && old.idempotency() == Idempotency.KEYED) {
+    if (idempotency == Idempotency.KEYED && current.idempotency() == Idempotency.KEYED) {
       boolean both = next.idempotency() == Idempotency.KEYED;
-      group = both ? stricter(old.group(), next.group()) : old.group();
-      window = both ? Math.min(old.dedupWindow(), next.dedupWindow()) : old.dedupWindow();
+      group = both ? stricter(current.group(), next.group()) : current.group();
+      window = both ? Math.min(current.dedupWindow(), next.dedupWindow()) : current.dedupWindow();
     }
     return new RequestClass(idempotency, group, window, next.aim(), next.deadline(), next.worth(),
         next.lateWorth());
@@ -81,14 +83,14 @@
   }
 
   /** The event that informs the decision module of a change of settings. */
-  public static SettingsChanged change(NamedSettings present, NamedSettings next) {
+  public static SettingsChanged change(NamedSettings current, NamedSettings next) {
     return new SettingsChanged(next.settings(),
-        formerIndexes(next.socketSettings().classes(), present.socketSettings().classes()),
-        formerIndexes(next.socketSettings().tenants(), present.socketSettings().tenants()));
+        currentIndexes(next.socketSettings().classes(), current.socketSettings().classes()),
+        currentIndexes(next.socketSettings().tenants(), current.socketSettings().tenants()));
   }
 
-  /** For each name its index among the former names, or -1. */
-  private static List<Integer> formerIndexes(List<String> names, List<String> former) {
-    return names.stream().map(former::indexOf).toList();
+  /** For each of the next names its index among the current names, or -1. */
+  private static List<Integer> currentIndexes(List<String> names, List<String> current) {
+    return names.stream().map(current::indexOf).toList();
   }
 }
--- a/src/main/java/beampoint/yaml/YamlMapping.java
+++ b/src/main/java/beampoint/yaml/YamlMapping.java
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Sets a field, which may exist already; mappings that are missing on the way are added. The path consists
-   * of fields and list entries, as in error messages: {@code classes[0].aim_ms}.
+   * Sets a field, which may exist already; mappings of the path that do not exist are added. The path
+   * consists of fields and list entries, as in error messages: {@code classes[0].aim_ms}.
    */
   public void set(String fieldPath, String value) throws InputException {
     YamlMapping inner = this;
@@ -144,7 +144,7 @@
     return new InputException(file + ", line " + line + ", field '" + path + field + "': " + problem);
   }
 
-  /** Makes an error that states the place of a field and what is wrong with its value. */
+  /** Makes an error that states the file, line and field, and what is wrong with the value of the field. */
   public InputException invalid(String field, String problem) {
     Node found = find(field);
     return invalid(found == null ? node : found, field, problem);
--- a/src/test/java/beampoint/settings/TransitionTest.java
+++ b/src/test/java/beampoint/settings/TransitionTest.java
@@ -36,35 +36,37 @@
     return new JsonFields("test", JsonParser.parseString(json).getAsJsonObject());
   }
 
-  private static RequestClass during(String before, String next) throws InputException {
-    return Transition.duringTransition(namedSettings(2, before), namedSettings(2, next)).settings()
+  private static RequestClass classDuring(String current, String next) throws InputException {
+    return Transition.duringTransition(namedSettings(2, current), namedSettings(2, next)).settings()
         .classes().get(0);
   }
 
   @Test
   void aDroppedClassIsKeptDuringTheTransitionAndAKeptOneIsFoundByItsName() throws InputException {
-    NamedSettings before = namedSettings(4, lane("a", "safe", ""), lane("b", "safe", ""));
+    NamedSettings current = namedSettings(4, lane("a", "safe", ""), lane("b", "safe", ""));
     NamedSettings next = namedSettings(2, lane("new", "unsafe", ""), lane("b", "safe", ""));
-    NamedSettings meanwhile = Transition.duringTransition(before, next);
-    assertEquals(List.of("new", "b", "a"), meanwhile.socketSettings().classes());
-    assertEquals(2, meanwhile.settings().limits().maxAttempts());
-    assertEquals(List.of(-1, 1, 0), Transition.change(before, meanwhile).formerClasses());
-    assertEquals(List.of(-1, 1), Transition.change(before, meanwhile).formerTenants());
-    assertEquals(List.of(0, 1), Transition.change(meanwhile, next).formerClasses());
+    NamedSettings during = Transition.duringTransition(current, next);
+    assertEquals(List.of("new", "b", "a"), during.socketSettings().classes());
+    assertEquals(2, during.settings().limits().maxAttempts());
+    assertEquals(List.of(-1, 1, 0), Transition.change(current, during).formerClasses());
+    assertEquals(List.of(-1, 1), Transition.change(current, during).formerTenants());
+    assertEquals(List.of(0, 1), Transition.change(during, next).formerClasses());
   }
 
   @Test
   void aChangedIdempotencyIsTheStricterOfBothDuringTheTransition() throws InputException {
     String keyed = ",\"group\":\"zone\",\"dedup-window-ms\":900";
-    assertEquals(Idempotency.UNSAFE, during(lane("a", "safe", ""), lane("a", "unsafe", "")).idempotency());
-    assertEquals(Idempotency.UNSAFE, during(lane("a", "unsafe", ""), lane("a", "safe", "")).idempotency());
-    RequestClass fromUnsafe = during(lane("a", "unsafe", ""), lane("a", "keyed", keyed));
+    assertEquals(Idempotency.UNSAFE,
+        classDuring(lane("a", "safe", ""), lane("a", "unsafe", "")).idempotency());
+    assertEquals(Idempotency.UNSAFE,
+        classDuring(lane("a", "unsafe", ""), lane("a", "safe", "")).idempotency());
+    RequestClass fromUnsafe = classDuring(lane("a", "unsafe", ""), lane("a", "keyed", keyed));
     assertEquals(Idempotency.UNSAFE, fromUnsafe.idempotency());
-    RequestClass fromKeyed = during(lane("a", "keyed", keyed), lane("a", "safe", ""));
+    RequestClass fromKeyed = classDuring(lane("a", "keyed", keyed), lane("a", "safe", ""));
     assertEquals(Idempotency.KEYED, fromKeyed.idempotency());
     assertEquals(DedupGroup.ZONE, fromKeyed.group());
     assertEquals(900, fromKeyed.dedupWindow());
-    RequestClass both = during(lane("a", "keyed", keyed),
+    RequestClass both = classDuring(lane("a", "keyed", keyed),
         lane("a", "keyed", ",\"group\":\"all\",\"dedup-window-ms\":400"));
     assertEquals(DedupGroup.ZONE, both.group());
     assertEquals(400, both.dedupWindow());
@@ -72,10 +74,10 @@
 
   @Test
   void theNumberingOfHostsStaysUntilTheNextStart() throws InputException {
-    NamedSettings taken =
+    NamedSettings kept =
         Transition.keepStartupSettings(inZones("[\"a\",\"b\"]", 4), inZones("[\"b\",\"a\"]", 2));
-    assertEquals(List.of("a", "b"), taken.socketSettings().zones());
-    assertEquals(2, taken.settings().limits().maxAttempts());
+    assertEquals(List.of("a", "b"), kept.socketSettings().zones());
+    assertEquals(2, kept.settings().limits().maxAttempts());
   }
 
   @Test
