--- a/src/main/java/beampoint/fleet/facts/Entry.java
+++ b/src/main/java/beampoint/fleet/facts/Entry.java
@@ -4,29 +4,30 @@
  * An entry of the replicated map: a value of a key, or a tombstone that marks the value as deleted.
  *
  * @param value null for a tombstone
- * @param remaining the time until it expires, in ms from when it was sent
+ * @param timeToLiveMs the time in ms until the entry expires, measured from when it was read from a map or
+ *     sent
  */
-public record Entry(String key, String value, Stamp stamp, double remaining) {
+public record Entry(String key, String value, Stamp stamp, double timeToLiveMs) {
 
   /** True if the value of the key was deleted. */
   public boolean isTombstone() {
     return value == null;
   }
 
-  /** The same entry with another remaining time. */
-  public Entry withRemaining(double time) {
-    return new Entry(key, value, stamp, time);
+  /** The same entry with another time to live. */
+  public Entry withTimeToLive(double newTimeToLiveMs) {
+    return new Entry(key, value, stamp, newTimeToLiveMs);
   }
 
   /**
    * Returns the entry that takes precedence: the one with the greater stamp; of equal stamps, which a
-   * restarted writer may have used twice, the one with the greater value; then the one with more remaining
-   * time. This is a total order, so the result of merging is unique.
+   * restarted writer may have used twice, the one with the greater value; then the one with the longer time
+   * to live. This is a total order, so the result of merging is unique.
    */
   Entry max(Entry other) {
     int order = stamp.compareTo(other.stamp);
     order = order != 0 ? order : comparedText().compareTo(other.comparedText());
-    order = order != 0 ? order : Double.compare(remaining, other.remaining);
+    order = order != 0 ? order : Double.compare(timeToLiveMs, other.timeToLiveMs);
     return order >= 0 ? this : other;
   }
 
--- a/src/main/java/beampoint/fleet/facts/Epoch.java
+++ b/src/main/java/beampoint/fleet/facts/Epoch.java
@@ -7,7 +7,7 @@
  *
  * @param number 0 for {@link #NONE}, otherwise at least 1
  * @param holder the name of the member
- * @param life a random number drawn at the start of its process
+ * @param life identifies the process of the holder: a random number drawn at its start
  */
 public record Epoch(long number, String holder, long life) implements Comparable<Epoch> {
 
--- a/src/main/java/beampoint/fleet/facts/ReplicatedMap.java
+++ b/src/main/java/beampoint/fleet/facts/ReplicatedMap.java
@@ -33,12 +33,13 @@
   }
 
   /**
-   * Merges an entry. One without remaining time is ignored; one for a new key is rejected if the map is full.
+   * Merges an entry. An entry whose time to live is not above 0 is ignored; one for a new key is rejected if
+   * the map is full.
    *
    * @return true if the value or stamp of the key has changed, so that the entry should be passed on
    */
   public boolean merge(Entry entry, double now) {
-    if (!(entry.remaining() > 0)) {
+    if (!(entry.timeToLiveMs() > 0)) {
       return false;
     }
     Stored stored = entries.get(entry.key());
@@ -50,15 +51,15 @@
         rejected++;
         return false;
       }
-      entries.put(entry.key(), new Stored(entry, now + entry.remaining()));
+      entries.put(entry.key(), new Stored(entry, now + entry.timeToLiveMs()));
       return true;
     }
-    Entry own = stored.entry.withRemaining(stored.expiresAt - now);
+    Entry own = stored.entry.withTimeToLive(stored.expiresAt - now);
     Entry next = own.max(entry);
     if (next == own) {
       return false;
     }
-    entries.put(entry.key(), new Stored(next, now + next.remaining()));
+    entries.put(entry.key(), new Stored(next, now + next.timeToLiveMs()));
     return !next.stamp().equals(own.stamp()) || !Objects.equals(next.value(), own.value());
   }
 
@@ -66,14 +67,16 @@
   public Entry get(String key, double now) {
     Stored stored = entries.get(key);
     return stored == null || stored.expiresAt <= now ? null
-        : stored.entry.withRemaining(stored.expiresAt - now);
+        : stored.entry.withTimeToLive(stored.expiresAt - now);
   }
 
-  /** Returns all entries that have not expired, in the order of their keys, with their remaining times. */
+  /**
+   * Returns all entries that have not expired, in the order of their keys, with their current times to live.
+   */
   public List<Entry> all(double now) {
     List<Entry> all = new ArrayList<>();
     entries.values().stream().filter(s -> s.expiresAt > now)
-        .forEach(s -> all.add(s.entry.withRemaining(s.expiresAt - now)));
+        .forEach(s -> all.add(s.entry.withTimeToLive(s.expiresAt - now)));
     return all;
   }
 
--- a/src/main/java/beampoint/fleet/facts/Stamp.java
+++ b/src/main/java/beampoint/fleet/facts/Stamp.java
@@ -4,7 +4,8 @@
  * Determines which of two entries of a key takes precedence: a final one, then the one of the later epoch,
  * then the one with the higher version, then the one with the greater name of the writer.
  *
- * @param isFinal true for an entry that no later one may replace, such as a halt
+ * @param isFinal true for an entry that no later one may replace, such as an order that stops an ongoing
+ *     rollout
  * @param version a number that the writer increments
  */
 public record Stamp(boolean isFinal, Epoch epoch, long version, String writer) implements Comparable<Stamp> {
--- a/src/main/java/beampoint/fleet/lease/Lease.java
+++ b/src/main/java/beampoint/fleet/lease/Lease.java
@@ -49,9 +49,9 @@
   /** Handles an event. The time must not decrease between calls. */
   public Step step(LeaseState s, double now, LeaseEvent event) {
     if (event instanceof Acquire) {
-      return request(s, now);
+      return acquire(s, now);
     } else if (event instanceof Relinquish) {
-      return release(s);
+      return relinquish(s);
     } else if (event instanceof EpochObserved e) {
       boolean isSuperseded = e.epoch().compareTo(s.requested()) > 0;
       return new Step(
@@ -63,10 +63,11 @@
   }
 
   /**
-   * Requests promises of all voters: under the epoch that it holds, to renew it, or else under a new one. A
-   * voter that has promised another one sends no request, because that one probably holds the lease.
+   * Requests promises of all voters. To renew the lease, the voter uses its current epoch, otherwise a new
+   * one. A voter whose promise to another voter is unexpired sends no request, because that voter probably
+   * holds the lease.
    */
-  private Step request(LeaseState s, double now) {
+  private Step acquire(LeaseState s, double now) {
     boolean isHolder = s.isHolder(now);
     Epoch epoch = isHolder ? s.requested() : new Epoch(s.highestKnown() + 1, self, life);
     if (!canPromise(s, now, epoch)) {
@@ -83,7 +84,8 @@
   }
 
   /**
-   * Whether the voter may promise an epoch: no other one may be promised before the last promise has expired.
+   * Whether the voter may promise an epoch: no other epoch may be promised before the last promise has
+   * expired.
    */
   private static boolean canPromise(LeaseState s, double now, Epoch epoch) {
     return epoch.compareTo(s.fence()) >= 0 && (now >= s.promisedUntil() || epoch.equals(s.promised()));
@@ -117,7 +119,7 @@
   }
 
   /** Releases the lease before its expiry, so that other voters need not wait for it. */
-  private Step release(LeaseState s) {
+  private Step relinquish(LeaseState s) {
     Epoch held = s.requested();
     LeaseState next = s.withRequest(Epoch.NONE, s.requestedAt(), 0);
     boolean own = held.equals(s.promised());
--- a/src/main/java/beampoint/fleet/lease/LeaseState.java
+++ b/src/main/java/beampoint/fleet/lease/LeaseState.java
@@ -12,7 +12,7 @@
  * @param promised the epoch that is promised, or {@link Epoch#NONE}
  * @param promisedUntil when the promise expires; until then the voter promises no other epoch
  * @param requested the epoch that the voter requests or holds, or {@link Epoch#NONE}
- * @param round the number of the last request; it also counts releases
+ * @param round the number of the last request; it also counts withdrawals of requests
  * @param requestedAt the time of the last request
  * @param promises the voters that have granted the last request
  * @param heldUntil when the lease that the voter holds expires; 0 if it holds none
@@ -46,9 +46,10 @@
         round, requestedAt, promises, heldUntil);
   }
 
-  LeaseState withRequest(Epoch epoch, double now, double until) {
+  /** Replaces the request and its promises; {@link Epoch#NONE} withdraws the last request. */
+  LeaseState withRequest(Epoch epoch, double requestTime, double until) {
     return new LeaseState(fence, Math.max(highestKnown, epoch.number()), promised, promisedUntil, epoch,
-        round + 1, now, new TreeSet<>(), until);
+        round + 1, requestTime, new TreeSet<>(), until);
   }
 
   LeaseState withPromises(SortedSet<String> voters, double until) {
--- a/src/main/java/beampoint/fleet/membership/Gossip.java
+++ b/src/main/java/beampoint/fleet/membership/Gossip.java
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Sends a message. A receiver that is not considered alive, or that has restarted, gets its own state as
-   * known here with it, so that it can refute.
+   * Sends a message. If this member does not consider the receiver alive, or the receiver has restarted, the
+   * message also carries the state recorded here for the receiver, so that the receiver can refute it.
    */
   void send(Peer to, Kind kind, long number, String target) {
     send(to, kind, number, target, List.of());
--- a/src/main/java/beampoint/fleet/membership/LocalMember.java
+++ b/src/main/java/beampoint/fleet/membership/LocalMember.java
@@ -9,11 +9,12 @@
  */
 final class LocalMember {
 
-  private static final double RAISE_INTERVAL_MS = 1_000; // while no message is received
+  // between raises while no message is received
+  private static final double INCARNATION_RAISE_INTERVAL_MS = 1_000;
 
   private final MembershipSettings settings;
   private MemberState self;
-  private double lastReceivedAt; // from any member
+  private double lastReceivedAt; // time of the last message from any member
   private double incarnationRaisedAt = Double.NEGATIVE_INFINITY;
   private int consecutiveFailures;
   private boolean wasMaybeIsolated; // at the last call of isolationEnded
@@ -65,15 +66,18 @@
   }
 
   /**
-   * True if the receiving status has to be announced: once per {@link #RAISE_INTERVAL_MS} while nothing is
-   * received, and once when messages arrive again.
+   * True if the receiving status has to be announced: once per {@link #INCARNATION_RAISE_INTERVAL_MS} while
+   * nothing is received, and once when messages arrive again.
    */
   boolean needsAnnouncement(boolean notReceiving, double now) {
-    return notReceiving && now - incarnationRaisedAt >= RAISE_INTERVAL_MS
+    return notReceiving && now - incarnationRaisedAt >= INCARNATION_RAISE_INTERVAL_MS
         || !notReceiving && self.notReceiving();
   }
 
-  /** Takes an incarnation above the given one, which refutes what others report under that one. */
+  /**
+   * Sets the own incarnation to one above the given incarnation. This refutes reports with the given
+   * incarnation.
+   */
   void raiseIncarnation(long incarnation, boolean notReceiving, double now) {
     incarnationRaisedAt = now;
     self = new MemberState(self.member(), self.address(), self.status(), incarnation + 1, notReceiving,
@@ -81,6 +85,6 @@
   }
 
   void leave() {
-    self = self.as(Status.LEFT, self.member());
+    self = self.withStatus(Status.LEFT, self.member());
   }
 }
--- a/src/main/java/beampoint/fleet/membership/MemberAction.java
+++ b/src/main/java/beampoint/fleet/membership/MemberAction.java
@@ -12,6 +12,6 @@
   /** Exchanges whole views with a member: each side receives the other's. */
   record Exchange(MemberState peer) implements MemberAction {}
 
-  /** The state of a member has changed in this member's view. */
+  /** Reports a change of a member's state in this member's view. */
   record ReportChange(MemberState state) implements MemberAction {}
 }
--- a/src/main/java/beampoint/fleet/membership/Membership.java
+++ b/src/main/java/beampoint/fleet/membership/Membership.java
@@ -25,8 +25,8 @@
  */
 public final class Membership {
 
-  private static final double DEAD_PROBE_INTERVAL_MS = 1_000; // one random dead member each
-  private static final double EXCHANGE_INTERVAL_MS = 30_000; // up to the reference fleet size
+  private static final double DEAD_PROBE_INTERVAL_MS = 1_000; // one random dead member is probed per interval
+  private static final double EXCHANGE_INTERVAL_MS = 30_000; // interval in fleets up to the reference size
   private static final int REFERENCE_FLEET_SIZE = 100; // members
 
   private final MembershipSettings settings;
@@ -45,7 +45,7 @@
   /**
    * Creates a member.
    *
-   * @param known other members whose addresses are known at the start; they may be gone
+   * @param known other members whose addresses are known at the start; they may be dead or have left
    */
   public Membership(MembershipSettings settings, String name, String address, List<MemberState> known,
       UniformRandomProvider random, double now) {
@@ -67,7 +67,7 @@
   private void addKnown(MemberState update) {
     Peer peer = table.get(update.member()) == null ? table.add(update) : null;
     if (peer != null) {
-      suspicions.begin(peer, 0);
+      suspicions.beginIfSuspected(peer, 0);
     }
   }
 
@@ -109,7 +109,7 @@
     return 1 + table.live().size();
   }
 
-  /** True while this member may be cut off from the others, or all others are gone. */
+  /** True while this member may be cut off from the others, or all others are dead. */
   public boolean mayBeIsolated() {
     return local.mayBeIsolated();
   }
@@ -163,7 +163,8 @@
     if (local.needsAnnouncement(notReceiving, now)) {
       refute(local.state().incarnation(), notReceiving);
     }
-    // Otherwise suspicions that expired during a possible isolation would declare members dead at once.
+    // Without this restart, members whose suspicion expired during a possible isolation would be declared
+    // dead at once.
     if (local.isolationEnded()) {
       suspicions.restartAll(now);
     }
@@ -187,9 +188,9 @@
     }
     sender.lastDatagramAt = now;
     sender.announcedIncarnation = Math.max(sender.announcedIncarnation, message.from().incarnation());
-    boolean wasConsideredGone = message.updates().stream().anyMatch(this::reportsThisMemberGone);
+    boolean wasReportedDeadOrLeft = message.updates().stream().anyMatch(this::reportsThisMemberDeadOrLeft);
     message.updates().forEach(this::apply);
-    if (wasConsideredGone) {
+    if (wasReportedDeadOrLeft) {
       gossip.exchange(sender, now); // each side may have missed further updates
     }
     switch (message.kind()) {
@@ -204,7 +205,7 @@
     }
   }
 
-  private boolean reportsThisMemberGone(MemberState update) {
+  private boolean reportsThisMemberDeadOrLeft(MemberState update) {
     return update.member().equals(local.name()) && !Peer.isLive(update.status())
         && update.incarnation() >= local.state().incarnation();
   }
@@ -240,17 +241,17 @@
   private void applyNewMember(MemberState update) {
     Peer peer = Peer.isLive(update.status()) ? table.add(update) : null;
     if (peer != null) {
-      peer.selfReportedAt = now;
-      suspicions.begin(peer, now);
+      peer.aliveReportAcceptedAt = now;
+      suspicions.beginIfSuspected(peer, now);
       gossip.memberAdded(peer);
     }
   }
 
   private void applyChange(Peer peer, MemberState update) {
     if (update.status() == Status.ALIVE) {
-      peer.selfReportedAt = now;
+      peer.aliveReportAcceptedAt = now;
     }
-    suspicions.clear(peer, update);
+    suspicions.replaceState(peer, update);
   }
 
   /** Leaves the fleet in an orderly shutdown. */
--- a/src/main/java/beampoint/fleet/membership/MembershipSettings.java
+++ b/src/main/java/beampoint/fleet/membership/MembershipSettings.java
@@ -4,14 +4,14 @@
  * The parameters of the membership protocol, which must be the same at every member. All times are in ms.
  *
  * @param tickInterval the interval between two ticks of the state machine
- * @param probeInterval the interval between probes; each probes the successor and one other member by turns
+ * @param probeInterval the interval at which a member probes its successor and one other member
  * @param directProbeTimeout how long a member waits for a direct answer before it requests relayed probes
  * @param minSuspicionTime the shortest time for which a member is suspected before it is declared dead
  * @param pauseThreshold the time between two events above which the process is considered to have been paused
  * @param receiveTimeout how long a member may receive no message before it announces that it receives none
  * @param isolationProbeFailures failed probes in a row after which a member considers itself possibly
  *     isolated
- * @param maxMembers the capacity of the member table, including members that are gone
+ * @param maxMembers the capacity of the member table, including members that are dead or have left
  */
 public record MembershipSettings(double tickInterval, double probeInterval, double directProbeTimeout,
     double minSuspicionTime,
--- a/src/main/java/beampoint/fleet/membership/Peer.java
+++ b/src/main/java/beampoint/fleet/membership/Peer.java
@@ -9,10 +9,10 @@
   /** Changed only by {@link MemberTable#update}, which keeps its indexes consistent with it. */
   MemberState state;
   /**
-   * When the member was first learned of or its own report (status ALIVE) was last accepted, directly or
-   * through other members.
+   * When an ALIVE state of the member was last accepted, directly or through other members, or when the
+   * member was added to the table by an update.
    */
-  double selfReportedAt = Double.NEGATIVE_INFINITY;
+  double aliveReportAcceptedAt = Double.NEGATIVE_INFINITY;
   /** When the last datagram sent by the member itself was received. */
   double lastDatagramAt = Double.NEGATIVE_INFINITY;
   /** The highest incarnation seen in the member's own datagrams; 0 if none was received. */
@@ -43,7 +43,7 @@
 
   /** True if the member has recently announced that it receives no messages: it cannot answer probes. */
   boolean isKnownNotReceiving(double now, MembershipSettings settings) {
-    return state.notReceiving() && now - selfReportedAt < settings.minSuspicionTime();
+    return state.notReceiving() && now - aliveReportAcceptedAt < settings.minSuspicionTime();
   }
 
   static boolean isLive(Status status) {
--- a/src/main/java/beampoint/fleet/membership/PendingProbes.java
+++ b/src/main/java/beampoint/fleet/membership/PendingProbes.java
@@ -19,7 +19,7 @@
     final String target;
     final double directDeadline;
     final double deadline;
-    boolean relayed;
+    boolean relaysRequested;
 
     Probe(long number, String target, double directDeadline, double deadline) {
       this.number = number;
@@ -33,7 +33,7 @@
   record RelayedProbe(String requester, long requesterNumber, String target, double deadline) {}
 
   private final Map<Long, Probe> own = new LinkedHashMap<>();
-  private final Map<Long, RelayedProbe> relayed = new LinkedHashMap<>();
+  private final Map<Long, RelayedProbe> probesForOthers = new LinkedHashMap<>();
   private long lastNumber;
 
   /** Begins a probe of this member's own. */
@@ -45,7 +45,7 @@
 
   /** Begins a probe for another member; returns its local number. */
   long begin(RelayedProbe probe) {
-    relayed.put(++lastNumber, probe);
+    probesForOthers.put(++lastNumber, probe);
     return lastNumber;
   }
 
@@ -55,8 +55,8 @@
   }
 
   /** Removes and returns a probe made for another member; null if none has that number. */
-  RelayedProbe completeRelayed(long number) {
-    return relayed.remove(number);
+  RelayedProbe completeForOther(long number) {
+    return probesForOthers.remove(number);
   }
 
   boolean isProbed(String target) {
@@ -71,7 +71,7 @@
   /** Removes and returns the probes made for others whose deadline has passed. */
   List<RelayedProbe> removeExpired(double now) {
     List<RelayedProbe> overdue = new ArrayList<>();
-    Iterator<RelayedProbe> probes = relayed.values().iterator();
+    Iterator<RelayedProbe> probes = probesForOthers.values().iterator();
     while (probes.hasNext()) {
       RelayedProbe probe = probes.next();
       if (probe.deadline > now) {
@@ -85,6 +85,6 @@
 
   void clear() {
     own.clear();
-    relayed.clear();
+    probesForOthers.clear();
   }
 }
--- a/src/main/java/beampoint/fleet/membership/Prober.java
+++ b/src/main/java/beampoint/fleet/membership/Prober.java
@@ -28,8 +28,9 @@
   private final UniformRandomProvider random;
   private final PendingProbes pending = new PendingProbes();
   private final ProbeRound round;
-  private final Map<String, MemberState> deathClaims = new LinkedHashMap<>(); // to be verified, by member
-  private boolean isClaimTurn;
+  // reported deaths that are to be verified, by member name
+  private final Map<String, MemberState> deathReports = new LinkedHashMap<>();
+  private boolean isDeathReportTurn;
   private double nextProbeAt;
 
   Prober(MembershipSettings settings, MemberTable table, LocalMember local, Gossip gossip,
@@ -67,9 +68,9 @@
    * here. The report alone does not mark it dead; the probe carries the report so that the member can refute
    * it.
    */
-  void verifyDeath(Peer peer, MemberState claim) {
-    if (claim.overrides(peer.state)) {
-      deathClaims.put(peer.name(), claim);
+  void verifyDeath(Peer peer, MemberState report) {
+    if (report.overrides(peer.state)) {
+      deathReports.put(peer.name(), report);
     }
   }
 
@@ -78,26 +79,26 @@
    * verified until it is resolved.
    */
   private Peer nextTarget() {
-    isClaimTurn = !isClaimTurn;
-    Peer claimed = isClaimTurn ? nextClaimed() : null;
-    return claimed != null ? claimed : round.next();
+    isDeathReportTurn = !isDeathReportTurn;
+    Peer reported = isDeathReportTurn ? nextReportedDead() : null;
+    return reported != null ? reported : round.next();
   }
 
-  private Peer nextClaimed() {
-    while (!deathClaims.isEmpty()) {
-      String name = deathClaims.keySet().iterator().next();
-      MemberState claim = deathClaims.remove(name);
+  private Peer nextReportedDead() {
+    while (!deathReports.isEmpty()) {
+      String name = deathReports.keySet().iterator().next();
+      MemberState report = deathReports.remove(name);
       Peer peer = table.get(name);
-      if (isUnresolved(claim, peer)) {
-        deathClaims.put(name, claim); // moves it to the end of the order
+      if (isUnresolved(report, peer)) {
+        deathReports.put(name, report); // moves it to the end of the order
         return peer;
       }
     }
     return null;
   }
 
-  private static boolean isUnresolved(MemberState claim, Peer peer) {
-    return peer.state.status() == Status.ALIVE && claim.overrides(peer.state);
+  private static boolean isUnresolved(MemberState report, Peer peer) {
+    return peer.state.status() == Status.ALIVE && report.overrides(peer.state);
   }
 
   private void probe(Peer target, double now) {
@@ -106,9 +107,9 @@
     }
     Probe probe = pending.begin(target.name(), now + settings.directProbeTimeout(),
         now + settings.probeInterval());
-    MemberState claim = deathClaims.get(target.name());
-    if (claim != null && isUnresolved(claim, target)) {
-      gossip.send(target, Kind.PING, probe.number, "", List.of(claim));
+    MemberState report = deathReports.get(target.name());
+    if (report != null && isUnresolved(report, target)) {
+      gossip.send(target, Kind.PING, probe.number, "", List.of(report));
     } else {
       gossip.send(target, Kind.PING, probe.number, "");
     }
@@ -125,8 +126,8 @@
       if (now >= probe.deadline) {
         own.remove();
         probeFailed(probe, now);
-      } else if (now >= probe.directDeadline && !probe.relayed) {
-        probe.relayed = true;
+      } else if (now >= probe.directDeadline && !probe.relaysRequested) {
+        probe.relaysRequested = true;
         requestRelays(probe);
       }
     }
@@ -157,7 +158,7 @@
       local.probeSucceeded();
       return;
     }
-    RelayedProbe relayed = pending.completeRelayed(message.number());
+    RelayedProbe relayed = pending.completeForOther(message.number());
     Peer requester = relayed == null ? null : table.get(relayed.requester());
     if (requester != null) {
       gossip.send(requester, Kind.ACK, relayed.requesterNumber(), relayed.target());
--- a/src/main/java/beampoint/fleet/membership/SiblingCount.java
+++ b/src/main/java/beampoint/fleet/membership/SiblingCount.java
@@ -1,9 +1,10 @@
 package beampoint.fleet.membership;
 
 /**
- * The number of proxies that share the load, derived from the live members. With a number that is too low,
- * each proxy would send a cold cache more than its share. So the number is lowered only after a settling time
- * and raised at once, and a member whose view may be wrong uses the configured number.
+ * The number of siblings: proxies, including this one, that share the load. Derived from the live members.
+ * With a number that is too low, each proxy would send a cold cache more than its share. So the number is
+ * lowered only after a settling time and raised at once, and a member whose view may be wrong uses the
+ * configured number.
  */
 public final class SiblingCount {
 
--- a/src/main/java/beampoint/fleet/membership/Suspicion.java
+++ b/src/main/java/beampoint/fleet/membership/Suspicion.java
@@ -13,7 +13,7 @@
   double startedAt;
   double deadline;
   /** Whether the final probe before the deadline was sent. */
-  boolean lastProbeSent;
+  boolean finalProbeSent;
 
   Suspicion(Peer peer, double startedAt) {
     this.peer = peer;
--- a/src/main/java/beampoint/fleet/membership/SuspicionHandler.java
+++ b/src/main/java/beampoint/fleet/membership/SuspicionHandler.java
@@ -14,7 +14,8 @@
 final class SuspicionHandler {
 
   private static final int MAX_ACCUSERS = 3; // more do not shorten a suspicion further
-  private static final double MAX_SUSPICION_FACTOR = 2; // of the shortest time, with one accuser
+  // The longest suspicion time (one accuser) as a multiple of the shortest.
+  private static final double MAX_SUSPICION_FACTOR = 2;
 
   private final MembershipSettings settings;
   private final MemberTable table;
@@ -36,26 +37,28 @@
       return;
     }
     if (peer.state.status() == Status.ALIVE) {
-      gossip.update(peer, peer.state.as(Status.SUSPECT, accuser));
-      begin(peer, now);
+      gossip.update(peer, peer.state.withStatus(Status.SUSPECT, accuser));
+      beginIfSuspected(peer, now);
     }
     Suspicion suspicion = peer.suspicion;
     if (suspicion != null && suspicion.accusers.size() < MAX_ACCUSERS && suspicion.accusers.add(accuser)) {
       queue.put(suspicion, deadline(suspicion));
-      gossip.enqueue(peer.state.as(Status.SUSPECT, accuser));
+      gossip.enqueue(peer.state.withStatus(Status.SUSPECT, accuser));
     }
   }
 
-  /** Begins the suspicion of a member that became a suspect or was one when it was added. */
-  void begin(Peer peer, double startedAt) {
+  /**
+   * Begins the suspicion of a member that became a suspect or was one when it was added; no effect on others.
+   */
+  void beginIfSuspected(Peer peer, double startedAt) {
     if (peer.state.status() == Status.SUSPECT) {
       peer.suspicion = new Suspicion(peer, startedAt);
       queue.put(peer.suspicion, deadline(peer.suspicion));
     }
   }
 
-  /** Replaces the state of a member by one that is not suspected, and ends its suspicion. */
-  void clear(Peer peer, MemberState update) {
+  /** Replaces the state of a member and ends its suspicion, if it has one. */
+  void replaceState(Peer peer, MemberState update) {
     if (peer.suspicion != null) {
       queue.remove(peer.suspicion);
       peer.suspicion = null;
@@ -70,12 +73,12 @@
     for (Suspicion suspicion : List.copyOf(queue.all())) {
       queue.unlink(suspicion);
       suspicion.startedAt = now;
-      suspicion.lastProbeSent = false;
+      suspicion.finalProbeSent = false;
       queue.put(suspicion, deadline(suspicion));
     }
   }
 
-  /** Sends final probes and declares members dead whose time has expired, in the order of names. */
+  /** Sends final probes and declares members dead whose suspicion has expired, in the order of names. */
   void tick(double now) {
     recomputeDeadlines();
     NavigableMap<String, Suspicion> due = due(now);
@@ -90,7 +93,7 @@
 
   private NavigableMap<String, Suspicion> due(double now) {
     NavigableMap<String, Suspicion> due = new TreeMap<>();
-    queue.collectBeforeLastProbe(now, settings.probeInterval(), due);
+    queue.collectBeforeFinalProbe(now, settings.probeInterval(), due);
     if (!local.mayBeIsolated()) {
       queue.collectExpired(now, due);
     }
@@ -99,11 +102,11 @@
 
   private void handleDue(Suspicion suspicion, double now) {
     Peer peer = suspicion.peer;
-    if (!suspicion.lastProbeSent) {
-      queue.markLastProbeSent(suspicion);
+    if (!suspicion.finalProbeSent) {
+      queue.markFinalProbeSent(suspicion);
       gossip.send(peer, Kind.PING, 0, "");
     } else if (peer.lastDatagramAt < suspicion.startedAt) {
-      clear(peer, peer.state.as(Status.DEAD, local.name()));
+      replaceState(peer, peer.state.withStatus(Status.DEAD, local.name()));
     } else {
       queue.unlink(suspicion);
     }
@@ -128,7 +131,7 @@
     return true;
   }
 
-  /** The fewer members accuse it, the later the deadline. */
+  /** The fewer accusers, the later the deadline. */
   private double deadline(Suspicion suspicion) {
     return suspicion.startedAt + duration(suspicion.accusers.size());
   }
--- a/src/main/java/beampoint/fleet/membership/SuspicionQueue.java
+++ b/src/main/java/beampoint/fleet/membership/SuspicionQueue.java
@@ -8,9 +8,9 @@
 import java.util.TreeSet;
 
 /**
- * Suspicions ordered by their deadlines, before and after their last probe. A suspicion that cannot end in a
- * death any more, because a datagram of its member has arrived since, is in neither order until it is
- * restarted.
+ * Suspicions ordered by their deadlines, before and after their final probe. A suspicion that cannot end in a
+ * death any more, because a datagram of its member has arrived since the suspicion started, is in neither
+ * order until it is restarted.
  */
 final class SuspicionQueue {
 
@@ -18,8 +18,8 @@
       Comparator.comparingDouble(Suspicion::deadline).thenComparing(Suspicion::name);
 
   private final Set<Suspicion> all = new LinkedHashSet<>();
-  private final TreeSet<Suspicion> beforeLastProbe = new TreeSet<>(BY_DEADLINE);
-  private final TreeSet<Suspicion> afterLastProbe = new TreeSet<>(BY_DEADLINE);
+  private final TreeSet<Suspicion> beforeFinalProbe = new TreeSet<>(BY_DEADLINE);
+  private final TreeSet<Suspicion> afterFinalProbe = new TreeSet<>(BY_DEADLINE);
 
   Set<Suspicion> all() {
     return all;
@@ -30,19 +30,19 @@
     unlink(suspicion);
     all.add(suspicion);
     suspicion.deadline = deadline;
-    (suspicion.lastProbeSent ? afterLastProbe : beforeLastProbe).add(suspicion);
+    (suspicion.finalProbeSent ? afterFinalProbe : beforeFinalProbe).add(suspicion);
   }
 
-  void markLastProbeSent(Suspicion suspicion) {
-    beforeLastProbe.remove(suspicion);
-    suspicion.lastProbeSent = true;
-    afterLastProbe.add(suspicion);
+  void markFinalProbeSent(Suspicion suspicion) {
+    beforeFinalProbe.remove(suspicion);
+    suspicion.finalProbeSent = true;
+    afterFinalProbe.add(suspicion);
   }
 
   /** Removes a suspicion from the orders by deadline but keeps it among all suspicions. */
   void unlink(Suspicion suspicion) {
-    beforeLastProbe.remove(suspicion);
-    afterLastProbe.remove(suspicion);
+    beforeFinalProbe.remove(suspicion);
+    afterFinalProbe.remove(suspicion);
   }
 
   void remove(Suspicion suspicion) {
@@ -51,22 +51,22 @@
   }
 
   /**
-   * Adds the suspicions that await their last probe and whose deadline is within the given time, by member
-   * name.
+   * Adds the suspicions that await their final probe and whose deadline is at most {@code withinMs} after
+   * now, by member name.
    */
-  void collectBeforeLastProbe(double now, double within, NavigableMap<String, Suspicion> due) {
-    collect(beforeLastProbe, now, within, due);
+  void collectBeforeFinalProbe(double now, double withinMs, NavigableMap<String, Suspicion> due) {
+    collect(beforeFinalProbe, now, withinMs, due);
   }
 
-  /** Adds the suspicions whose last probe was sent and whose deadline has passed, by member name. */
+  /** Adds the suspicions whose final probe was sent and whose deadline has passed, by member name. */
   void collectExpired(double now, NavigableMap<String, Suspicion> due) {
-    collect(afterLastProbe, now, 0, due);
+    collect(afterFinalProbe, now, 0, due);
   }
 
-  private static void collect(SortedSet<Suspicion> from, double now, double within,
+  private static void collect(SortedSet<Suspicion> from, double now, double withinMs,
       NavigableMap<String, Suspicion> due) {
     for (Suspicion suspicion : from) {
-      if (suspicion.deadline - now > within) {
+      if (suspicion.deadline - now > withinMs) {
         break;
       }
       due.put(suspicion.name(), suspicion);
--- a/src/main/java/beampoint/fleet/message/Codec.java
+++ b/src/main/java/beampoint/fleet/message/Codec.java
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Encodes a whole view. If addresses are so long that it would exceed the maximum length, which every
-   * receiver rejects, some of the last members are omitted; gossip still propagates them.
+   * Encodes a whole view. With very long addresses the view would be longer than the maximum and every
+   * receiver would reject it; so some of the last members are omitted, which gossip still propagates.
    */
   public byte[] writeView(List<MemberState> view) {
     for (int members = view.size();; members -= 1 + members / 16) {
@@ -189,7 +189,7 @@
   private static String text(JsonParser in) throws IOException, MalformedMessageException {
     expect(in, JsonToken.VALUE_STRING);
     String text = in.getText();
-    // Rejects names that can be decoded but not encoded: forwarding them would fail.
+    // Names are passed on to other members, so a name that could not be encoded there is rejected.
     if (text.length() > MAX_TEXT_LENGTH || !text.chars().allMatch(c -> c >= ' ' && c <= '~')) {
       throw new MalformedMessageException(
           "text longer than " + MAX_TEXT_LENGTH + " characters or not printable ASCII");
--- a/src/main/java/beampoint/fleet/message/MemberState.java
+++ b/src/main/java/beampoint/fleet/message/MemberState.java
@@ -3,12 +3,14 @@
 /**
  * The reported state of one member.
  *
+ * @param member the name of the member
  * @param address the address of the member, as {@code host:port}
+ * @param status whether the member is alive, suspected, dead or has left
  * @param incarnation a number that only the member itself raises, to refute reports of others
  * @param notReceiving whether the member has announced that it receives no messages: it is alive although it
  *     answers no probe
- * @param reporter the member that reports this state: the member itself, an accuser, or one that declared it
- *     dead
+ * @param reporter the member that reports this state: the member itself, a member that suspects it, or a
+ *     member that declared it dead
  */
 public record MemberState(String member, String address, Status status, long incarnation,
     boolean notReceiving, String reporter) {
@@ -19,15 +21,15 @@
    */
   public boolean overrides(MemberState other) {
     return incarnation > other.incarnation
-        || incarnation == other.incarnation && rank() > other.rank();
+        || incarnation == other.incarnation && precedence() > other.precedence();
   }
 
   /** The same member with another status, as reported by the given member. */
-  public MemberState as(Status next, String by) {
-    return new MemberState(member, address, next, incarnation, notReceiving, by);
+  public MemberState withStatus(Status newStatus, String newReporter) {
+    return new MemberState(member, address, newStatus, incarnation, notReceiving, newReporter);
   }
 
-  private int rank() {
+  private int precedence() {
     return status.ordinal();
   }
 }
--- a/src/main/java/beampoint/fleet/node/FleetNode.java
+++ b/src/main/java/beampoint/fleet/node/FleetNode.java
@@ -36,7 +36,8 @@
 public final class FleetNode {
 
   private static final Log LOG = Log.of("fleet");
-  private static final double SIBLING_SETTLE_MS = 5_000; // before a lower number of members is used
+  // how long a lower number of siblings must be observed before it is used
+  private static final double SIBLING_SETTLE_MS = 5_000;
 
   private final FleetSettings settings;
   private final String name;
--- a/src/main/java/beampoint/fleet/transport/ViewExchanger.java
+++ b/src/main/java/beampoint/fleet/transport/ViewExchanger.java
@@ -35,11 +35,11 @@
 public final class ViewExchanger {
 
   /**
-   * The maximum number of concurrent exchanges, whichever side initiated them. Each member initiates one in
-   * 30 s with a random member, less often in a fleet of over a hundred members. So each member receives about
-   * as many, and they last milliseconds. More exchanges would take file descriptors and, at 1.3 MB per view,
-   * memory that requests need. A member that is rejected tries another one at its next exchange and receives
-   * changes by datagrams meanwhile.
+   * The maximum number of concurrent exchanges, whichever side initiated them. Each member initiates one
+   * exchange every 30 s with a random member, less often in fleets of more than 100 members. So each member
+   * receives about as many, and an exchange lasts milliseconds. More exchanges would take file descriptors
+   * and, at 1.3 MB per view, memory that requests need. A member that is rejected tries another one at its
+   * next exchange and receives changes by datagrams meanwhile.
    */
   public static final int MAX_EXCHANGES = 16;
   private static final long MAX_EXCHANGE_MS = 2_000;
@@ -117,7 +117,7 @@
 
   /**
    * Closes a connection that exceeds the maximum number of exchanges, and any other after the maximum
-   * duration, which peers that connect and send nothing would exceed.
+   * duration, because a peer may connect and never send anything.
    */
   private void limitExchange(Connection<?> connection) {
     if (openExchanges.incrementAndGet() > MAX_EXCHANGES) {
--- a/src/test/java/beampoint/fleet/lease/LeaseSearchTest.java
+++ b/src/test/java/beampoint/fleet/lease/LeaseSearchTest.java
@@ -142,14 +142,15 @@
           return NAMES.get(holder) + " and " + NAMES.get(i) + " hold the lease at once";
         }
         holder = i;
-        int bound = 0; // voters that cannot promise another epoch now
+        int unavailableVoters = 0; // voters that cannot promise another epoch now
         for (int v = 0; v < NAMES.size(); v++) {
           LeaseState voter = system.states.get(v);
-          boolean own = voter.promised().equals(state.requested()) || voter.promised().equals(Epoch.NONE);
-          bound += own && clock(v, system.time) < voter.promisedUntil() ? 1 : 0;
+          boolean promisesNoOther =
+              voter.promised().equals(state.requested()) || voter.promised().equals(Epoch.NONE);
+          unavailableVoters += promisesNoOther && clock(v, system.time) < voter.promisedUntil() ? 1 : 0;
         }
-        if (bound < settings.majority()) {
-          return NAMES.get(i) + " holds the lease with the promises of " + bound;
+        if (unavailableVoters < settings.majority()) {
+          return NAMES.get(i) + " holds the lease with the promises of " + unavailableVoters;
         }
         Epoch epoch = state.requested();
         if (!epoch.holder().equals(NAMES.get(i)) || epoch.life() != system.lives.get(i)) {
--- a/src/test/java/beampoint/fleet/membership/RecordedDecisionsTest.java
+++ b/src/test/java/beampoint/fleet/membership/RecordedDecisionsTest.java
@@ -26,7 +26,8 @@
 class RecordedDecisionsTest {
 
   private static final MembershipSettings DEFAULTS = MembershipSettings.defaults();
-  private static final int LEAVE_ONE_IN = 4; // of the stopping members; the others crash
+  // one in four stopped members leaves in an orderly shutdown; the others crash
+  private static final int ORDERLY_SHUTDOWN_ONE_IN = 4;
 
   private static MembershipSettings withRoomFor(int members) {
     return new MembershipSettings(DEFAULTS.tickInterval(), DEFAULTS.probeInterval(),
@@ -56,7 +57,7 @@
       fleet.pause(paused);
       fleet.cut((from, to) -> from == sender && (isIsolated || to == receiver)
           || to == receiver && isIsolated);
-      if (fleet.isUp(stopped) && fleet.random().nextInt(LEAVE_ONE_IN) == 0) {
+      if (fleet.isUp(stopped) && fleet.random().nextInt(ORDERLY_SHUTDOWN_ONE_IN) == 0) {
         fleet.leave(stopped);
       } else {
         fleet.kill(stopped);
--- a/src/test/java/beampoint/fleet/membership/RecordedFleet.java
+++ b/src/test/java/beampoint/fleet/membership/RecordedFleet.java
@@ -19,8 +19,8 @@
 
 /**
  * Runs membership state machines on a simulated network in virtual time and computes a digest over the text
- * of all actions of all events. It depends only on the state machine and not on the emulator, so the digest
- * stays the same as long as the decisions do.
+ * of all actions of all events. The digest depends only on the state machine, so it stays the same as long as
+ * the decisions do; this class does not use the network emulator of the project.
  */
 final class RecordedFleet {
 
