--- a/src/main/java/beampoint/discovery/HostListWatcher.java
+++ b/src/main/java/beampoint/discovery/HostListWatcher.java
@@ -257,8 +257,7 @@
 
   /** The first watch with a response becomes the current one; others that wait for a response are closed. */
   private void handleResponseHead(Watch watch) {
-    restartTimeout(watch, heartbeatTimeoutMs,
-        () -> fail(watch, "no list or heartbeat within " + heartbeatTimeoutMs + " ms"));
+    restartTimeout(watch, heartbeatTimeoutMs, () -> fail(watch, "silent"));
     if (awaitingResponse.remove(watch)) {
       close(current);
       current = watch;
@@ -313,8 +312,7 @@
       return;
     }
     watch.hasDelivered = true;
-    restartTimeout(watch, heartbeatTimeoutMs,
-        () -> fail(watch, "no list or heartbeat within " + heartbeatTimeoutMs + " ms"));
+    restartTimeout(watch, heartbeatTimeoutMs, () -> fail(watch, "silent"));
     // The address responds, so a watch that fails again is reopened without a long backoff.
     backoffMs = FIRST_BACKOFF_MS;
     if (watch == current) {
@@ -342,7 +340,10 @@
     }, timeoutMs, TimeUnit.MILLISECONDS);
   }
 
-  /** Closes a watch and logs the reason; the current watch also counts as failed. */
+  /**
+   * Closes a watch and logs the reason; the current watch also counts as failed. The reason "silent" means
+   * that neither a list nor a heartbeat was received within the heartbeat timeout.
+   */
   private void fail(Watch watch, String reason) {
     if (!isOpen(watch)) {
       return;
