--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -249,7 +249,7 @@
     }
     releaseIfDone(exchange);
     dispatch(new AttemptEnded(exchange.id(), attempt, endpoint, elapsed, result, exchange.isOver(),
-        names.settings().loads().parseNamed(loadReport)));
+        names.settings().loadColumns().parseNamed(loadReport)));
   }
 
   @Override
@@ -304,7 +304,7 @@
     } else if (action instanceof Balancer.CloseIdle a) {
       upstreams.closeIdle(a.endpoint());
     } else if (action instanceof Balancer.FollowList) {
-      watcher.follow();
+      watcher.openWatch();
     } else if (action instanceof Balancer.Log a) {
       LOG.info(a.text());
     }
--- a/src/main/java/beampoint/settings/Fields.java
+++ b/src/main/java/beampoint/settings/Fields.java
@@ -8,19 +8,19 @@
   /** Returns the text of a field, or null if there is none. */
   protected abstract String find(String field);
 
-  /** Makes an error that states the place of a field and what is wrong with it. */
-  public abstract InputException malformed(String field, String problem);
+  /** Makes an error that names the source and the field, and states what is wrong with the field. */
+  public abstract InputException invalid(String field, String problem);
 
   /** Reads a text; throws if the field is missing. */
   public final String text(String field) throws InputException {
     String value = find(field);
     if (value == null) {
-      throw malformed(field, "missing");
+      throw invalid(field, "missing");
     }
     return value;
   }
 
-  /** Reads a text, or returns the default where the field is missing. */
+  /** Reads a text, or returns the default if the field is missing. */
   public final String text(String field, String defaultValue) {
     String value = find(field);
     return value == null ? defaultValue : value;
@@ -31,7 +31,7 @@
     return number(field, text(field));
   }
 
-  /** Reads a finite number, or returns the default where the field is missing. */
+  /** Reads a finite number, or returns the default if the field is missing. */
   public final double number(String field, double defaultValue) throws InputException {
     String value = find(field);
     return value == null ? defaultValue : number(field, value);
@@ -41,7 +41,7 @@
   public final double positive(String field) throws InputException {
     double value = number(field);
     if (value <= 0) {
-      throw malformed(field, "not above 0: " + text(field));
+      throw invalid(field, "not above 0: " + text(field));
     }
     return value;
   }
@@ -53,35 +53,35 @@
         return number;
       }
     } catch (NumberFormatException e) {
-      // reported below, with the place and the field
+      // reported below, with the source and the field
     }
-    throw malformed(field, "not a number: '" + value + "'");
+    throw invalid(field, "not a number: '" + value + "'");
   }
 
   /** Reads a whole number; throws if the field is missing. */
-  public final long whole(String field) throws InputException {
-    return whole(field, text(field));
+  public final long wholeNumber(String field) throws InputException {
+    return wholeNumber(field, text(field));
   }
 
-  /** Reads a whole number, or returns the default where the field is missing. */
-  public final long whole(String field, long defaultValue) throws InputException {
+  /** Reads a whole number, or returns the default if the field is missing. */
+  public final long wholeNumber(String field, long defaultValue) throws InputException {
     String value = find(field);
-    return value == null ? defaultValue : whole(field, value);
+    return value == null ? defaultValue : wholeNumber(field, value);
   }
 
-  private long whole(String field, String value) throws InputException {
+  private long wholeNumber(String field, String value) throws InputException {
     try {
       return Long.parseLong(value);
     } catch (NumberFormatException e) {
-      throw malformed(field, "not a whole number: '" + value + "'");
+      throw invalid(field, "not a whole number: '" + value + "'");
     }
   }
 
-  /** Reads a whole number of 32 bits, or returns the default where the field is missing. */
-  public final int index(String field, int defaultValue) throws InputException {
-    long value = whole(field, defaultValue);
+  /** Reads a whole number of 32 bits, or returns the default if the field is missing. */
+  public final int integer(String field, int defaultValue) throws InputException {
+    long value = wholeNumber(field, defaultValue);
     if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
-      throw malformed(field, "not a whole number of 32 bits: " + value);
+      throw invalid(field, "not a whole number of 32 bits: " + value);
     }
     return (int) value;
   }
@@ -91,18 +91,18 @@
     String text = text(field);
     InetSocketAddress address = Address.parse(text);
     if (address == null) {
-      throw malformed(field, "not of the form host:port: '" + text + "'");
+      throw invalid(field, "not of the form host:port: '" + text + "'");
     }
     return address;
   }
 
-  /** Reads a flag, 0, 1, true or false, or returns the default where the field is missing. */
+  /** Reads a flag, 0, 1, true or false, or returns the default if the field is missing. */
   public final boolean flag(String field, boolean defaultValue) throws InputException {
     String value = text(field, defaultValue ? "1" : "0");
     return switch (value) {
       case "1", "true" -> true;
       case "0", "false" -> false;
-      default -> throw malformed(field, "none of 0, 1, true, false: '" + value + "'");
+      default -> throw invalid(field, "none of 0, 1, true, false: '" + value + "'");
     };
   }
 }
