--- a/src/main/java/beampoint/Balancer.java
+++ b/src/main/java/beampoint/Balancer.java
@@ -85,10 +85,10 @@
   record Tenant(double quotaPerSecond) {}
 
   /**
-   * What a site allows a balancer to do: attempts for each request, hedged requests ({@code secondCopies}),
+   * What a site allows a balancer to do: attempts for each request, hedged requests ({@code hedgedRequests}),
    * probes, and advice on when to retry, up to {@code maxRetryAfter}.
    */
-  record Limits(int maxAttempts, boolean secondCopies, boolean probes, boolean retryAdvice,
+  record Limits(int maxAttempts, boolean hedgedRequests, boolean probes, boolean retryAdvice,
       double maxRetryAfter, double connectTimeout) {}
 
   /**
@@ -146,28 +146,28 @@
 
   /** What a balancer observes; the argument of {@link #handle}. */
   sealed interface Event permits ListReceived, RequestReceived, AttemptStarted, AttemptEnded, RequestGone,
-      TimerFired, ProbeEnded, BanChanged, ShareChanged, SettingsChanged {}
+      TimerFired, ProbeEnded, BanChanged, ColdShareChanged, SettingsChanged {}
 
   /** The full endpoint list or changes to it. */
   record ListReceived(ListKind kind, List<Endpoint> endpoints) implements Event {}
 
   /**
-   * A client's request, which needs exactly one final answer before {@code notAfter}. A key below 0 means
-   * that it has none. {@code again} is set where the client marked it as a retry; many clients mark none.
-   * {@code overflow} means that the proxy has no memory to let it wait: it can only be refused.
+   * A client's request, which needs exactly one final answer before {@code deadline}. A key below 0 means
+   * that it has none. {@code markedAsRetry} is set where the client marked it as a retry; many clients mark
+   * none. {@code overflow} means that the proxy has no memory to let it wait: it can only be refused.
    */
-  record RequestReceived(long id, double notAfter, int tenant, int requestClass, long key, boolean write,
-      boolean again, boolean overflow) implements Event {
+  record RequestReceived(long id, double deadline, int tenant, int requestClass, long key, boolean write,
+      boolean markedAsRetry, boolean overflow) implements Event {
 
     /** A request that can wait. */
-    public RequestReceived(long id, double notAfter, int tenant, int requestClass, long key, boolean write,
-        boolean again) {
-      this(id, notAfter, tenant, requestClass, key, write, again, false);
+    public RequestReceived(long id, double deadline, int tenant, int requestClass, long key, boolean write,
+        boolean markedAsRetry) {
+      this(id, deadline, tenant, requestClass, key, write, markedAsRetry, false);
     }
 
     /** A request not marked as a retry. */
-    public RequestReceived(long id, double notAfter, int tenant, int requestClass, long key, boolean write) {
-      this(id, notAfter, tenant, requestClass, key, write, false);
+    public RequestReceived(long id, double deadline, int tenant, int requestClass, long key, boolean write) {
+      this(id, deadline, tenant, requestClass, key, write, false);
     }
   }
 
@@ -200,7 +200,7 @@
   record BanChanged(String endpoint, boolean out, double at) implements Event {}
 
   /** The part of this balancer's rate limit for cold endpoints that this process may use, beside others. */
-  record ShareChanged(double part) implements Event {}
+  record ColdShareChanged(double part) implements Event {}
 
   /**
    * New settings, and for each of their classes and tenants its index in the former ones, or -1. Open
@@ -210,7 +210,7 @@
       implements Event {}
 
   /** What a balancer can have done; the result of {@link #handle}. */
-  sealed interface Action permits Send, Refuse, Fail, Cancel, SetTimer, Probe, CloseIdle, FollowList,
+  sealed interface Action permits Send, Refuse, Fail, Cancel, SetTimer, Probe, CloseIdle, SubscribeToList,
       Log {}
 
   /**
@@ -244,7 +244,7 @@
   record CloseIdle(String endpoint) implements Action {}
 
   /** Subscribes to changes of the list. */
-  record FollowList() implements Action {}
+  record SubscribeToList() implements Action {}
 
   /** Writes a log line for operators. */
   record Log(String text) implements Action {}
--- a/src/main/java/beampoint/emulator/ModuleInstance.java
+++ b/src/main/java/beampoint/emulator/ModuleInstance.java
@@ -152,7 +152,7 @@
       if (connections != null) {
         connections.forEach(connection -> disconnect(a.endpoint(), connection));
       }
-    } else if (action instanceof Balancer.FollowList) {
+    } else if (action instanceof Balancer.SubscribeToList) {
       world.discovery.subscribe(this);
     }
   }
--- a/src/main/java/beampoint/policy/BalancerPolicy.java
+++ b/src/main/java/beampoint/policy/BalancerPolicy.java
@@ -71,7 +71,7 @@
       state.apply(e);
       ring.update();
       actions.add(new CloseIdle(e.endpoint()));
-    } else if (event instanceof ShareChanged e) {
+    } else if (event instanceof ColdShareChanged e) {
       state.coldShare = e.part();
     } else if (event instanceof SettingsChanged e) {
       state.apply(e);
--- a/src/main/java/beampoint/policy/hostlist/HostListSubscription.java
+++ b/src/main/java/beampoint/policy/hostlist/HostListSubscription.java
@@ -1,9 +1,9 @@
 package beampoint.policy.hostlist;
 
-import beampoint.Balancer.FollowList;
 import beampoint.Balancer.ListKind;
 import beampoint.Balancer.ListReceived;
 import beampoint.Balancer.SetTimer;
+import beampoint.Balancer.SubscribeToList;
 import beampoint.policy.state.PolicyState;
 
 /** Subscribes to changes of the endpoint list where it is not pushed, and retries failed subscriptions. */
@@ -44,7 +44,7 @@
   /** Subscribes where the list is not pushed, and schedules a retry in case no answer comes. */
   private void subscribe() {
     if (!state.settings.listPushed()) {
-      state.actions.add(new FollowList());
+      state.actions.add(new SubscribeToList());
       scheduleRetry(state.settings.rules().askEvery() / 2);
     }
   }
--- a/src/main/java/beampoint/policy/priority/RequestPriority.java
+++ b/src/main/java/beampoint/policy/priority/RequestPriority.java
@@ -35,10 +35,10 @@
         state.clientWaits.computeIfAbsent(request.requestClass, type -> new DecayingMean());
     boolean shorter = left < SHORT_WAIT * waits.value(state.now, WAIT_HALF_LIFE_MS, left, PRIOR_WAITS);
     waits.add(state.now, WAIT_HALF_LIFE_MS, left);
-    state.clientsMarkRetries |= e.again();
+    state.clientsMarkRetries |= e.markedAsRetry();
     double aim = request.requestClass.lateWorth() > 0 ? 1
         : request.requestClass.aim() / request.requestClass.deadline();
-    return shorter && state.clientsMarkRetries == e.again() && 1 - left > aim;
+    return shorter && state.clientsMarkRetries == e.markedAsRetry() && 1 - left > aim;
   }
 
   /**
--- a/src/main/java/beampoint/policy/state/Request.java
+++ b/src/main/java/beampoint/policy/state/Request.java
@@ -51,7 +51,7 @@
     this.requestClass = requestClass;
     this.maxAttempts = maxAttempts;
     this.aimAt = now + requestClass.aim();
-    this.deadline = event.notAfter();
+    this.deadline = event.deadline();
     this.usefulUntil = requestClass.lateWorth() > 0 ? deadline : Math.min(aimAt, deadline);
     this.key = event.key();
     this.write = event.write();
--- a/src/main/java/beampoint/serve/Decisions.java
+++ b/src/main/java/beampoint/serve/Decisions.java
@@ -287,7 +287,7 @@
       upstreams.probe(a.endpoint());
     } else if (action instanceof Balancer.CloseIdle a) {
       upstreams.closeIdle(a.endpoint());
-    } else if (action instanceof Balancer.FollowList) {
+    } else if (action instanceof Balancer.SubscribeToList) {
       watcher.follow();
     } else if (action instanceof Balancer.Log a) {
       LOG.info(a.text());
@@ -301,7 +301,7 @@
     }
     double now = clock.getAsDouble();
     double last = Math.min(exchange.deadline(), attemptDeadline);
-    counters.check(settings.limits().secondCopies() || exchange.attemptsInFlight() == 0,
+    counters.check(settings.limits().hedgedRequests() || exchange.attemptsInFlight() == 0,
         "only one attempt is in flight at a time");
     checkNotBanned(a.endpoint());
     int attempt = exchange.beginAttempt();
--- a/src/main/java/beampoint/serve/Operations.java
+++ b/src/main/java/beampoint/serve/Operations.java
@@ -1,8 +1,8 @@
 package beampoint.serve;
 
 import beampoint.Balancer.BanChanged;
+import beampoint.Balancer.ColdShareChanged;
 import beampoint.Balancer.Event;
-import beampoint.Balancer.ShareChanged;
 import beampoint.count.Counter;
 import beampoint.count.Counters;
 import beampoint.handover.Ban;
@@ -70,7 +70,7 @@
         LOG.info("processes of this proxy: " + count + ", before: " + processes);
         processes = count;
         proxy.processCount().accept(count);
-        proxy.module().accept(new ShareChanged(1.0 / count));
+        proxy.module().accept(new ColdShareChanged(1.0 / count));
       }
     } catch (IOException e) {
       LOG.error("can't count the processes of this proxy: " + e.getMessage());
--- a/src/main/java/beampoint/sim/Codec.java
+++ b/src/main/java/beampoint/sim/Codec.java
@@ -98,7 +98,7 @@
       out.append("inspect\tnode=").append(a.endpoint());
     } else if (action instanceof Balancer.CloseIdle a) {
       out.append("free_links\tnode=").append(a.endpoint());
-    } else if (action instanceof Balancer.FollowList) {
+    } else if (action instanceof Balancer.SubscribeToList) {
       out.append("tail\ton=1");
     } else if (action instanceof Balancer.Log a) {
       out.append("debug\tbody-text=").append(a.text());
--- a/src/test/java/beampoint/policy/BanTest.java
+++ b/src/test/java/beampoint/policy/BanTest.java
@@ -9,11 +9,11 @@
 import beampoint.Balancer.Action;
 import beampoint.Balancer.BanChanged;
 import beampoint.Balancer.CloseIdle;
+import beampoint.Balancer.ColdShareChanged;
 import beampoint.Balancer.EndpointState;
 import beampoint.Balancer.ListKind;
 import beampoint.Balancer.Refuse;
 import beampoint.Balancer.Result;
-import beampoint.Balancer.ShareChanged;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -161,7 +161,7 @@
     Fixture f = new Fixture(List.of(new Balancer.Tenant(400)), Fixture.READ).withFleet(4);
     f.now = 100_000;
     f.list(ListKind.CHANGES, List.of(Fixture.cache(4, EndpointState.RUNNING, f.now)));
-    f.balancer.handle(f.now, new ShareChanged(part));
+    f.balancer.handle(f.now, new ColdShareChanged(part));
     int cold = 0;
     for (int i = 0; i < 4_000; i++) {
       f.now += 0.2;
--- a/src/test/java/beampoint/policy/ListSubscriptionTest.java
+++ b/src/test/java/beampoint/policy/ListSubscriptionTest.java
@@ -5,10 +5,10 @@
 
 import beampoint.Balancer;
 import beampoint.Balancer.Action;
-import beampoint.Balancer.FollowList;
 import beampoint.Balancer.ListKind;
 import beampoint.Balancer.ListReceived;
 import beampoint.Balancer.SetTimer;
+import beampoint.Balancer.SubscribeToList;
 import beampoint.Balancer.TimerFired;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -24,18 +24,19 @@
     SetTimer timer = (SetTimer) b.handle(9_000, new ListReceived(ListKind.UNAVAILABLE, List.of())).get(0);
     assertTrue(timer.delay() <= 10_000);
     double due = 9_000 + timer.delay();
-    assertTrue(Fixture.has(b.handle(due, new TimerFired(timer.token())), FollowList.class));
+    assertTrue(Fixture.has(b.handle(due, new TimerFired(timer.token())), SubscribeToList.class));
   }
 
   @Test
   void aListThatIsNotPushedIsSubscribedToAndARefusedSubscriptionIsRetried() {
     Balancer b = new BalancerPolicy(Fixture.settings(List.of(), false, Fixture.READ));
     assertTrue(Fixture.has(b.handle(0, new ListReceived(ListKind.REMEMBERED, Fixture.fleet(3))),
-        FollowList.class));
+        SubscribeToList.class));
     List<Action> refused = b.handle(10, new ListReceived(ListKind.UNAVAILABLE, List.of()));
     SetTimer timer = (SetTimer) refused.get(0);
     assertTrue(timer.delay() < 10_000);
-    assertTrue(Fixture.has(b.handle(10 + timer.delay(), new TimerFired(timer.token())), FollowList.class));
+    assertTrue(
+        Fixture.has(b.handle(10 + timer.delay(), new TimerFired(timer.token())), SubscribeToList.class));
   }
 
   @Test
@@ -44,7 +45,7 @@
     List<Action> asked = b.handle(0, new ListReceived(ListKind.REMEMBERED, Fixture.fleet(3)));
     SetTimer timer = (SetTimer) asked.get(1);
     assertTrue(timer.delay() < 10_000);
-    assertTrue(Fixture.has(b.handle(timer.delay(), new TimerFired(timer.token())), FollowList.class));
+    assertTrue(Fixture.has(b.handle(timer.delay(), new TimerFired(timer.token())), SubscribeToList.class));
     b.handle(timer.delay() + 10, new ListReceived(ListKind.CHANGES, List.of()));
     assertEquals(List.of(), b.handle(2 * timer.delay(), new TimerFired(timer.token())));
   }
--- a/src/test/java/beampoint/serve/OperationsTest.java
+++ b/src/test/java/beampoint/serve/OperationsTest.java
@@ -6,8 +6,8 @@
 
 import beampoint.Balancer;
 import beampoint.Balancer.BanChanged;
+import beampoint.Balancer.ColdShareChanged;
 import beampoint.Balancer.SettingsChanged;
-import beampoint.Balancer.ShareChanged;
 import beampoint.Stub;
 import beampoint.count.Counter;
 import beampoint.ops.AdminServer;
@@ -143,8 +143,8 @@
       assertEquals("200", status(old, "POST /_cache-nodes/detach/cache"));
       successor = proxy(next, 384);
       assertTrue(next.events.take() instanceof BanChanged ban && ban.out(), "before any list");
-      assertEquals(0.5, next.next(ShareChanged.class).part());
-      assertEquals(0.5, module.next(ShareChanged.class).part());
+      assertEquals(0.5, next.next(ColdShareChanged.class).part());
+      assertEquals(0.5, module.next(ColdShareChanged.class).part());
       assertEquals("200", status(successor, "POST /_cache-nodes/attach/cache"));
       BanChanged change = module.next(BanChanged.class);
       while (change.out()) {
@@ -152,7 +152,8 @@
       }
       assertEquals("cache", change.endpoint());
       old.stop();
-      assertEquals(1, next.next(ShareChanged.class).part(), "the full share, once the other process is gone");
+      assertEquals(1, next.next(ColdShareChanged.class).part(),
+          "the full share, once the other process is gone");
     } finally {
       old.stop();
       if (successor != null) {
--- a/src/test/java/beampoint/serve/ProxyLifecycleTest.java
+++ b/src/test/java/beampoint/serve/ProxyLifecycleTest.java
@@ -7,13 +7,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beampoint.Balancer.AttemptEnded;
-import beampoint.Balancer.FollowList;
 import beampoint.Balancer.ListKind;
 import beampoint.Balancer.ListReceived;
 import beampoint.Balancer.Refuse;
 import beampoint.Balancer.RequestReceived;
 import beampoint.Balancer.Result;
 import beampoint.Balancer.Send;
+import beampoint.Balancer.SubscribeToList;
 import beampoint.Stub;
 import beampoint.count.Counter;
 import beampoint.count.Counters;
@@ -78,7 +78,7 @@
         + ProxyFixture.host("s-2", "127.0.0.1:1", "m2") + "]}\n";
     ProxyFixture.ScriptedModule module = new ProxyFixture.ScriptedModule();
     module.script = event -> event instanceof ListReceived e && e.kind() == ListKind.REMEMBERED
-        ? List.of(new FollowList()) : List.of();
+        ? List.of(new SubscribeToList()) : List.of();
     try (Stub discovery = new Stub(peer -> {
       peer.head();
       peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(list.length())
--- a/src/test/java/beampoint/serve/ProxyRequestTest.java
+++ b/src/test/java/beampoint/serve/ProxyRequestTest.java
@@ -47,9 +47,9 @@
         Client client = new Client(proxy)) {
       proxy.refuseAll();
       client.request(READ);
-      assertFalse(proxy.module.next(RequestReceived.class).again());
+      assertFalse(proxy.module.next(RequestReceived.class).markedAsRetry());
       client.request(READ.replace("O9b", "O9c").replace("d=4000", "d=4000,r=1"));
-      assertTrue(proxy.module.next(RequestReceived.class).again());
+      assertTrue(proxy.module.next(RequestReceived.class).markedAsRetry());
     }
   }
 
--- a/src/test/java/beampoint/serve/ReadAheadTest.java
+++ b/src/test/java/beampoint/serve/ReadAheadTest.java
@@ -67,11 +67,11 @@
       long before = System.nanoTime();
       client.send(text);
       double sendMs = (System.nanoTime() - before) / 1e6;
-      double first = proxy.module.next(RequestReceived.class).notAfter();
+      double first = proxy.module.next(RequestReceived.class).deadline();
       double last = first;
       for (int i = 1; i < count; i++) {
         assertEquals("SERVER_ERROR busy", client.line());
-        last = Math.max(last, proxy.module.next(RequestReceived.class).notAfter());
+        last = Math.max(last, proxy.module.next(RequestReceived.class).deadline());
       }
       double apartMs = last - first;
       assertTrue(apartMs < sendMs + 100, "sent within " + sendMs + " ms, deadlines " + apartMs + " ms apart");
--- a/src/test/java/beampoint/sim/SimulatorHostTest.java
+++ b/src/test/java/beampoint/sim/SimulatorHostTest.java
@@ -66,7 +66,7 @@
     new SimulatorHost(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
         new PrintStream(new ByteArrayOutputStream()), settings -> (now, event) -> {
           if (event instanceof RequestReceived e) {
-            marks.add(e.again());
+            marks.add(e.markedAsRetry());
           }
           return List.of();
         }).run();
