--- a/src/main/java/beampoint/Balancer.java
+++ b/src/main/java/beampoint/Balancer.java
@@ -3,24 +3,37 @@
 import java.util.List;
 
 /**
- * The interface of the decision module: its settings, the events it handles and the actions it returns. All
- * times are in ms on one monotonic clock.
+ * The decision logic of one balancer: its settings, the events that it handles and the actions that it
+ * returns. All times are in ms on one monotonic clock.
  */
 public interface Balancer {
 
   /** Handles one event at the given time and returns the actions to carry out, in order. */
   List<Action> handle(double now, Event event);
 
-  /** Whether a request that may have run may be sent again: always, where repeats are dropped, or never. */
+  /** Whether a request that may have run may be sent again. */
   enum Idempotency {
-    SAFE, KEYED, UNSAFE
+    /** May always be repeated. */
+    SAFE,
+    /** May be repeated only at endpoints that drop repeats, within the dedup window. */
+    KEYED,
+    /** May never be repeated. */
+    UNSAFE
   }
 
-  /** The set of endpoints that drop repeats of a keyed request which one of them may have run. */
+  /**
+   * The group of endpoints that share their record of keyed requests: each of them drops a repeat of a
+   * request that another one of the group may have run.
+   */
   enum DedupGroup {
-    ALL, ZONE, CELL;
-
-    /** True where {@code next} drops repeats of a request that {@code first} may have run. */
+    /** All endpoints. */
+    ALL,
+    /** The endpoints of one zone. */
+    ZONE,
+    /** The endpoints of one cell. */
+    CELL;
+
+    /** True if {@code next} drops repeats of a request that {@code first} may have run. */
     public boolean covers(Endpoint first, Endpoint next) {
       return switch (this) {
         case ALL -> true;
@@ -30,27 +43,63 @@
     }
   }
 
-  /** What an endpoint's list weight stands for; live weights follow its load. */
+  /** The meaning of the weights in the host list. */
   enum WeightSource {
-    NONE, NOMINAL, ROUGH, LIVE
+    /** Weights carry no information: each is 1. */
+    NONE,
+    /** The size of the endpoint as registered. */
+    NOMINAL,
+    /** The approximate size of the endpoint. */
+    ROUGH,
+    /**
+     * The size of the endpoint, divided by 1 + the requests that it held per core some time ago. Such a
+     * weight follows the load and differs between lists.
+     */
+    LIVE
   }
 
-  /** The state of an endpoint in the list. */
+  /** The state of an endpoint in the host list. */
   enum EndpointState { RUNNING, DRAINING, GONE }
 
-  /**
-   * The content of a list event: changes, the full list, a list remembered from before the start, a
-   * remembered list that is unconfirmed, or none as the list can't be had. Unconfirmed means that discovery
-   * has announced changes which this process has not received yet: any of the caches may drain or be gone.
-   */
-  enum ListKind { CHANGES, FULL, REMEMBERED, UNCONFIRMED, UNAVAILABLE }
+  /** The content of a list event. */
+  enum ListKind {
+    /** Changes of the host list. */
+    CHANGES,
+    /** The full host list. */
+    FULL,
+    /** A list remembered from before the start. */
+    REMEMBERED,
+    /**
+     * A remembered list after which discovery has announced changes that this process has not received yet:
+     * any of its caches may be draining or gone.
+     */
+    UNCONFIRMED,
+    /** No list: the subscription failed, was refused or broke. */
+    UNAVAILABLE
+  }
 
   /** How an attempt or a probe ended. */
   enum Result {
-    OK(false), ERROR(false), TIMEOUT(false), RESET(false), CANCELLED(false),
-    FULL(true), CONNECT_FAILED(true), NOT_SENT(true), MISS(true);
-
-    /** True where this result proves that the request was not executed. */
+    /** An answer with a value. */
+    OK(false),
+    /** An answer that reports an error. */
+    ERROR(false),
+    /** No answer within the timeout. */
+    TIMEOUT(false),
+    /** The connection broke after the request was sent. */
+    RESET(false),
+    /** The attempt was cancelled. */
+    CANCELLED(false),
+    /** The endpoint rejected the request because its queue is full. */
+    FULL(true),
+    /** No connection to the endpoint could be established. */
+    CONNECT_FAILED(true),
+    /** The proxy did not send the request, for example because its latest start had passed. */
+    NOT_SENT(true),
+    /** The cache does not hold the key. */
+    MISS(true);
+
+    /** True if this result proves that the request was not executed. */
     public final boolean neverRan;
 
     Result(boolean neverRan) {
@@ -59,14 +108,16 @@
   }
 
   /**
-   * A class of requests. An answer earns {@code worth} within the target time {@code aim}, and the part
-   * {@code lateWorth} of it within {@code deadline}; both times count from the request's arrival. The
-   * endpoints of its group drop repeats of a keyed request for {@code dedupWindow}.
+   * A class of requests. An answer within the target time {@code aim} is worth {@code worth}; a later one
+   * within {@code deadline} is worth the fraction {@code lateWorth} of that. Both times count from the
+   * arrival of the request. The endpoints of {@code group} drop repeats of a keyed request for
+   * {@code dedupWindow}.
    */
   record RequestClass(Idempotency idempotency, DedupGroup group, double dedupWindow, double aim,
       double deadline, double worth, double lateWorth) {
 
-    // Written out: the platform generates a record's own methods at their first use, in every start.
+    // Written by hand to shorten the start of a process: the JVM generates the equals and hashCode of a
+    // record at run time, at their first use.
     @Override
     public boolean equals(Object other) {
       return other instanceof RequestClass that && idempotency == that.idempotency && group == that.group
@@ -85,27 +136,31 @@
   record Tenant(double quotaPerSecond) {}
 
   /**
-   * What a site allows a balancer to do: attempts for each request, hedged requests ({@code hedgedRequests}),
-   * probes, and advice on when to retry, up to {@code maxRetryAfter}.
+   * What a site allows a balancer to do: a number of attempts for each request, hedged requests, probes, and
+   * advice to clients to retry after at most {@code maxRetryAfter} ms. {@code connectTimeout} is the time in
+   * ms for establishing a connection.
    */
   record Limits(int maxAttempts, boolean hedgedRequests, boolean probes, boolean retryAdvice,
       double maxRetryAfter, double connectTimeout) {}
 
   /**
-   * Costs, as parts of a request's worth: of a hundred connections held to one cache, a new connection, a
-   * probe, and an attempt that crosses zones.
+   * Costs, as fractions of the worth of a request. {@code connection}: what each request at a cache loses for
+   * every hundred connections held to that cache. {@code handshake}: a new connection. {@code probe}: one
+   * probe. {@code crossZone}: one attempt at an endpoint of another zone.
    */
   record Prices(double connection, double handshake, double probe, double crossZone) {}
 
   /**
-   * Limits for drains, cold endpoints and list subscriptions. A cold endpoint fails under more than
-   * {@code fallMultiple} times its present capacity within {@code fallWindow}; that capacity grows from the
-   * part {@code coldFrom} to 1 during {@code warmUp}.
+   * Limits for drains, cold endpoints and list subscriptions. Once the balancer is informed of a drain or
+   * removal, new attempts may begin at the endpoint for another {@code drainGrace} ms. A cold endpoint fails
+   * if, within {@code fallWindow}, it is sent more than {@code fallMultiple} times what it can serve at its
+   * current warmth. Its capacity grows linearly from the fraction {@code coldFrom} to 1 during
+   * {@code warmUp}. {@code askEvery} is the interval from which the retry delay of a list subscription is derived.
    */
   record Rules(double drainGrace, double fallMultiple, double fallWindow, double coldFrom, double warmUp,
       double askEvery) {
 
-    /** The least part of its full capacity that an endpoint of this age has. */
+    /** The smallest fraction of its full capacity that an endpoint of this age has. */
     public double warmth(double age) {
       return age >= warmUp ? 1 : coldFrom + (1 - coldFrom) * Math.max(0, age) / warmUp;
     }
@@ -113,8 +168,8 @@
 
   /**
    * The settings of a balancer. {@code siblings} is the number of balancers, this one included;
-   * {@code overShareWorth} is the part of its worth that a request beyond its tenant's share earns. An origin
-   * kind below 0 means that there is no origin.
+   * {@code overShareWorth} is the fraction of its worth that a request beyond its tenant's share has. An
+   * {@code originKind} below 0 means that there is no origin.
    */
   record Settings(long seed, int siblings, int zone, boolean listPushed, WeightSource weightSource,
       int originKind, double overShareWorth, Limits limits, Rules rules, Prices prices,
@@ -127,7 +182,11 @@
     }
   }
 
-  /** An entry of the endpoint list; {@code startedAt} is 0 for an endpoint that started long ago. */
+  /**
+   * An entry of the host list. {@code kind} is the type of machine; the type {@code Settings.originKind}
+   * marks origins. {@code cell} is the dedup cell. {@code weight} has the meaning of {@link WeightSource}.
+   * {@code startedAt} is 0 for an endpoint that started long ago.
+   */
   record Endpoint(String id, int zone, int kind, int cell, EndpointState state, double weight,
       double startedAt) {
 
@@ -148,18 +207,19 @@
   sealed interface Event permits ListReceived, RequestReceived, AttemptStarted, AttemptEnded, RequestGone,
       TimerFired, ProbeEnded, BanChanged, ColdShareChanged, SettingsChanged {}
 
-  /** The full endpoint list or changes to it. */
+  /** The full host list or changes to it. */
   record ListReceived(ListKind kind, List<Endpoint> endpoints) implements Event {}
 
   /**
    * A client's request, which needs exactly one final answer before {@code deadline}. A key below 0 means
    * that it has none. {@code markedAsRetry} is set where the client marked it as a retry; many clients mark
-   * none. {@code overflow} means that the proxy has no memory to let it wait: it can only be refused.
+   * none. {@code overflow} means that the proxy has no memory to hold it while it waits, so it can only be
+   * refused.
    */
   record RequestReceived(long id, double deadline, int tenant, int requestClass, long key, boolean write,
       boolean markedAsRetry, boolean overflow) implements Event {
 
-    /** A request that can wait. */
+    /** A request for which the proxy has memory. */
     public RequestReceived(long id, double deadline, int tenant, int requestClass, long key, boolean write,
         boolean markedAsRetry) {
       this(id, deadline, tenant, requestClass, key, write, markedAsRetry, false);
@@ -196,10 +256,13 @@
   /** The outcome of a probe. */
   record ProbeEnded(String endpoint, Result result, double elapsed) implements Event {}
 
-  /** Operators took an endpoint out of use at the given time, or put it back; this overrides the list. */
+  /** Operators banned an endpoint, or ended its ban, at the given time; a ban overrides the host list. */
   record BanChanged(String endpoint, boolean out, double at) implements Event {}
 
-  /** The part of this balancer's rate limit for cold endpoints that this process may use, beside others. */
+  /**
+   * The fraction (0 to 1) of this balancer's rate limit for cold endpoints that this process may use while
+   * other processes of the same balancer run.
+   */
   record ColdShareChanged(double part) implements Event {}
 
   /**
@@ -209,17 +272,17 @@
   record SettingsChanged(Settings settings, List<Integer> formerClasses, List<Integer> formerTenants)
       implements Event {}
 
-  /** What a balancer can have done; the result of {@link #handle}. */
+  /** What a balancer can request to be done; the result of {@link #handle}. */
   sealed interface Action permits Send, Refuse, Fail, Cancel, SetTimer, Probe, CloseIdle, SubscribeToList,
       Log {}
 
   /**
-   * Starts an attempt; a timeout of 0 lasts until the client gives up. The attempt must not begin after
-   * {@code startBy}, since its connection may be established late.
+   * Starts an attempt. A timeout of 0 means none: the attempt lasts until the client gives up. If the
+   * connection is established only after {@code startBy}, the request must not be sent.
    */
   record Send(long id, String endpoint, double timeout, double startBy) implements Action {
 
-    /** An attempt that may begin as late as its connection is established. */
+    /** An attempt without a latest start. */
     public Send(long id, String endpoint, double timeout) {
       this(id, endpoint, timeout, Double.POSITIVE_INFINITY);
     }
@@ -243,7 +306,7 @@
   /** Closes the idle connections to an endpoint. */
   record CloseIdle(String endpoint) implements Action {}
 
-  /** Subscribes to changes of the list. */
+  /** Subscribes to changes of the host list. */
   record SubscribeToList() implements Action {}
 
   /** Writes a log line for operators. */
