--- a/src/main/java/beampoint/sim/Codec.java
+++ b/src/main/java/beampoint/sim/Codec.java
@@ -16,7 +16,7 @@
 import beampoint.settings.InputException;
 import beampoint.settings.LoadColumns;
 
-/** Translates between the simulator's wire format and the decision module's types. */
+/** Translates between the simulator's wire format and the types of {@link Balancer}. */
 final class Codec {
 
   private Codec() {}
--- a/src/main/java/beampoint/sim/SimulatorHost.java
+++ b/src/main/java/beampoint/sim/SimulatorHost.java
@@ -24,8 +24,8 @@
 import java.util.function.Function;
 
 /**
- * Runs any number of decision modules for a simulator, which sends batches of messages on one stream and
- * reads the replies from another. Each module sees only its own events.
+ * Runs any number of balancers for a simulator, which sends batches of messages on one stream and reads the
+ * replies from another. Each balancer sees only its own events.
  */
 public final class SimulatorHost {
 
@@ -36,9 +36,9 @@
   private final Function<Settings, Balancer> factory;
   private final Map<String, Instance> instances = new HashMap<>();
   private final StringBuilder reply = new StringBuilder();
-  private int line;
-  private String context;
-  private String replyContext;
+  private int lineNumber;
+  private String instanceId;
+  private String lastReplyInstanceId;
 
   /** A balancer, and the columns of the load reports that it gets. */
   private record Instance(Balancer balancer, LoadColumns columns) {}
@@ -57,7 +57,7 @@
   public void run() throws IOException, InputException {
     for (Message m = next(); m != null; m = next()) {
       if (!m.name.equals("turn")) {
-        throw new InputException("line " + line + ": '" + m.name + "' outside a batch");
+        throw new InputException("line " + lineNumber + ": '" + m.name + "' outside a batch");
       }
       processBatch(m.number("moment-ms"));
       reply.append("done\n");
@@ -70,27 +70,27 @@
   private Message next() throws IOException, InputException {
     String text = in.readLine();
     while (text != null && text.isEmpty()) {
-      line++;
+      lineNumber++;
       text = in.readLine();
     }
-    line++;
-    return text == null ? null : Message.parse(text, line);
+    lineNumber++;
+    return text == null ? null : Message.parse(text, lineNumber);
   }
 
   private void processBatch(double now) throws IOException, InputException {
-    context = null;
-    replyContext = null;
+    instanceId = null;
+    lastReplyInstanceId = null;
     for (Message m = next(); m != null; m = next()) {
       switch (m.name) {
         case "commit" -> {
           return;
         }
-        case "context" -> context = m.text("proxy-id");
-        case "new_instance" -> instances.put(context(m),
+        case "context" -> instanceId = m.text("proxy-id");
+        case "new_instance" -> instances.put(instanceId(m),
             new Instance(factory.apply(SettingsReader.read(m)), LoadColumns.read(m)));
         case "kill" -> {
           instance(m);
-          instances.remove(context);
+          instances.remove(instanceId);
         }
         case "endpoints" -> handle(now, m, readList(m));
         default -> {
@@ -101,7 +101,7 @@
         }
       }
     }
-    throw new InputException("line " + line + ": the input ends inside a batch");
+    throw new InputException("line " + lineNumber + ": the input ends inside a batch");
   }
 
   private ListReceived readList(Message m) throws IOException, InputException {
@@ -110,25 +110,26 @@
     for (int i = 0; i < count; i++) {
       Message entry = next();
       if (entry == null || !entry.name.equals("item")) {
-        throw new InputException("line " + line + ": the list announced " + count + " entries but has " + i);
+        throw new InputException(
+            "line " + lineNumber + ": the list announced " + count + " entries but has " + i);
       }
       endpoints.add(Codec.endpoint(entry));
     }
     return new ListReceived(Codec.listKind(m), endpoints);
   }
 
-  private String context(Message m) throws InputException {
-    if (context == null) {
-      throw new InputException("line " + line + ": '" + m.name + "' before any context");
+  private String instanceId(Message m) throws InputException {
+    if (instanceId == null) {
+      throw new InputException("line " + lineNumber + ": '" + m.name + "' before any context");
     }
-    return context;
+    return instanceId;
   }
 
   private Instance instance(Message m) throws InputException {
-    Instance instance = instances.get(context(m));
+    Instance instance = instances.get(instanceId(m));
     if (instance == null) {
       throw new InputException(
-          "line " + line + ": '" + m.name + "' for the unknown instance '" + context + "'");
+          "line " + lineNumber + ": '" + m.name + "' for the unknown instance '" + instanceId + "'");
     }
     return instance;
   }
@@ -137,21 +138,24 @@
     Balancer balancer = instance(m).balancer;
     try {
       for (Action action : balancer.handle(now, event)) {
-        writeContext();
+        writeInstanceId();
         Codec.write(action, reply);
       }
     } catch (RuntimeException e) {
-      LOG.error("the decision module failed at line " + line + " for " + context, e);
-      writeContext();
+      LOG.error("the decision module failed at line " + lineNumber + " for " + instanceId, e);
+      writeInstanceId();
       reply.append("fault\tbody-text=").append(String.valueOf(e).replaceAll("\\s", " ")).append('\n');
     }
   }
 
-  /** Writes whose replies follow, unless the last ones were of the same instance. */
-  private void writeContext() {
-    if (!context.equals(replyContext)) {
-      reply.append("from\tproxy-id=").append(context).append('\n');
-      replyContext = context;
+  /**
+   * Writes a line that names the instance to which the following replies belong, unless the previous reply
+   * was for the same one.
+   */
+  private void writeInstanceId() {
+    if (!instanceId.equals(lastReplyInstanceId)) {
+      reply.append("from\tproxy-id=").append(instanceId).append('\n');
+      lastReplyInstanceId = instanceId;
     }
   }
 }
