--- a/src/main/java/beampoint/policy/BalancerPolicy.java
+++ b/src/main/java/beampoint/policy/BalancerPolicy.java
@@ -18,20 +18,26 @@
 import java.util.Map;
 
 /**
- * Entry point of the decision module, one instance for each balancer. Handles events and decides, with the
- * classes of the packages below, where a request goes, whether it is retried and when it is given up. Times
- * are in ms.
+ * Entry point of the decision logic of one balancer. Handles events and decides, with the classes of the
+ * packages below, where a request goes, whether it is retried and when it is given up. Times are in ms.
  */
 public final class BalancerPolicy implements Balancer {
 
-  private static final double SPILL_FACTOR = 2; // of the mean in flight, above which a primary spills
-  private static final int SPILL_EXCESS = 2; // attempts over the mean that a primary has at least to spill
-  private static final double PROBE_TIME_PART = 0.1; // of the time left, for which a probe is awaited
-  private static final double PROBE_GAIN = 0.5; // of a request's worth that a probe of a failing cache saves
-  private static final double RETRY_TOKENS_PER_REQUEST = 0.2; // retries after a failure, of requests
+  /** A primary spills if it has more than this many times the mean number of attempts in flight, ... */
+  private static final double SPILL_FACTOR = 2;
+  /** ... and at least this many more than the mean. */
+  private static final int SPILL_EXCESS = 2;
+  /** Fraction of the remaining time for which a probe is awaited. */
+  private static final double PROBE_TIME_PART = 0.1;
+  /** Fraction of a request's worth that a probe saves if the cache fails. */
+  private static final double PROBE_GAIN = 0.5;
+  /** Retry tokens that each new request adds; a retry of an attempt that may have run costs one. */
+  private static final double RETRY_TOKENS_PER_REQUEST = 0.2;
   private static final double MAX_RETRY_TOKENS = 3;
-  private static final double SENDS_HALF_LIFE_MS = 30_000; // of the use count of connections
-  private static final double PRIOR_SENDS = 2; // assumed uses of a connection, before any are observed
+  /** Half-life of the decaying number of sends to a node, in ms. */
+  private static final double SENDS_HALF_LIFE_MS = 30_000;
+  /** Weight of the prior for the rate of sends to a node, as a number of sends. */
+  private static final double PRIOR_SENDS = 2;
 
   final PolicyState state = new PolicyState();
   private final List<Action> actions = state.actions;
@@ -40,7 +46,7 @@
   private final Ring ring = new Ring(state, slowStart);
   private final HostListSubscription hostList = new HostListSubscription(state);
   private final RequestPriority priority = new RequestPriority(state, health);
-  private final Map<Long, Request> requests = new HashMap<>();
+  private final Map<Long, Request> openRequests = new HashMap<>();
   private final List<Node> idle = new ArrayList<>(); // nodes that may have an idle connection
   private double retryTokens = 1;
 
@@ -61,8 +67,8 @@
       onRequest(e);
     } else if (event instanceof AttemptEnded e) {
       onAttemptEnded(e);
-    } else if (event instanceof RequestGone e && requests.containsKey(e.id())) {
-      finish(requests.get(e.id()));
+    } else if (event instanceof RequestGone e && openRequests.containsKey(e.id())) {
+      finish(openRequests.get(e.id()));
     } else if (event instanceof ProbeEnded e) {
       onProbeEnded(e);
     } else if (event instanceof TimerFired e) {
@@ -101,8 +107,8 @@
     if (primaryHasRoom) {
       return primary;
     }
-    // While a key's two caches are slow for a moment, the fleet may have room: the request is not refused if
-    // the faster of the two can still be expected to answer by the target time.
+    // Both caches of the key are short of room, perhaps only briefly: the request is still sent if the faster
+    // one is expected to answer by the target time.
     boolean primaryIsFaster =
         second == null || health.expectedTime(primary) <= health.expectedTime(second);
     Node faster = primaryIsFaster ? primary : second;
@@ -112,10 +118,11 @@
 
   /**
    * Probes a cache of which this balancer has too few observations, and which may be busy, before the first
-   * attempt of a request there; false where none is needed or worth its price. While caches do well, a probe
-   * costs each request time and saves few of them a failed attempt.
+   * attempt of a request there. Returns true if the request now waits for a probe; false if no probe is
+   * needed or if it costs more than it is likely to save. While few attempts fail, probes would delay every
+   * request and save few of them a failed attempt.
    */
-  private boolean probeFirst(Request request, Node node) {
+  private boolean startProbeIfUseful(Request request, Node node) {
     double gain = PROBE_GAIN * request.requestClass.worth() * health.failureShare();
     if (!state.settings.limits().probes() || request.attemptCount > 0
         || gain <= state.settings.prices().probe() || health.isKnown(node)) {
@@ -146,7 +153,7 @@
     }
   }
 
-  /** The origin, or null where it has no room or the request may not run there (again). */
+  /** The origin, or null if it has no room or the request may not run, or not run again, there. */
   private Node pickOrigin(Request request) {
     boolean room = state.origin != null && health.hasRoom(state.origin, request);
     if (!room) {
@@ -159,10 +166,10 @@
     RequestClass requestClass = state.settings.classes().get(e.requestClass());
     Request request = new Request(e, requestClass, state.settings.limits().maxAttempts(), state.now,
         state.random.nextDouble());
-    request.lowPriority = priority.isLow(e, request);
-    requests.put(request.id, request);
+    request.lowPriority = priority.countAndCheckLow(e, request);
+    openRequests.put(request.id, request);
     ring.assignBucket(request);
-    state.requests.add(state.now, EndpointHealth.MAX_HALF_LIFE_MS, 1);
+    state.requestCounter.add(state.now, EndpointHealth.MAX_HALF_LIFE_MS, 1);
     retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_TOKENS_PER_REQUEST);
     dispatch(request);
   }
@@ -175,7 +182,7 @@
     boolean skipsCaches =
         request.write && state.settings.originKind() >= 0 || state.listUnconfirmed;
     Node node = request.overflow ? null : skipsCaches ? pickOrigin(request) : pickCache(request);
-    if (node == null || node.origin || !probeFirst(request, node)) {
+    if (node == null || node.origin || !startProbeIfUseful(request, node)) {
       sendOrGiveUp(request, node);
     }
   }
@@ -189,15 +196,16 @@
     state.onAttemptSent(request, node);
     node.sends.add(state.now, SENDS_HALF_LIFE_MS, 1);
     slowStart.onAttemptSent(node);
-    // A late read earns nothing: ending it frees a place in the node's queue and shows that the node is
-    // overloaded. The outcome of any other request, as a write, is awaited until its client gives up.
+    // An answer to a SAFE request after usefulUntil is worthless: ending the attempt frees a place in the
+    // node's queue, and the timeout shows that the node is overloaded. The outcome of other requests, such as
+    // most writes, is awaited until the client gives up.
     double timeout = request.requestClass.idempotency() == Idempotency.SAFE
         ? Math.max(1, request.usefulUntil - state.now) : 0;
     actions.add(new Send(request.id, node.endpoint.id(), timeout, RetrySafety.startBy(request, node)));
   }
 
   private void onAttemptEnded(AttemptEnded e) {
-    Request request = requests.get(e.id());
+    Request request = openRequests.get(e.id());
     Attempt attempt = request == null ? null : request.attempt(e.attempt());
     if (attempt == null) {
       return;
@@ -224,50 +232,56 @@
     }
   }
 
-  /** True where idle connections to a node are used often enough for the price of holding them. */
+  /** True if idle connections to a node are used often enough to be worth the price of holding them. */
   private boolean isWorthHolding(Node node) {
-    double requestRate = state.requests.rate(state.now, EndpointHealth.MAX_HALF_LIFE_MS);
+    double requestsPerMs = state.requestCounter.rate(state.now, EndpointHealth.MAX_HALF_LIFE_MS);
+    // The price of connections is for 100 of them, and sends are counted per ms, not per second: 100 * 1000.
     double handshakePrice =
         100_000 * state.caches.size() * state.settings.prices().handshake();
-    // As many uses as an even share of the traffic brings stand in for those not observed yet.
+    // Prior: until enough sends are observed, the node is assumed to get an even share of the requests.
     double observedTime = (1 - Math.pow(0.5, (state.now - state.startedAt) / SENDS_HALF_LIFE_MS))
         * SENDS_HALF_LIFE_MS / Math.log(2);
     double sends = PRIOR_SENDS + node.sends.count(state.now, SENDS_HALF_LIFE_MS);
-    double sendRate = sends / (PRIOR_SENDS * state.caches.size() / requestRate + observedTime);
-    double maxFleetRate = state.totalQuota > 0 ? state.totalQuota : Double.MAX_VALUE;
-    double fleetRate = Math.min(1000 * requestRate * state.settings.siblings(), maxFleetRate);
-    return sendRate * handshakePrice >= state.settings.prices().connection() * fleetRate;
+    double sendsPerMs = sends / (PRIOR_SENDS * state.caches.size() / requestsPerMs + observedTime);
+    double maxFleetRequestsPerSecond = state.totalQuota > 0 ? state.totalQuota : Double.MAX_VALUE;
+    double fleetRequestsPerSecond =
+        Math.min(1000 * requestsPerMs * state.settings.siblings(), maxFleetRequestsPerSecond);
+    return sendsPerMs * handshakePrice >= state.settings.prices().connection() * fleetRequestsPerSecond;
   }
 
   private void closeIdle() {
-    // Nodes that are gone are removed too, or the list would grow: their successors have new names.
+    // Nodes that are gone are also removed from idle; otherwise it would grow without limit, as new hosts
+    // have new ids.
     idle.removeIf(node -> node.inFlight == 0
         && (!isWorthHolding(node) || node.ban.isActive() || node.endpoint.state() == EndpointState.GONE)
         && actions.add(new CloseIdle(node.endpoint.id())));
   }
 
   private void onFailure(Request request, Node node, Result result) {
-    // An origin without a free connection is retried after a pause: at once, all attempts would be used up
-    // within a moment.
-    boolean full = node.origin && result == Result.CONNECT_FAILED;
-    double next = state.now + (full ? state.random.nextDouble() * health.expectedTime(node) : 0);
-    double tokens = result.neverRan ? 0 : 1; // an attempt that never ran cost no work
-    if (result == Result.NOT_SENT || next >= request.usefulUntil
+    // An origin that accepted no connection is retried after a pause: immediate retries would use up all
+    // attempts at once.
+    boolean originRefusedConnection = node.origin && result == Result.CONNECT_FAILED;
+    double retryAt =
+        state.now + (originRefusedConnection ? state.random.nextDouble() * health.expectedTime(node) : 0);
+    double tokens = result.neverRan ? 0 : 1; // an attempt that never ran caused no work
+    if (result == Result.NOT_SENT || retryAt >= request.usefulUntil
         || retryTokens < tokens || request.attemptCount >= request.maxAttempts) {
       giveUp(request);
       return;
     }
     retryTokens -= tokens;
-    if (full) {
-      request.originRetryAt = next;
-      actions.add(new SetTimer(next - state.now, request.id));
+    if (originRefusedConnection) {
+      request.originRetryAt = retryAt;
+      actions.add(new SetTimer(retryAt - state.now, request.id));
       return;
     }
     request.tried.add(node);
     sendOrGiveUp(request, node.origin ? pickOrigin(request) : pickCache(request));
   }
 
-  /** Ends a request with the balancer's own final answer: a refusal if that is correct, else a failure. */
+  /**
+   * Ends a request with a final answer of the balancer: a refusal if that is correct, otherwise a failure.
+   */
   private void giveUp(Request request) {
     double wait = state.settings.limits().retryAdvice() ? state.settings.limits().maxRetryAfter() : 0;
     actions.add(RetrySafety.mayRefuse(request) ? new Refuse(request.id, wait) : new Fail(request.id));
@@ -279,14 +293,15 @@
     request.finished = true;
     request.probedNode = null;
     if (request.inFlight.isEmpty()) {
-      requests.remove(request.id);
+      openRequests.remove(request.id);
     }
   }
 
   private void onTimer(long token) {
-    Request request = requests.get(token);
+    Request request = openRequests.get(token);
     if (!hostList.onTimer(token) && request != null && request.probedNode != null) {
-      // A late answer to a probe shows that the cache is busy: the request spills to the next distinct one.
+      // The probe was not answered in time, so the cache is probably busy: the request spills to the next
+      // distinct cache.
       Node first = ring.cacheFor(request, 0);
       Node other = ring.cacheFor(request, first == request.probedNode ? 1 : 0);
       sendOrGiveUp(request, other == null ? first : other);
--- a/src/main/java/beampoint/policy/hostlist/HostListSubscription.java
+++ b/src/main/java/beampoint/policy/hostlist/HostListSubscription.java
@@ -6,21 +6,22 @@
 import beampoint.Balancer.SubscribeToList;
 import beampoint.policy.state.PolicyState;
 
-/** Subscribes to changes of the endpoint list where it is not pushed, and retries failed subscriptions. */
+/** Subscribes to changes of the host list unless it is pushed, and retries failed subscriptions. */
 public record HostListSubscription(PolicyState state) {
 
-  /** Timer tokens from here on are retries of the subscription; those of other timers are request ids. */
+  /** Timer tokens from this value on belong to subscription retries; lower ones are request ids. */
   private static final long FIRST_TOKEN = 1L << 60;
   /**
-   * Longest delay of a retry. After a failed, refused or abandoned call, a balancer has to know a change
-   * within 6 s of the time when discovery had it and could be reached; this leaves room for a second retry.
+   * Longest delay of a retry. After a failed, refused or abandoned subscription, a balancer has to know a
+   * change within 6 s of the time when discovery had it and could be reached; this leaves time for a second
+   * retry.
    */
   private static final double MAX_RETRY_MS = 2500;
 
-  /** Handles a list event; true where it brought a list. */
+  /** Handles a list event; true if it contained a list. */
   public boolean onList(ListReceived e) {
     if (e.kind() == ListKind.UNAVAILABLE) {
-      // A broken subscription is reported in the same way as a failed call, to hundreds of balancers at once:
+      // A broken subscription is reported in the same way as a failed one, to hundreds of balancers at once:
       // the random delay scatters their retries.
       scheduleRetry(state.settings.rules().askEvery() / 2 * state.random.nextDouble());
       return false;
@@ -33,15 +34,15 @@
     return true;
   }
 
-  /** Handles a timer; true where its token belongs to this class. */
+  /** Handles a timer; true if its token belongs to this class. */
   public boolean onTimer(long token) {
-    if (token == FIRST_TOKEN + state.listCalls && !state.listReceived) {
+    if (token == FIRST_TOKEN + state.subscriptionRetries && !state.listReceived) {
       subscribe();
     }
     return token >= FIRST_TOKEN;
   }
 
-  /** Subscribes where the list is not pushed, and schedules a retry in case no answer comes. */
+  /** Subscribes unless the list is pushed, and schedules a retry in case no answer comes. */
   private void subscribe() {
     if (!state.settings.listPushed()) {
       state.actions.add(new SubscribeToList());
@@ -51,6 +52,6 @@
 
   private void scheduleRetry(double delay) {
     state.listReceived = false;
-    state.actions.add(new SetTimer(Math.min(delay, MAX_RETRY_MS), FIRST_TOKEN + ++state.listCalls));
+    state.actions.add(new SetTimer(Math.min(delay, MAX_RETRY_MS), FIRST_TOKEN + ++state.subscriptionRetries));
   }
 }
--- a/src/main/java/beampoint/policy/idempotency/RetrySafety.java
+++ b/src/main/java/beampoint/policy/idempotency/RetrySafety.java
@@ -11,19 +11,20 @@
   private RetrySafety() {}
 
   /**
-   * Time in ms until which an attempt may begin at a node. A request that may have run already is repeated
-   * only where, and as long as, the node drops repeats; 0 means never.
+   * Latest time in ms at which an attempt may begin at a node: Double.MAX_VALUE if there is no limit, 0 if it
+   * may not begin at all. A request that is not SAFE and may have run already is repeated only at a node that
+   * drops repeats, and only as long as it does.
    */
   public static double startBy(Request request, Node node) {
     boolean unrestricted =
         request.mayHaveRunAt == null || request.requestClass.idempotency() == Idempotency.SAFE;
-    boolean dropped = !unrestricted && request.requestClass.idempotency() == Idempotency.KEYED
+    boolean repeatsDropped = !unrestricted && request.requestClass.idempotency() == Idempotency.KEYED
         && request.requestClass.group().covers(request.mayHaveRunAt.endpoint, node.endpoint);
     return unrestricted ? Double.MAX_VALUE
-        : dropped ? request.mayHaveRunSince + request.requestClass.dedupWindow() : 0;
+        : repeatsDropped ? request.mayHaveRunSince + request.requestClass.dedupWindow() : 0;
   }
 
-  /** True where a refusal is correct: the request did not run, or a retry is harmless at any endpoint. */
+  /** True if a refusal is correct: the request did not run, or a retry is harmless at any endpoint. */
   public static boolean mayRefuse(Request request) {
     return request.mayHaveRunAt == null || request.requestClass.idempotency() == Idempotency.SAFE
         || request.requestClass.idempotency() == Idempotency.KEYED
--- a/src/main/java/beampoint/policy/ring/Ring.java
+++ b/src/main/java/beampoint/policy/ring/Ring.java
@@ -12,20 +12,32 @@
 import java.util.List;
 
 /**
- * Placement of keys on caches, after the C2DN paper (sections 2 and 4, appendix on bucket assignment): keys
- * hash into buckets on a weighted consistent hash ring that all balancers build alike; a bucket goes to its
- * first distinct cache clockwise, and what that can't take spills to the next. Departures from the paper
- * state their reason.
+ * Placement of keys on caches as in the C2DN paper (sections 2 and 4, appendix on bucket assignment): keys
+ * are hashed into buckets on a weighted consistent hash ring that is the same at all balancers; a bucket goes
+ * to its first distinct cache clockwise, and requests that this one can't take spill to the next. Where the
+ * code differs from the paper, a comment gives the reason.
  */
 public record Ring(PolicyState state, SlowStart slowStart) {
 
-  private static final int BUCKETS = 4096; // many for each cache: one is a small part of its load
-  private static final int POINTS_PER_WEIGHT = 100; // on the ring for each unit of list weight
-  private static final int WARM_UP_STEPS = 16; // in which the points of a warming cache grow
-  private static final double BUCKET_SHARE = 0.5; // of a cache's fair share that one bucket may fill there
-  private static final double COLD_DISCOUNT = 0.5; // of a new request, which a cold cache's bucket omits
-  private static final double FREQUENCY_HALF_LIFE_MS = 30_000; // of requests counted for a bucket
-  private static final double ZONE_LOCAL_RAMP_MS = 8_000; // in which all buckets get caches in each zone
+  /** Many for each cache, so that one bucket is a small part of a cache's load. */
+  private static final int BUCKETS = 4096;
+  /** Number of points on the ring for each unit of list weight. */
+  private static final int POINTS_PER_WEIGHT = 100;
+  /** Number of steps in which a warming cache gets its points. */
+  private static final int WARM_UP_STEPS = 16;
+  /**
+   * Fraction of a cache's fair share of the load that one bucket may use before it gets a further primary.
+   */
+  private static final double BUCKET_SHARE = 0.5;
+  /**
+   * The new request itself is left out of the count of its bucket. If the bucket's cache is cold, only this
+   * fraction of it is left out.
+   */
+  private static final double COLD_DISCOUNT = 0.5;
+  /** Half-life of the decaying number of requests of a bucket, in ms. */
+  private static final double FREQUENCY_HALF_LIFE_MS = 30_000;
+  /** Time in ms over which zone-local placement is extended to all buckets. */
+  private static final double ZONE_LOCAL_RAMP_MS = 8_000;
 
   public Ring {
     state.bucketFrequency = new BucketFrequency(BUCKETS, FREQUENCY_HALF_LIFE_MS);
@@ -39,9 +51,9 @@
   }
 
   /**
-   * Puts every running cache on the ring, with points by weight. A warming cache has only the first points
-   * of its sequence, since its full share would overload it. Their number follows steps of the clock, so that
-   * all balancers agree.
+   * Puts every running cache on the ring, with points by weight. A warming cache has only part of its points,
+   * since its full share would overload it. Their number changes at fixed times that are the same for all
+   * balancers, so that their rings agree.
    */
   public void update() {
     double step = Math.max(1, state.settings.rules().warmUp() / WARM_UP_STEPS);
@@ -54,8 +66,8 @@
       if (node.isCache() && share < 1) {
         state.ringUpdateAt = steppedNow + step;
       }
-      // Live weights follow the load late and would move buckets back and forth. The greatest weight listed
-      // for the kind of machine stands for its size.
+      // Live weights follow the load with a delay and would move buckets back and forth. The greatest weight
+      // listed for the type of machine is used as its size.
       double weight =
           live ? state.maxWeights.get(node.endpoint.kind()) : Math.max(0, node.endpoint.weight());
       int count =
@@ -68,7 +80,7 @@
     state.ringPoints.replace(changed);
   }
 
-  /** Updates the ring if the clock has reached the next step of a warm-up. */
+  /** Updates the ring if the next step of a warm-up is due. */
   public void updateIfDue() {
     if (state.now >= state.ringUpdateAt) {
       update();
@@ -76,11 +88,11 @@
   }
 
   /**
-   * The cache for a request: its primary for index 0, else the index-th distinct ready cache after it,
-   * without those already tried. Null where there are not so many.
+   * The cache for a request: its primary for index 0, otherwise the index-th distinct ready cache after it,
+   * without those already tried. Null if there are too few.
    */
   public Node cacheFor(Request request, int index) {
-    int start = state.ringPoints.after(Hash.of(~(long) request.bucket));
+    int start = state.ringPoints.firstIndexFrom(Hash.of(~(long) request.bucket));
     int skip = primaryIndex(request, start) + index;
     List<Node> passed = new ArrayList<>(request.tried);
     Node local = request.bucket < zoneLocalPart() * BUCKETS ? zoneLocalCache(start) : null;
@@ -93,7 +105,7 @@
     for (int i = 0; i < state.ringPoints.size(); i++) {
       Node node = state.ringPoints.owner(start + i);
       if (!passed.contains(node)) {
-        // A cold cache takes its own buckets only, not what its neighbours on the ring spill.
+        // A cold cache gets requests of its own buckets only, not those that spill from other caches.
         if ((i == 0 ? slowStart.maySend(node) : !slowStart.isCold(node)) && isReady(node, request)
             && skip-- == 0) {
           return node;
@@ -109,8 +121,8 @@
   }
 
   /**
-   * The first warm cache clockwise in this balancer's zone. Null where the bucket's first cache is cold, as
-   * that would be sent too little to warm up, and where the zone has no warm cache.
+   * The first warm cache clockwise in this balancer's zone. Null if the bucket's first cache is cold (it
+   * would otherwise get too few requests to warm up) or if the zone has no warm cache.
    */
   private Node zoneLocalCache(int start) {
     for (int i = 0; i < state.ringPoints.size(); i++) {
@@ -124,8 +136,8 @@
   }
 
   /**
-   * The part of the buckets, 0 to 1, that have a cache in each zone. That saves the price of crossing zones
-   * but costs misses, so it grows while the origin has room.
+   * The fraction of the buckets, 0 to 1, that have a cache in each zone. Zone-local placement saves the price
+   * of crossing zones but causes more misses, so it is extended gradually while the origin has room.
    */
   private double zoneLocalPart() {
     state.originHasRoomSince =
@@ -134,15 +146,19 @@
     return pays ? (state.now - state.originHasRoomSince) / ZONE_LOCAL_RAMP_MS : 0;
   }
 
-  /** Withdraws all zone-local caches after a fetch that failed or found no room: shared ones miss less. */
+  /**
+   * Stops zone-local placement after a fetch that failed or for which the origin had no room: without it each
+   * key is on fewer caches, so fewer reads miss.
+   */
   public void onOriginOverload() {
     state.originHasRoomSince = state.now;
   }
 
   /**
-   * Which of its bucket's primaries a request goes to. A bucket has as many as its traffic fills: a key with
-   * more traffic than two caches can take would overload them. At a cold cache the request itself counts
-   * half: for a balancer with little traffic it may be the first one of a hot key.
+   * The index of the cache that is the primary for a request. A hot bucket has several primaries, as many
+   * caches as its traffic fills, since a key with more traffic than two caches can take would overload them;
+   * the request's random draw picks one. At a cold cache half of the request itself is counted: for a
+   * balancer with little traffic it may be the first one of a hot key.
    */
   private int primaryIndex(Request request, int start) {
     int caches = state.caches.size();
--- a/src/main/java/beampoint/policy/slowstart/SlowStart.java
+++ b/src/main/java/beampoint/policy/slowstart/SlowStart.java
@@ -6,10 +6,12 @@
 /** Slow start of cold caches: how warm a cache is, and the rate limit on what a cold one is sent. */
 public record SlowStart(PolicyState state) {
 
-  private static final double SERVED_HALF_LIFE_MS = 8000; // the same as for requests received
-  private static final double PEAK_DECAY = 0.9999; // of the peak served rate, with each outcome
+  /** Half-life of the served rate in ms, the same as that of the rate of requests received. */
+  private static final double SERVED_HALF_LIFE_MS = 8000;
+  /** Factor by which the peak served rate decays at each outcome. */
+  private static final double PEAK_DECAY = 0.9999;
 
-  /** The part of its capacity that a cache has at a time. */
+  /** The fraction of its full capacity that a cache has at a time. */
   public double warmth(Node node, double now) {
     return node.startedAt <= 0 ? 1 : state.settings.rules().warmth(now - node.startedAt);
   }
@@ -18,7 +20,7 @@
     return warmth(node, state.now) < 1;
   }
 
-  /** Records the outcome of an attempt at any node, which gives the served rate. */
+  /** Records the outcome of an attempt at any node and updates the served rate (OK answers per ms). */
   public void onAttemptEnded(boolean ok) {
     state.served.add(state.now, SERVED_HALF_LIFE_MS, ok ? 1 : 0);
     double rate = state.served.sum() * Math.log(2) / SERVED_HALF_LIFE_MS;
@@ -26,10 +28,10 @@
   }
 
   /**
-   * True where a cache is warm or may be sent one more request now. A burst would overload a cold cache: in
-   * each window it gets at most its present part of this balancer's peak served rate, times half of the
-   * multiple that the settings state. Fetches from the origin count as served; without them, caches that are
-   * all empty would be sent next to nothing.
+   * True if a cache is warm or may be sent one more request now. A burst would overload a cold cache: it is
+   * sent requests at no more than (peak served rate / number of caches) * warmth * {@code fallMultiple} / 2,
+   * counted over {@code fallWindow}. Fetches from the origin count as served; without them, almost nothing
+   * would be sent to caches that are all empty.
    */
   public boolean maySend(Node node) {
     return !isCold(node)
@@ -44,7 +46,7 @@
 
   /**
    * Mean time in ms between two requests to a cold cache. A balancer that has just started has served nothing
-   * yet: an even part of all quotas stands for the rate that it will serve.
+   * yet: an even share of all quotas is then taken as the rate that it will serve.
    */
   private double interval(Node node) {
     double part =
--- a/src/main/java/beampoint/policy/state/DecayingMean.java
+++ b/src/main/java/beampoint/policy/state/DecayingMean.java
@@ -16,7 +16,7 @@
   }
 
   /** The mean, with a prior value that counts as {@code priorWeight} observations. */
-  public double value(double now, double halfLife, double prior, double priorWeight) {
+  public double mean(double now, double halfLife, double prior, double priorWeight) {
     decay(now, halfLife);
     return (sum + prior * priorWeight) / (count + priorWeight);
   }
@@ -37,12 +37,12 @@
     return count(now, halfLife) * Math.log(2) / halfLife;
   }
 
-  /** Observations per ms where observation began at a time: does not count the time before as empty. */
+  /** Observations per ms, corrected for an observation that began only at {@code since}. */
   public double rate(double now, double halfLife, double since) {
     return rate(now, halfLife) / Math.max(1e-9, 1 - Math.pow(0.5, (now - since) / halfLife));
   }
 
-  /** The decayed sum of the observations, as of the last call that took a time. */
+  /** The decayed sum of the observations at the time of the last call that decayed it. */
   public double sum() {
     return sum;
   }
--- a/src/main/java/beampoint/policy/state/PolicyState.java
+++ b/src/main/java/beampoint/policy/state/PolicyState.java
@@ -17,7 +17,7 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** State that the parts of the decision module share: settings, nodes, observations. Times are in ms. */
+/** State that the parts of a balancer share: settings, nodes, observations. Times are in ms. */
 public final class PolicyState {
 
   /** The settings in force; an open request may have begun under earlier ones. */
@@ -28,33 +28,42 @@
   public Random random;
   /** Actions that follow from the current event, in order. */
   public final List<Action> actions = new ArrayList<>();
-  /** Time of the current event, and of the first. */
+  /** Time of the current event. */
   public double now;
+  /** Time of the first event. */
   public double startedAt = Double.POSITIVE_INFINITY;
-  /** All nodes by name, the running caches among them, and the number of the caches' zones. */
+  /** All nodes by endpoint id. */
   public final Map<String, Node> nodes = new TreeMap<>();
+  /** The running caches. */
   public final List<Node> caches = new ArrayList<>();
+  /** Number of the zones of the running caches. */
   public int zones;
-  /** The greatest weight listed for each kind of machine. */
+  /** The greatest weight listed for each type of machine. */
   public final Map<Integer, Double> maxWeights = new HashMap<>();
   /** The running origin, or null. */
   public Node origin;
   /** Attempts in flight at caches. */
   public int inFlightAtCaches;
   /** Counts the requests received. */
-  public final DecayingMean requests = new DecayingMean();
-  /** Attempts at caches: logarithms of their times, share of timeouts, share of failures (with probes). */
+  public final DecayingMean requestCounter = new DecayingMean();
+  /** Logarithms of the times of attempts at caches. */
   public final DecayingMean logTimes = new DecayingMean();
+  /** Share of timeouts among the attempts at caches. */
   public final DecayingMean timeouts = new DecayingMean();
+  /** Share of failures among the attempts at caches and the probes. */
   public final DecayingMean failures = new DecayingMean();
   /** Share of timeouts among the attempts at the origin. */
   public final DecayingMean originTimeouts = new DecayingMean();
   /** Load that caches reported, 0 to 1. */
   public final DecayingMean reportedLoad = new DecayingMean();
-  /** Attempts that ended with an answer, 1 for each, 0 for others; and their peak rate, per ms. */
+  /** 1 for each attempt that ended with OK, 0 for each other one. */
   public final DecayingMean served = new DecayingMean();
+  /** Peak rate of OK answers, per ms, with slow decay. */
   public double peakServedRate;
-  /** This process's part of the rate allowed to cold caches: two processes may stand for one balancer. */
+  /**
+   * This process's fraction of the rate allowed to cold caches; below 1 while two processes of the same
+   * balancer serve together, as during an upgrade.
+   */
   public double coldShare = 1;
   public final RingPoints ringPoints = new RingPoints();
   /** Time at which points of warming caches are to be added. */
@@ -63,25 +72,30 @@
   public BucketFrequency bucketFrequency;
   /** Time since which the origin has had room. */
   public double originHasRoomSince = Double.NEGATIVE_INFINITY;
-  /** Usage of each tenant; for each class, its clients' waits as part of the class's deadline. */
+  /** Usage of each tenant. */
   public List<TenantUsage> usages = List.of();
-  public final Map<RequestClass, DecayingMean> clientWaits = new HashMap<>();
+  /** For each class, the time left at the arrival of its requests, as a fraction of the class's deadline. */
+  public final Map<RequestClass, DecayingMean> timeLeftFractions = new HashMap<>();
   /** True once a client has marked a request as a retry. */
   public boolean clientsMarkRetries;
-  /** Calls for the list, and whether the list has come since the last call. */
-  public long listCalls;
+  /** Number of scheduled retries of the subscription to the host list. */
+  public long subscriptionRetries;
+  /**
+   * True once a list other than a remembered one has come, until a retry of the subscription is scheduled.
+   */
   public boolean listReceived;
-  /** True while the list may lack drains that discovery has announced. */
+  /** True while the host list may lack drains that discovery has announced. */
   public boolean listUnconfirmed;
-  private final Map<String, Ban> bans = new TreeMap<>(); // by endpoint; removed once a readmitted one is warm
+  /** Bans by endpoint id; an ended ban is kept until the endpoint has warmed up. */
+  private final Map<String, Ban> bans = new TreeMap<>();
 
-  /** Applies new settings; the observed usage of a tenant moves with it. */
+  /** Applies new settings; the observed usage of each tenant is kept. */
   public void apply(SettingsChanged e) {
     random = settings == null ? new Random(e.settings().seed()) : random;
     settings = e.settings();
     totalQuota = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
     usages = e.formerTenants().stream().map(n -> n < 0 ? new TenantUsage() : usages.get(n)).toList();
-    clientWaits.keySet().retainAll(settings.classes());
+    timeLeftFractions.keySet().retainAll(settings.classes());
   }
 
   /** Applies a list event; a node that is gone is kept until it has no attempt in flight. */
@@ -99,7 +113,7 @@
     collectCaches();
   }
 
-  /** Begins or ends a ban. No list ends one: a banned endpoint stays out until operators readmit it. */
+  /** Begins or ends a ban. A ban is ended only by operators, never by a list event. */
   public void apply(BanChanged e) {
     Ban ban = bans.getOrDefault(e.endpoint(), Ban.NONE);
     bans.values().removeIf(b -> now - b.until() > settings.rules().warmUp());
@@ -141,7 +155,7 @@
     node.attempts.add(attempt);
   }
 
-  /** Records that an attempt of a request has ended; an answer shows its node at work. */
+  /** Records that an attempt of a request has ended, and the time if its node answered. */
   public void onAttemptEnded(Request request, Attempt attempt, boolean answered) {
     request.inFlight.remove(attempt);
     attempt.ended = true;
--- a/src/main/java/beampoint/policy/state/Request.java
+++ b/src/main/java/beampoint/policy/state/Request.java
@@ -11,16 +11,16 @@
   public final long id;
   public final RequestClass requestClass;
   public final int maxAttempts;
-  /** Target time of its answer. */
+  /** Time by which an answer earns its full worth. */
   public final double aimAt;
   public final double deadline;
-  /** Time from which an answer earns nothing. */
+  /** Time after which an answer is worthless. */
   public final double usefulUntil;
   public final long key;
   public final boolean write;
-  /** Random number from 0 to 1, drawn once, so that repeated placements of the request agree. */
+  /** Random number from 0 to 1, drawn once, so that the request is always placed alike. */
   public final double placementDraw;
-  /** True where the proxy has no memory to let it wait. */
+  /** True if the proxy has no memory to hold it while it waits. */
   public final boolean overflow;
   /** True if it is beyond its tenant's share, or a client's retry after the target time. */
   public boolean lowPriority;
@@ -32,10 +32,11 @@
   public final List<Attempt> inFlight = new ArrayList<>();
   /** True once it has had its final answer, or its client has left. */
   public boolean finished;
-  /** Time of its next attempt at the origin. */
+  /** Time of a postponed retry at the origin; infinite if there is none. */
   public double originRetryAt = Double.POSITIVE_INFINITY;
-  /** Node and start of its first attempt that may have been executed; the node is null without one. */
+  /** Node of its first attempt that may have been executed; null if there is none. */
   public Node mayHaveRunAt;
+  /** Start of its first attempt that may have been executed. */
   public double mayHaveRunSince;
   /** Nodes at which an attempt failed. */
   public final List<Node> tried = new ArrayList<>();
--- a/src/main/java/beampoint/policy/state/RingPoints.java
+++ b/src/main/java/beampoint/policy/state/RingPoints.java
@@ -13,34 +13,38 @@
   /** The upper bits hold a point's position, the lowest bits its owner's slot. */
   private long[] points = new long[0];
   private final List<Node> slots = new ArrayList<>();
-  private int changes;
+  private int replacements;
 
   public int size() {
     return points.length;
   }
 
-  /** Number of calls of {@link #replace} that had owners to replace. */
-  public int changes() {
-    return changes;
+  /** Number of times that points were replaced. */
+  public int replacements() {
+    return replacements;
   }
 
-  /** The index of the first point clockwise from a hash; {@link #size} stands for the first of all. */
-  public int after(long hash) {
+  /**
+   * The index of the first point at or after a hash; {@link #size} if there is none, which is the point at 0.
+   */
+  public int firstIndexFrom(long hash) {
     int found = Arrays.binarySearch(points, hash & -MAX_SLOTS);
     return found >= 0 ? found : -found - 1;
   }
 
-  /** The owner of the point at an index, counted round the ring. */
+  /** The owner of the point at an index, modulo the number of points. */
   public Node owner(int index) {
     return slots.get((int) (points[index % points.length] & MAX_SLOTS - 1));
   }
 
-  /** Replaces the points of these owners by as many as each has now; those of all others stay. */
+  /**
+   * Replaces the points of the given nodes by {@code pointCount} new ones each; those of other nodes stay.
+   */
   public void replace(List<Node> owners) {
     if (owners.isEmpty()) {
       return;
     }
-    changes++;
+    replacements++;
     boolean[] moved = new boolean[slots.size()];
     int added = 0;
     for (Node node : owners) {
@@ -63,7 +67,7 @@
         next[end++] = Hash.of(sequence + i) & -MAX_SLOTS | node.ringSlot;
       }
     }
-    // Two sorted runs, which the library's sort merges instead of sorting anew.
+    // Both parts are sorted now; the sort of the library merges such runs.
     Arrays.sort(next, kept, end);
     Arrays.sort(next, 0, end);
     points = Arrays.copyOf(next, end);
--- a/src/test/java/beampoint/policy/PlacementTest.java
+++ b/src/test/java/beampoint/policy/PlacementTest.java
@@ -69,12 +69,12 @@
   void aListThatChangesNoPointsDoesNotRebuildTheRing() {
     Fixture f = new Fixture(Fixture.READ).withFleet(8);
     BalancerPolicy policy = (BalancerPolicy) f.balancer;
-    int before = policy.state.ringPoints.changes();
+    int before = policy.state.ringPoints.replacements();
     f.list(ListKind.FULL, Fixture.fleet(8));
     f.list(ListKind.CHANGES, List.of(Fixture.cache(3)));
-    assertEquals(before, policy.state.ringPoints.changes());
+    assertEquals(before, policy.state.ringPoints.replacements());
     f.list(ListKind.CHANGES, List.of(Fixture.cache(3, EndpointState.DRAINING, 0)));
-    assertEquals(before + 1, policy.state.ringPoints.changes());
+    assertEquals(before + 1, policy.state.ringPoints.replacements());
   }
 
   @Test
