--- a/src/test/java/beampoint/policy/AdmissionTest.java
+++ b/src/test/java/beampoint/policy/AdmissionTest.java
@@ -19,7 +19,7 @@
 
   @Test
   void aRequestThatWouldBeAnsweredTooLateIsRefusedAtOnceWithRetryAdvice() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(2);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(2);
     for (long key = 0; key < 10; key++) {
       f.read(key);
     }
@@ -30,23 +30,24 @@
 
   @Test
   void aRequestThatExpiredBeforeItWasSentIsRefusedAtOnce() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(6);
     long id = f.nextId();
-    String endpoint = Fixture.sentTo(f.read(5));
-    assertTrue(Fixture.has(f.end(id, 0, endpoint, 0, Result.NOT_SENT), Refuse.class));
+    String endpoint = BalancerFixture.sentTo(f.read(5));
+    assertTrue(BalancerFixture.has(f.endAttempt(id, 0, endpoint, 0, Result.NOT_SENT), Refuse.class));
   }
 
   /** Refused requests among so many in a row by one tenant, where caches have room for shares only. */
   private static long refusedInARow(int requests) {
     Balancer.Tenant tenant = new Balancer.Tenant(1);
-    Fixture f = new Fixture(List.of(tenant, tenant, tenant), Fixture.READ).withFleet(6);
+    BalancerFixture f =
+        new BalancerFixture(List.of(tenant, tenant, tenant), BalancerFixture.READ).withFleet(6);
     long refused = 0;
     for (int i = 0; i < 60 + requests; i++) {
       f.now += 50;
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.request(0, i < 60 ? i % 3 : 0, i, false));
+      String endpoint = BalancerFixture.sentTo(f.request(0, i < 60 ? i % 3 : 0, i, false));
       if (endpoint != null) {
-        f.end(id, 0, endpoint, 160, Result.OK);
+        f.endAttempt(id, 0, endpoint, 160, Result.OK);
       } else if (i >= 60) {
         refused++;
       }
@@ -62,27 +63,28 @@
 
   @Test
   void anEmptyFleetRefusesInsteadOfFailing() {
-    Fixture f = new Fixture(Fixture.READ);
-    f.list(ListKind.REMEMBERED, List.of());
-    assertTrue(Fixture.has(f.read(5), Refuse.class));
-    assertTrue(Fixture.has(f.read(-1), Refuse.class));
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ);
+    f.receiveList(ListKind.REMEMBERED, List.of());
+    assertTrue(BalancerFixture.has(f.read(5), Refuse.class));
+    assertTrue(BalancerFixture.has(f.read(-1), Refuse.class));
   }
 
   @Test
   void zeroWeightsDrainingCachesAndAMissingOriginAreHandled() {
-    Fixture f = new Fixture(Fixture.READ);
-    f.list(ListKind.FULL, List.of(new Endpoint("idle", 0, Fixture.CACHE, 0, EndpointState.RUNNING, 0, 0)));
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ);
+    f.receiveList(ListKind.FULL,
+        List.of(new Endpoint("idle", 0, BalancerFixture.CACHE, 0, EndpointState.RUNNING, 0, 0)));
     long id = f.nextId();
-    assertEquals("idle", Fixture.sentTo(f.read(5)));
-    assertTrue(Fixture.has(f.end(id, 0, "idle", 1, Result.MISS), Refuse.class));
-    assertTrue(Fixture.has(f.request(0, 0, 5, true), Refuse.class));
-    f.list(ListKind.FULL, List.of(Fixture.cache(1, EndpointState.DRAINING, 0)));
-    assertTrue(Fixture.has(f.read(5), Refuse.class));
+    assertEquals("idle", BalancerFixture.sentTo(f.read(5)));
+    assertTrue(BalancerFixture.has(f.endAttempt(id, 0, "idle", 1, Result.MISS), Refuse.class));
+    assertTrue(BalancerFixture.has(f.request(0, 0, 5, true), Refuse.class));
+    f.receiveList(ListKind.FULL, List.of(BalancerFixture.cache(1, EndpointState.DRAINING, 0)));
+    assertTrue(BalancerFixture.has(f.read(5), Refuse.class));
   }
 
   @Test
   void anOverflowRequestIsRefusedAtOnce() {
-    Fixture f = Fixture.withTraffic(4);
+    BalancerFixture f = BalancerFixture.withTraffic(4);
     for (boolean write : new boolean[] {false, true}) {
       RequestReceived overflow =
           new RequestReceived(f.nextId() + 1_000, f.now + 1_000, 0, 0, 5, write, false, true);
--- a/src/test/java/beampoint/policy/Fixture.java
+++ b/src/test/java/beampoint/policy/BalancerFixture.java
@@ -23,7 +23,7 @@
 import java.util.Map;
 
 /** One decision module, driven with events and a clock that tests set. Times are in ms. */
-final class Fixture {
+final class BalancerFixture {
 
   /** Number of keys in a placement, unless a test gives another. */
   static final int KEYS = 2_000;
@@ -36,19 +36,19 @@
   double now = 1_000;
   private long nextId;
 
-  Fixture(RequestClass... classes) {
+  BalancerFixture(RequestClass... classes) {
     this(List.of(), classes);
   }
 
-  Fixture(List<Tenant> tenants, RequestClass... classes) {
+  BalancerFixture(List<Tenant> tenants, RequestClass... classes) {
     this(settings(tenants, true, classes));
   }
 
-  Fixture(Settings settings) {
+  BalancerFixture(Settings settings) {
     balancer = new BalancerPolicy(settings);
   }
 
-  Fixture(boolean probes, RequestClass... classes) {
+  BalancerFixture(boolean probes, RequestClass... classes) {
     this(settings(List.of(), true, probes, new Balancer.Prices(0, 0, 0, 0), classes));
   }
 
@@ -88,14 +88,14 @@
     return endpoints;
   }
 
-  Fixture withFleet(int caches) {
-    list(ListKind.FULL, fleet(caches));
+  BalancerFixture withFleet(int caches) {
+    receiveList(ListKind.FULL, fleet(caches));
     return this;
   }
 
   /** A module that has served enough requests that a few more for one key do not make it a hot key. */
-  static Fixture withTraffic(int caches) {
-    Fixture f = new Fixture(READ).withFleet(caches);
+  static BalancerFixture withTraffic(int caches) {
+    BalancerFixture f = new BalancerFixture(READ).withFleet(caches);
     for (long key = 1_000; key < 1_400; key++) {
       f.serve(key);
     }
@@ -115,7 +115,7 @@
     return placement(KEYS);
   }
 
-  List<Action> list(ListKind kind, List<Endpoint> endpoints) {
+  List<Action> receiveList(ListKind kind, List<Endpoint> endpoints) {
     return balancer.handle(now, new ListReceived(kind, endpoints));
   }
 
@@ -132,13 +132,13 @@
     return balancer.handle(now, new RequestReceived(nextId++, now + 1_000, tenant, requestClass, key, write));
   }
 
-  List<Action> end(long id, int attempt, String endpoint, double elapsed, Result result) {
+  List<Action> endAttempt(long id, int attempt, String endpoint, double elapsed, Result result) {
     boolean done = result == Result.OK;
     return balancer.handle(now, new AttemptEnded(id, attempt, endpoint, elapsed, result, done));
   }
 
   /** Ends an attempt with a value and a load report. */
-  List<Action> endWithLoad(long id, String endpoint, double elapsed, Balancer.Load load) {
+  List<Action> endAttemptWithLoad(long id, String endpoint, double elapsed, Balancer.Load load) {
     return balancer.handle(now, new AttemptEnded(id, 0, endpoint, elapsed, Result.OK, true, load));
   }
 
@@ -146,7 +146,7 @@
   String serve(long key) {
     long id = nextId;
     String endpoint = sentTo(read(key));
-    end(id, 0, endpoint, 10, Result.OK);
+    endAttempt(id, 0, endpoint, 10, Result.OK);
     return endpoint;
   }
 
--- a/src/test/java/beampoint/policy/BanTest.java
+++ b/src/test/java/beampoint/policy/BanTest.java
@@ -23,11 +23,11 @@
 
   private static final int KEYS = 400;
 
-  private static Map<Long, String> placement(Fixture f) {
+  private static Map<Long, String> placement(BalancerFixture f) {
     return f.placement(KEYS);
   }
 
-  private static List<Action> changeBan(Fixture f, String endpoint, boolean out) {
+  private static List<Action> changeBan(BalancerFixture f, String endpoint, boolean out) {
     return f.balancer.handle(f.now, new BanChanged(endpoint, out, f.now));
   }
 
@@ -37,7 +37,7 @@
 
   @Test
   void aBanMovesOnlyTheBucketsOfItsCacheAndClosesItsIdleConnections() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(6);
     Map<Long, String> before = placement(f);
     assertTrue(changeBan(f, "cache-3", true).contains(new CloseIdle("cache-3")));
     placement(f).forEach((key, cache) -> {
@@ -49,28 +49,29 @@
   /** A list must not end a ban, whether it says that the cache runs, has restarted, or is gone. */
   @Test
   void noListEndsABan() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
     changeBan(f, "cache-1", true);
     for (int i = 0; i < 5; i++) {
       f.now += 1000;
       switch (i) {
-        case 0 -> f.list(ListKind.CHANGES, List.of(Fixture.cache(1)));
-        case 1 -> f.list(ListKind.FULL, Fixture.fleet(4));
-        case 2 -> f.list(ListKind.CHANGES, List.of(Fixture.cache(1, EndpointState.RUNNING, f.now)));
-        case 3 -> f.list(ListKind.CHANGES, List.of(Fixture.cache(1, EndpointState.GONE, 0)));
-        default -> f.list(ListKind.CHANGES, List.of(Fixture.cache(1)));
+        case 0 -> f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(1)));
+        case 1 -> f.receiveList(ListKind.FULL, BalancerFixture.fleet(4));
+        case 2 ->
+          f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(1, EndpointState.RUNNING, f.now)));
+        case 3 -> f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(1, EndpointState.GONE, 0)));
+        default -> f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(1)));
       }
       assertFalse(placement(f).containsValue("cache-1"), "after list " + i);
     }
     changeBan(f, "cache-1", false);
     f.now += 20_000;
-    f.list(ListKind.CHANGES, List.of());
+    f.receiveList(ListKind.CHANGES, List.of());
     assertTrue(placement(f).containsValue("cache-1"));
   }
 
   @Test
   void aBanBeforeTheFirstListHolds() {
-    Fixture f = new Fixture(Fixture.READ);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ);
     changeBan(f, "cache-1", true);
     f.withFleet(4);
     assertFalse(placement(f).containsValue("cache-1"));
@@ -78,7 +79,7 @@
 
   @Test
   void aCacheTakenOutTwiceAndPutBackOnceIsInUse() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
     changeBan(f, "cache-1", true);
     f.now += 100;
     changeBan(f, "cache-1", true);
@@ -95,7 +96,7 @@
    */
   @Test
   void aCacheThatIsPutBackIsColdBeforeTheListSaysSo() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
     f.now = 100_000;
     long full = share(placement(f), "cache-1");
     changeBan(f, "cache-1", true);
@@ -103,7 +104,7 @@
     changeBan(f, "cache-1", false);
     long cold = share(placement(f), "cache-1");
     assertTrue(cold > 0 && cold < full / 2, cold + " of " + full);
-    f.list(ListKind.FULL, Fixture.fleet(4)); // with the start time from before the ban
+    f.receiveList(ListKind.FULL, BalancerFixture.fleet(4)); // with the start time from before the ban
     assertTrue(share(placement(f), "cache-1") < full / 2, "a start before the ban does not make it warm");
     f.now += 9_000;
     placement(f);
@@ -113,28 +114,28 @@
   /** A start time in the list counts if it is later than the beginning of the ban. */
   @Test
   void aListedStartAfterTheBanBeganIsUsed() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
     f.now = 100_000;
     long full = share(placement(f), "cache-1");
     changeBan(f, "cache-1", true);
     double started = f.now + 1_000;
     f.now += 10_000;
     changeBan(f, "cache-1", false);
-    f.list(ListKind.CHANGES, List.of(Fixture.cache(1, EndpointState.RUNNING, started)));
+    f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(1, EndpointState.RUNNING, started)));
     assertEquals(full, share(placement(f), "cache-1"), "it has warmed up since that start");
   }
 
   /** A cache that failed before its restart must not be skipped after it. */
   @Test
   void observationsFromBeforeABanAreDropped() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
     f.now = 100_000;
     long own = placement(f).entrySet().stream().filter(e -> e.getValue().equals("cache-1")).findFirst()
         .orElseThrow().getKey();
     f.now += 3_000;
     long id = f.nextId();
-    assertEquals("cache-1", Fixture.sentTo(f.read(own)));
-    f.end(id, 0, "cache-1", 1, Result.RESET); // ejected for a while
+    assertEquals("cache-1", BalancerFixture.sentTo(f.read(own)));
+    f.endAttempt(id, 0, "cache-1", 1, Result.RESET); // ejected for a while
     changeBan(f, "cache-1", true);
     changeBan(f, "cache-1", false);
     assertTrue(share(placement(f), "cache-1") > 0);
@@ -142,11 +143,11 @@
 
   @Test
   void whileAllCachesAreBannedReadsAreRefusedAndWritesAreSent() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(2);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(2);
     changeBan(f, "cache-0", true);
     changeBan(f, "cache-1", true);
-    assertTrue(Fixture.has(f.read(1), Refuse.class));
-    assertEquals("origin", Fixture.sentTo(f.request(0, 0, 1, true)));
+    assertTrue(BalancerFixture.has(f.read(1), Refuse.class));
+    assertEquals("origin", BalancerFixture.sentTo(f.request(0, 0, 1, true)));
   }
 
   /** Two processes of one proxy must not each send a cold cache as much as one may. */
@@ -158,9 +159,10 @@
   }
 
   private static int sentToCold(double part) {
-    Fixture f = new Fixture(List.of(new Balancer.Tenant(400)), Fixture.READ).withFleet(4);
+    BalancerFixture f =
+        new BalancerFixture(List.of(new Balancer.Tenant(400)), BalancerFixture.READ).withFleet(4);
     f.now = 100_000;
-    f.list(ListKind.CHANGES, List.of(Fixture.cache(4, EndpointState.RUNNING, f.now)));
+    f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(4, EndpointState.RUNNING, f.now)));
     f.balancer.handle(f.now, new ColdShareChanged(part));
     int cold = 0;
     for (int i = 0; i < 4_000; i++) {
--- a/src/test/java/beampoint/policy/CancelledRequestTest.java
+++ b/src/test/java/beampoint/policy/ClientGoneTest.java
@@ -15,30 +15,31 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Nothing more is sent for a request whose client has left. */
-class CancelledRequestTest {
+class ClientGoneTest {
 
   @ParameterizedTest
   @EnumSource(Result.class)
   void noAttemptFollowsWhateverTheOutcomeOfTheOneInFlight(Result result) {
-    Fixture f = new Fixture(Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(6);
     long id = f.nextId();
-    String endpoint = Fixture.sentTo(f.read(5));
+    String endpoint = BalancerFixture.sentTo(f.read(5));
     assertNotNull(endpoint);
     f.balancer.handle(f.now, new RequestGone(id));
     f.now += 20;
-    assertNull(Fixture.sentTo(f.end(id, 0, endpoint, 20, result)));
+    assertNull(BalancerFixture.sentTo(f.endAttempt(id, 0, endpoint, 20, result)));
   }
 
   @Test
   void noAttemptFollowsAPendingProbe() {
-    Fixture f = new Fixture(true, Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(true, BalancerFixture.READ).withFleet(6);
     long id = f.nextId();
     List<Action> actions = f.read(5);
     assertTrue(actions.get(0) instanceof Balancer.Probe);
     String primary = ((Balancer.Probe) actions.get(0)).endpoint();
     f.balancer.handle(f.now, new RequestGone(id));
     f.now += 50;
-    assertNull(Fixture.sentTo(f.balancer.handle(f.now, new TimerFired(id))));
-    assertNull(Fixture.sentTo(f.balancer.handle(f.now, new Balancer.ProbeEnded(primary, Result.OK, 50))));
+    assertNull(BalancerFixture.sentTo(f.balancer.handle(f.now, new TimerFired(id))));
+    assertNull(
+        BalancerFixture.sentTo(f.balancer.handle(f.now, new Balancer.ProbeEnded(primary, Result.OK, 50))));
   }
 }
--- a/src/test/java/beampoint/policy/ColdCacheTest.java
+++ b/src/test/java/beampoint/policy/ColdCacheTest.java
@@ -19,8 +19,8 @@
 
   @Test
   void aColdCacheIsSentNoMoreThanItsPartOfAHotKey() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
-    f.list(ListKind.CHANGES, List.of(Fixture.cache(4, EndpointState.RUNNING, f.now)));
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
+    f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(4, EndpointState.RUNNING, f.now)));
     long hot = 0;
     while (!"cache-4".equals(f.serve(hot))) {
       hot++;
@@ -33,37 +33,38 @@
     assertTrue(cold < 800 / 4, "sent to the cold cache: " + cold);
   }
 
-  private static int sentToCold(Fixture f, int requests, double apart, double elapsed) {
+  private static int sentToCold(BalancerFixture f, int requests, double apart, double elapsed) {
     int cold = 0;
     for (int i = 0; i < requests; i++) {
       f.now += apart;
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.read(20_000 + i));
+      String endpoint = BalancerFixture.sentTo(f.read(20_000 + i));
       cold += "cache-3".equals(endpoint) ? 1 : 0;
-      f.end(id, 0, endpoint, elapsed, Result.OK);
+      f.endAttempt(id, 0, endpoint, elapsed, Result.OK);
     }
     return cold;
   }
 
   /** One cold cache beside three warm ones, at a balancer that has served so many requests before. */
-  private static Fixture besideAColdCache(int served, double elapsed) {
-    Fixture f = new Fixture(List.of(new Balancer.Tenant(100)), Fixture.READ).withFleet(3);
+  private static BalancerFixture besideAColdCache(int served, double elapsed) {
+    BalancerFixture f =
+        new BalancerFixture(List.of(new Balancer.Tenant(100)), BalancerFixture.READ).withFleet(3);
     f.now = 10_000;
     sentToCold(f, served, 20, elapsed);
-    f.list(ListKind.CHANGES, List.of(Fixture.cache(3, EndpointState.RUNNING, f.now - 1_000)));
+    f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(3, EndpointState.RUNNING, f.now - 1_000)));
     return f;
   }
 
   @Test
   void aBalancerThatHasJustStartedSendsAColdCacheItsPart() {
-    Fixture f = besideAColdCache(0, 0);
+    BalancerFixture f = besideAColdCache(0, 0);
     int cold = 0;
     for (long key = 0; key < 100; key++) {
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.read(key));
+      String endpoint = BalancerFixture.sentTo(f.read(key));
       cold += "cache-3".equals(endpoint) ? 1 : 0;
       f.balancer.handle(f.now, new RequestGone(id));
-      f.end(id, 0, endpoint, 1, Result.CANCELLED); // no observation yet
+      f.endAttempt(id, 0, endpoint, 1, Result.CANCELLED); // no observation yet
     }
     assertTrue(cold > 0, "without observations");
     assertTrue(cold < 100 / 4, "without observations: " + cold);
@@ -74,29 +75,29 @@
 
   @Test
   void aColdCacheIsSentItsPartWhileTheFleetAnswersSlowly() {
-    Fixture f = besideAColdCache(100, 250);
+    BalancerFixture f = besideAColdCache(100, 250);
     int cold = sentToCold(f, 100, 20, 250);
     assertTrue(cold >= 100 / 16, "sent to the cold cache: " + cold);
   }
 
   @Test
   void cachesThatAreAllEmptyAndColdAreSentTheMissesThatFillThem() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
     for (long key = 0; key < 2_000; key++) {
       f.serve(key);
       f.now += 10;
     }
     List<Endpoint> cold = IntStream.range(0, 4)
-        .mapToObj(i -> Fixture.cache(i, EndpointState.RUNNING, f.now)).toList();
-    f.list(ListKind.CHANGES, cold);
+        .mapToObj(i -> BalancerFixture.cache(i, EndpointState.RUNNING, f.now)).toList();
+    f.receiveList(ListKind.CHANGES, cold);
     int sent = 0;
     for (long key = 0; key < 1_500; key++) {
       long id = f.nextId();
-      String cache = Fixture.sentTo(f.read(key));
+      String cache = BalancerFixture.sentTo(f.read(key));
       if (cache != null) {
         sent++;
-        if ("origin".equals(Fixture.sentTo(f.end(id, 0, cache, 1, Result.MISS)))) {
-          f.end(id, 1, "origin", 5, Result.OK);
+        if ("origin".equals(BalancerFixture.sentTo(f.endAttempt(id, 0, cache, 1, Result.MISS)))) {
+          f.endAttempt(id, 1, "origin", 5, Result.OK);
         }
       }
       f.now += 2;
@@ -109,13 +110,14 @@
   private static double partOfAColdCache(int instances) {
     long cold = 0;
     int all = 4_000;
-    List<Fixture> fleet = IntStream.range(0, instances).mapToObj(i -> Fixture.withTraffic(10)).toList();
-    for (Fixture f : fleet) {
+    List<BalancerFixture> fleet =
+        IntStream.range(0, instances).mapToObj(i -> BalancerFixture.withTraffic(10)).toList();
+    for (BalancerFixture f : fleet) {
       f.now += 10_000;
-      f.list(ListKind.CHANGES, List.of(Fixture.cache(3, EndpointState.RUNNING, f.now)));
+      f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(3, EndpointState.RUNNING, f.now)));
     }
     for (int i = 0; i < all; i++) {
-      Fixture f = fleet.get(i % instances);
+      BalancerFixture f = fleet.get(i % instances);
       f.now += instances * 0.25;
       cold += "cache-3".equals(f.serve(5_000 + i)) ? 1 : 0;
     }
@@ -132,17 +134,17 @@
 
   @Test
   void aRestartedCacheIsColdAndNoLongerEjected() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
     Map<Long, String> before = f.placement();
     long own =
         before.keySet().stream().filter(k -> before.get(k).equals("cache-1")).findFirst().orElseThrow();
     f.now += 3_000; // without an answer from it
     long id = f.nextId();
     f.read(own);
-    f.end(id, 0, "cache-1", 1, Result.RESET);
+    f.endAttempt(id, 0, "cache-1", 1, Result.RESET);
     f.balancer.handle(f.now, new RequestGone(id));
     assertNotEquals("cache-1", f.serve(own));
-    f.list(ListKind.CHANGES, List.of(Fixture.cache(1, EndpointState.RUNNING, f.now)));
+    f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(1, EndpointState.RUNNING, f.now)));
     Map<Long, String> after = f.placement();
     long share = after.values().stream().filter("cache-1"::equals).count();
     assertTrue(share > 0 && share < before.values().stream().filter("cache-1"::equals).count() / 2,
--- a/src/test/java/beampoint/policy/EndpointHealthTest.java
+++ b/src/test/java/beampoint/policy/EndpointHealthTest.java
@@ -19,29 +19,29 @@
 
   @Test
   void aBalancerWithLittleTrafficAvoidsACacheAfterOneTimeout() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(2);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(2);
     long id = f.nextId();
-    String overloaded = Fixture.sentTo(f.read(5));
+    String overloaded = BalancerFixture.sentTo(f.read(5));
     f.now += 1_000;
-    f.end(id, 0, overloaded, 1_000, Result.TIMEOUT);
+    f.endAttempt(id, 0, overloaded, 1_000, Result.TIMEOUT);
     assertNotEquals(overloaded, f.serve(5));
     f.now += 5_000;
     assertEquals(overloaded, f.serve(5));
   }
 
   /** The requests sent to a cache that never answers, of ten per second at ten caches. */
-  private static int sentToSlow(Fixture f, String slow, int requests) {
+  private static int sentToSlow(BalancerFixture f, String slow, int requests) {
     int sent = 0;
     for (int i = 0; i < requests; i++) {
       f.now += 100;
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.read(50_000 + id));
+      String endpoint = BalancerFixture.sentTo(f.read(50_000 + id));
       if (slow.equals(endpoint)) {
         sent++;
         f.now += 1_000;
-        f.end(id, 0, endpoint, 1_000, Result.TIMEOUT);
+        f.endAttempt(id, 0, endpoint, 1_000, Result.TIMEOUT);
       } else if (endpoint != null) {
-        f.end(id, 0, endpoint, 100, Result.OK);
+        f.endAttempt(id, 0, endpoint, 100, Result.OK);
       }
     }
     return sent;
@@ -49,7 +49,7 @@
 
   @Test
   void aTimeoutIsRememberedForMoreThanOneSendToItsCache() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(10);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(10);
     String slow = f.serve(7);
     sentToSlow(f, slow, 200);
     int sent = sentToSlow(f, slow, 1_000);
@@ -59,11 +59,11 @@
 
   @Test
   void aCacheThatRefusesConnectionsIsSkippedAndTriedAgainLater() {
-    Fixture f = Fixture.withTraffic(6);
+    BalancerFixture f = BalancerFixture.withTraffic(6);
     f.now += 1_000; // without an answer from any cache
     long id = f.nextId();
-    String primary = Fixture.sentTo(f.read(5));
-    String second = Fixture.sentTo(f.end(id, 0, primary, 50, Result.CONNECT_FAILED));
+    String primary = BalancerFixture.sentTo(f.read(5));
+    String second = BalancerFixture.sentTo(f.endAttempt(id, 0, primary, 50, Result.CONNECT_FAILED));
     assertNotNull(second);
     assertNotEquals(primary, second);
     assertEquals(second, f.serve(5));
@@ -74,7 +74,7 @@
   /** A cache that refuses new connections only because it is full must not count as dead. */
   @Test
   void aFullCacheIsSentWhatItCanServeWhileADeadOneIsSkipped() {
-    Fixture f = Fixture.withTraffic(6);
+    BalancerFixture f = BalancerFixture.withTraffic(6);
     String full = f.serve(1);
     String dead = null;
     for (long key = 2; dead == null || dead.equals(full); key++) {
@@ -85,15 +85,15 @@
     for (int i = 0; i < 400; i++) {
       f.now += 10;
       long id = f.nextId();
-      String to = Fixture.sentTo(f.read(i % 40));
+      String to = BalancerFixture.sentTo(f.read(i % 40));
       for (int attempt = 0; to != null && attempt < 3; attempt++) {
         sent.merge(i >= 200 ? to : "early", 1, Integer::sum);
         // The full one serves on its open connections; half of the requests need a new one, which it refuses.
         boolean refused = to.equals(dead) || to.equals(full) && i % 2 == 0;
         Result result = refused ? Result.CONNECT_FAILED : Result.OK;
-        List<Action> next = f.end(id, attempt, to, refused ? 1 : 10, result);
+        List<Action> next = f.endAttempt(id, attempt, to, refused ? 1 : 10, result);
         served += refused ? 0 : 1;
-        to = refused ? Fixture.sentTo(next) : null;
+        to = refused ? BalancerFixture.sentTo(next) : null;
       }
     }
     assertTrue(served >= 390, "served of 400: " + served);
@@ -103,18 +103,18 @@
 
   @Test
   void atMostHalfOfTheCachesAreEjected() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(6);
     for (long key = 0; key < 60; key++) {
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.read(key));
+      String endpoint = BalancerFixture.sentTo(f.read(key));
       if (endpoint != null) {
-        f.end(id, 0, endpoint, 1, Result.CONNECT_FAILED);
+        f.endAttempt(id, 0, endpoint, 1, Result.CONNECT_FAILED);
         f.balancer.handle(f.now, new RequestGone(id));
       }
     }
     Map<String, Integer> reached = new HashMap<>();
     for (long key = 100; key < 140; key++) {
-      String endpoint = Fixture.sentTo(f.read(key));
+      String endpoint = BalancerFixture.sentTo(f.read(key));
       if (endpoint != null) {
         reached.merge(endpoint, 1, Integer::sum);
       }
@@ -124,7 +124,7 @@
 
   @Test
   void aRejectionByAFullQueueDoesNotCountAsAFastAnswer() {
-    Fixture f = Fixture.withTraffic(6);
+    BalancerFixture f = BalancerFixture.withTraffic(6);
     String primary = f.serve(5);
     f.now += 3_000;
     for (long key = 1_000; key < 1_040; key++) {
@@ -132,8 +132,8 @@
     }
     for (int i = 0; i < 40; i++) {
       long id = f.nextId();
-      if (primary.equals(Fixture.sentTo(f.read(5)))) {
-        f.end(id, 0, primary, 1, Result.FULL);
+      if (primary.equals(BalancerFixture.sentTo(f.read(5)))) {
+        f.endAttempt(id, 0, primary, 1, Result.FULL);
         f.balancer.handle(f.now, new RequestGone(id));
       }
     }
@@ -143,21 +143,21 @@
   /** Refusals stop further observations; the observations behind them must expire, or they would go on. */
   @Test
   void slowCachesAreTriedAgainSoonAfterTheLastAttempt() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(6);
     Map<Long, String> out = new HashMap<>();
     for (int i = 0; i < 100; i++) {
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.read(i));
+      String endpoint = BalancerFixture.sentTo(f.read(i));
       if (endpoint != null) {
         out.put(id, endpoint);
       }
     }
     f.now += 900; // of delay in this balancer itself
-    out.forEach((id, endpoint) -> f.end(id, 0, endpoint, 900, Result.OK));
+    out.forEach((id, endpoint) -> f.endAttempt(id, 0, endpoint, 900, Result.OK));
     assertTrue(out.size() > 50, "sent: " + out.size());
-    assertNull(Fixture.sentTo(f.read(100)), "the caches look slow");
+    assertNull(BalancerFixture.sentTo(f.read(100)), "the caches look slow");
     int refused = 0;
-    while (Fixture.sentTo(f.read(101 + refused)) == null) {
+    while (BalancerFixture.sentTo(f.read(101 + refused)) == null) {
       f.now += 50;
       refused++;
     }
@@ -167,12 +167,12 @@
   /** Ejecting a cache for one broken connection would make its keys miss at the other caches. */
   @Test
   void aCacheThatAnswersOtherRequestsIsNotEjectedForABrokenConnection() {
-    Fixture f = Fixture.withTraffic(4);
+    BalancerFixture f = BalancerFixture.withTraffic(4);
     String own = f.serve(1);
     f.now += 10;
     long id = f.nextId();
     f.read(1);
-    f.end(id, 0, own, 1, Result.RESET);
+    f.endAttempt(id, 0, own, 1, Result.RESET);
     f.balancer.handle(f.now, new RequestGone(id));
     assertEquals(own, f.serve(1));
   }
@@ -180,7 +180,7 @@
   /** A cache must not look overloaded for as long as one attempt is stuck on a dead connection. */
   @Test
   void oneStuckAttemptDoesNotCountAgainstItsCache() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(1);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(1);
     f.read(1); // never answered
     for (int i = 0; i < 80; i++) {
       f.now += 10;
--- a/src/test/java/beampoint/policy/SlowStartTest.java
+++ b/src/test/java/beampoint/policy/HundredInstancesSlowStartTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Whether a hundred instances that share no state together overload a cold cache. */
-class SlowStartTest {
+class HundredInstancesSlowStartTest {
 
   private static final int INSTANCES = 100;
   private static final int CACHES = 150;
@@ -47,13 +47,14 @@
     var keys = RejectionInversionZipfSampler.of(random, 40_000, 0.9);
     double now = 100_000;
     double begin = now;
-    List<Fixture> fleet = new ArrayList<>();
+    List<BalancerFixture> fleet = new ArrayList<>();
     for (int i = 0; i < INSTANCES; i++) {
-      fleet.add(new Fixture(new Settings(seed + i, INSTANCES, i % 2, true, WeightSource.NOMINAL,
-          Fixture.ORIGIN, 0.05, new Limits(3, false, false, true, 400, 50), RULES,
-          new Prices(0.03, 0.03, 0.05, 0.03), List.of(Fixture.READ), List.of(new Tenant(RATE * 1_000)))));
+      fleet.add(new BalancerFixture(new Settings(seed + i, INSTANCES, i % 2, true, WeightSource.NOMINAL,
+          BalancerFixture.ORIGIN, 0.05, new Limits(3, false, false, true, 400, 50), RULES,
+          new Prices(0.03, 0.03, 0.05, 0.03), List.of(BalancerFixture.READ),
+          List.of(new Tenant(RATE * 1_000)))));
       fleet.get(i).now = now;
-      fleet.get(i).list(ListKind.FULL, Fixture.fleet(CACHES));
+      fleet.get(i).receiveList(ListKind.FULL, BalancerFixture.fleet(CACHES));
     }
     boolean restarted = false;
     for (double end = now + 20_000; now < end; now += -Math.log(1 - random.nextDouble()) / RATE) {
@@ -62,19 +63,19 @@
         begin = now;
         List<Endpoint> started = new ArrayList<>();
         for (int i = 0; i < cold; i++) {
-          started.add(Fixture.cache(i, EndpointState.RUNNING, now));
+          started.add(BalancerFixture.cache(i, EndpointState.RUNNING, now));
         }
-        for (Fixture f : fleet) {
+        for (BalancerFixture f : fleet) {
           f.now = now;
-          f.list(ListKind.CHANGES, started);
+          f.receiveList(ListKind.CHANGES, started);
         }
       }
       // One instance in five gets several times an even part of the traffic.
       int number = random.nextInt(random.nextDouble() < 0.5 ? INSTANCES : busy);
-      Fixture f = fleet.get(number);
+      BalancerFixture f = fleet.get(number);
       f.now = now;
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.read(keys.sample()));
+      String endpoint = BalancerFixture.sentTo(f.read(keys.sample()));
       if (endpoint != null && restarted && Integer.parseInt(endpoint.substring(6)) < cold) {
         Deque<Double> window = sent.computeIfAbsent(endpoint, e -> new ArrayDeque<>());
         window.add(now);
@@ -85,7 +86,7 @@
         toCold++;
       }
       if (endpoint != null) {
-        f.end(id, 0, endpoint, 120, Result.OK);
+        f.endAttempt(id, 0, endpoint, 120, Result.OK);
       }
     }
   }
--- a/src/test/java/beampoint/policy/IdleConnectionTest.java
+++ b/src/test/java/beampoint/policy/IdleConnectionTest.java
@@ -21,22 +21,22 @@
 class IdleConnectionTest {
 
   /** One of so many balancers with four caches; 100 connections to a cache cost as much as a new one. */
-  private static Fixture priced(int balancers) {
+  private static BalancerFixture priced(int balancers) {
     Balancer.Prices prices = new Balancer.Prices(0.05, 0.05, 0, 0);
-    Settings s = Fixture.settings(List.of(), true, false, prices, Fixture.READ);
-    return new Fixture(new Settings(s.seed(), balancers, s.zone(), s.listPushed(), s.weightSource(),
+    Settings s = BalancerFixture.settings(List.of(), true, false, prices, BalancerFixture.READ);
+    return new BalancerFixture(new Settings(s.seed(), balancers, s.zone(), s.listPushed(), s.weightSource(),
         s.originKind(), s.overShareWorth(), s.limits(), s.rules(), s.prices(), s.classes(), s.tenants()))
         .withFleet(4);
   }
 
   /** Serves a read of each key every {@code gap} ms; counts the closing of connections for each cache. */
-  private static Map<String, Integer> closes(Fixture f, double gap, LongStream keys) {
+  private static Map<String, Integer> closes(BalancerFixture f, double gap, LongStream keys) {
     Map<String, Integer> closes = new HashMap<>();
     keys.forEach(key -> {
       f.now += gap;
       long id = f.nextId();
       List<Action> actions = new ArrayList<>(f.read(key));
-      actions.addAll(f.end(id, 0, Fixture.sentTo(actions), 10, Result.OK));
+      actions.addAll(f.endAttempt(id, 0, BalancerFixture.sentTo(actions), 10, Result.OK));
       actions.stream().filter(CloseIdle.class::isInstance)
           .forEach(a -> closes.merge(((CloseIdle) a).endpoint(), 1, Integer::sum));
     });
@@ -59,11 +59,11 @@
 
   @Test
   void aConnectionIsClosedOnceItIsNoLongerUsed() {
-    Fixture lookUp = priced(60);
+    BalancerFixture lookUp = priced(60);
     String endpoint = lookUp.serve(5);
     List<Long> keys = LongStream.range(10, 400).filter(k -> !lookUp.serve(k).equals(endpoint)).boxed()
         .toList();
-    Fixture f = priced(60);
+    BalancerFixture f = priced(60);
     assertEquals(endpoint, f.serve(5));
     assertEquals(1, closes(f, 100, LongStream.range(0, 2_000).map(i -> keys.get((int) i % keys.size())))
         .get(endpoint));
@@ -72,10 +72,11 @@
   /** Hosts that are gone must not stay in memory, since new ones come under new names all the time. */
   @Test
   void theConnectionsOfAHostThatIsGoneAreClosed() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(3);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(3);
     String endpoint = f.serve(1);
-    Endpoint host = Fixture.fleet(3).stream().filter(e -> e.id().equals(endpoint)).findFirst().orElseThrow();
-    List<Action> actions = f.list(ListKind.CHANGES, List.of(host.gone()));
+    Endpoint host =
+        BalancerFixture.fleet(3).stream().filter(e -> e.id().equals(endpoint)).findFirst().orElseThrow();
+    List<Action> actions = f.receiveList(ListKind.CHANGES, List.of(host.gone()));
     assertTrue(actions.contains(new CloseIdle(endpoint)), actions.toString());
   }
 }
--- a/src/test/java/beampoint/policy/LateAnswerTest.java
+++ b/src/test/java/beampoint/policy/LateAnswerTest.java
@@ -32,7 +32,7 @@
   /** Caches must not go on executing reads whose answers nobody can use any more. */
   @Test
   void aReadTimesOutOnceItsAnswerEarnsNothing() {
-    Fixture f = new Fixture(Fixture.READ, LATE_WORTH).withFleet(6);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ, LATE_WORTH).withFleet(6);
     assertEquals(500, timeout(f.read(5)));
     assertEquals(1_000, timeout(f.request(1, 0, 5, false)), "a late answer earns a part");
     assertEquals(200, timeout(f.balancer.handle(f.now, new RequestReceived(99, f.now + 200, 0, 0, 5, false))),
@@ -41,18 +41,19 @@
 
   @Test
   void aFurtherAttemptHasTheTimeThatIsLeft() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(6);
     long id = f.nextId();
-    String first = Fixture.sentTo(f.read(5));
+    String first = BalancerFixture.sentTo(f.read(5));
     f.now += 120;
-    assertEquals(380, timeout(f.end(id, 0, first, 120, Result.MISS)));
+    assertEquals(380, timeout(f.endAttempt(id, 0, first, 120, Result.MISS)));
   }
 
   /** A client must learn the outcome of its write, even if it is known late. */
   @Test
   void aWriteIsAwaitedUntilTheClientGivesUp() {
     for (Idempotency effect : List.of(Idempotency.KEYED, Idempotency.UNSAFE)) {
-      Fixture f = new Fixture(Fixture.requestClass(effect, DedupGroup.ALL)).withFleet(6);
+      BalancerFixture f =
+          new BalancerFixture(BalancerFixture.requestClass(effect, DedupGroup.ALL)).withFleet(6);
       assertEquals(0, timeout(f.request(0, 0, 5, true)), effect.toString());
     }
   }
@@ -60,11 +61,11 @@
   /** The refusal carries retry advice. */
   @Test
   void aLateReadIsRefusedAtItsTargetTimeAndNotRetried() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(6);
     long id = f.nextId();
-    String endpoint = Fixture.sentTo(f.read(5));
+    String endpoint = BalancerFixture.sentTo(f.read(5));
     f.now += 500;
-    assertTrue(f.end(id, 0, endpoint, 500, Result.TIMEOUT).contains(new Balancer.Refuse(id, 400)));
+    assertTrue(f.endAttempt(id, 0, endpoint, 500, Result.TIMEOUT).contains(new Balancer.Refuse(id, 400)));
   }
 
   /**
@@ -72,23 +73,24 @@
    * times out. Caches answer in 0.46 of the target time, or miss, and then the origin answers in 0.6 of it.
    */
   private static int refused(int lateEvery, boolean misses) {
-    Fixture f = new Fixture(Fixture.READ).withFleet(10);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(10);
     int refused = 0;
     for (int i = 0; i < 600; i++) {
       boolean late = i % lateEvery == lateEvery - 1;
       f.now += 10;
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.read(1_000 + i));
+      String endpoint = BalancerFixture.sentTo(f.read(1_000 + i));
       int attempt = 0;
       for (; misses && endpoint != null && !endpoint.equals("origin"); attempt++) {
         f.now += 10;
-        endpoint = Fixture.sentTo(f.end(id, attempt, endpoint, 10, Result.MISS));
+        endpoint = BalancerFixture.sentTo(f.endAttempt(id, attempt, endpoint, 10, Result.MISS));
       }
       refused += endpoint == null && i >= 200 ? 1 : 0;
       if (endpoint != null) {
         double left = 500 - 10 * attempt;
         f.now += late ? left : 0;
-        f.end(id, attempt, endpoint, late ? left : misses ? 300 : 230, late ? Result.TIMEOUT : Result.OK);
+        f.endAttempt(id, attempt, endpoint, late ? left : misses ? 300 : 230,
+            late ? Result.TIMEOUT : Result.OK);
       }
     }
     return refused;
@@ -113,12 +115,12 @@
   /** Refusals must not persist for lack of new observations: late answers expire within seconds. */
   @Test
   void timeoutsExpireSoonWhileAllRequestsAreRefused() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(10);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(10);
     for (int i = 0; i < 100; i++) {
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.read(1_000 + i));
+      String endpoint = BalancerFixture.sentTo(f.read(1_000 + i));
       if (endpoint != null) {
-        f.end(id, 0, endpoint, 500, Result.TIMEOUT);
+        f.endAttempt(id, 0, endpoint, 500, Result.TIMEOUT);
       }
     }
     f.now += 20_000;
@@ -126,9 +128,9 @@
     for (int i = 0; i < 20; i++) {
       f.now += 10;
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.read(2_000 + i));
+      String endpoint = BalancerFixture.sentTo(f.read(2_000 + i));
       sent += endpoint == null ? 0 : 1;
-      f.end(id, 0, endpoint, 175, Result.OK);
+      f.endAttempt(id, 0, endpoint, 175, Result.OK);
     }
     assertEquals(20, sent);
   }
@@ -136,22 +138,22 @@
   /** A few caches that do not answer must not stop the traffic to all the others. */
   @Test
   void responsiveCachesServeTheTrafficWhileAFifthOfTheFleetDoesNotAnswer() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(10);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(10);
     Map<Long, String> open = new HashMap<>();
     int refused = 0;
     for (int i = 0; i < 3_000; i++) {
       f.now += 5;
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.read(1_000 + i));
+      String endpoint = BalancerFixture.sentTo(f.read(1_000 + i));
       refused += endpoint == null ? 1 : 0;
       if (endpoint != null && (endpoint.equals("cache-1") || endpoint.equals("cache-2"))) {
         open.put(id, endpoint);
       } else if (endpoint != null) {
-        f.end(id, 0, endpoint, 40, Result.OK);
+        f.endAttempt(id, 0, endpoint, 40, Result.OK);
       }
       String late = open.remove(id - 100);
       if (late != null) {
-        f.end(id - 100, 0, late, 500, Result.TIMEOUT);
+        f.endAttempt(id - 100, 0, late, 500, Result.TIMEOUT);
       }
     }
     assertTrue(refused < 90, "refused: " + refused);
@@ -161,25 +163,25 @@
    * True where a request is served whose client waits for {@code wait} ms, marked as a retry or not, after
    * 400 requests of clients that wait for 1 s, which the caches served in {@code elapsed} ms each.
    */
-  private static boolean serves(Fixture f, int type, double wait, boolean again, double elapsed,
+  private static boolean serves(BalancerFixture f, int type, double wait, boolean again, double elapsed,
       boolean clientsMark) {
     for (int i = 0; i < 400; i++) {
       f.now += 10;
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.request(i % 2, 0, 1_000 + i, false));
+      String endpoint = BalancerFixture.sentTo(f.request(i % 2, 0, 1_000 + i, false));
       if (endpoint != null) {
-        f.end(id, 0, endpoint, elapsed, Result.OK);
+        f.endAttempt(id, 0, endpoint, elapsed, Result.OK);
       }
     }
     if (clientsMark) {
       f.balancer.handle(f.now, new RequestReceived(98_000, f.now + 1_000, 0, 0, 6, false, true));
     }
-    return Fixture.sentTo(f.balancer.handle(f.now,
+    return BalancerFixture.sentTo(f.balancer.handle(f.now,
         new RequestReceived(99_000, f.now + wait, 0, type, 5, false, again))) != null;
   }
 
-  private static Fixture twoClasses() {
-    return new Fixture(Fixture.READ, LATE_WORTH).withFleet(10);
+  private static BalancerFixture twoClasses() {
+    return new BalancerFixture(BalancerFixture.READ, LATE_WORTH).withFleet(10);
   }
 
   /** Caches must not be kept busy with retries of refused requests that can't earn anything any more. */
@@ -203,15 +205,15 @@
   /** A short wait must not count as a retry in a class all of whose clients wait for a part of its time. */
   @Test
   void aWaitThatIsCommonInItsClassIsNoSignOfARetry() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(10);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(10);
     int refused = 0;
     for (int i = 0; i < 400; i++) {
       f.now += 10;
-      String endpoint = Fixture.sentTo(
+      String endpoint = BalancerFixture.sentTo(
           f.balancer.handle(f.now, new RequestReceived(i, f.now + 400, 0, 0, 1_000 + i, false)));
       refused += endpoint == null ? 1 : 0;
       if (endpoint != null) {
-        f.end(i, 0, endpoint, 130, Result.OK);
+        f.endAttempt(i, 0, endpoint, 130, Result.OK);
       }
     }
     assertEquals(0, refused);
--- a/src/test/java/beampoint/policy/LoadReportTest.java
+++ b/src/test/java/beampoint/policy/LoadReportTest.java
@@ -28,16 +28,16 @@
    * of its traffic beyond its share is served.
    */
   private static boolean servesASurge(Load load) {
-    Fixture f = new Fixture(TENANTS, Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(TENANTS, BalancerFixture.READ).withFleet(6);
     int refused = 0;
     for (int i = 0; i < 1_500; i++) {
       f.now += 10;
       long id = f.nextId();
       List<Balancer.Action> actions = f.request(0, tenant(i), i, false);
-      String endpoint = Fixture.sentTo(actions);
-      refused += Fixture.has(actions, Refuse.class) ? 1 : 0;
+      String endpoint = BalancerFixture.sentTo(actions);
+      refused += BalancerFixture.has(actions, Refuse.class) ? 1 : 0;
       if (endpoint != null) {
-        f.endWithLoad(id, endpoint, 150, load);
+        f.endAttemptWithLoad(id, endpoint, 150, load);
       }
     }
     return refused < 75;
@@ -60,21 +60,21 @@
   /** A report from minutes ago must not go on admitting traffic beyond a share. */
   @Test
   void anOldReportDoesNotCount() {
-    Fixture f = new Fixture(TENANTS, Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(TENANTS, BalancerFixture.READ).withFleet(6);
     for (int i = 0; i < 100; i++) {
       f.now += 10;
       long id = f.nextId();
-      f.endWithLoad(id, Fixture.sentTo(f.request(0, i % 3, i, false)), 150, NO_QUEUE);
+      f.endAttemptWithLoad(id, BalancerFixture.sentTo(f.request(0, i % 3, i, false)), 150, NO_QUEUE);
     }
     f.now += 60_000;
     int refused = 0;
     for (int i = 0; i < 1_500; i++) {
       f.now += 10;
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.request(0, tenant(i), i, false));
+      String endpoint = BalancerFixture.sentTo(f.request(0, tenant(i), i, false));
       refused += endpoint == null ? 1 : 0;
       if (endpoint != null) {
-        f.end(id, 0, endpoint, 150, Result.OK);
+        f.endAttempt(id, 0, endpoint, 150, Result.OK);
       }
     }
     assertTrue(refused > 75, "refused: " + refused);
@@ -83,11 +83,11 @@
   /** A report may come with the end of an attempt whose cache has left the list meanwhile. */
   @Test
   void aReportOfACacheThatIsGoneIsIgnored() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(3);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(3);
     long id = f.nextId();
-    String endpoint = Fixture.sentTo(f.read(1));
-    f.list(Balancer.ListKind.FULL, List.of(Fixture.originEndpoint()));
-    f.endWithLoad(id, endpoint, 20, QUEUE);
-    assertTrue(Fixture.has(f.read(2), Refuse.class));
+    String endpoint = BalancerFixture.sentTo(f.read(1));
+    f.receiveList(Balancer.ListKind.FULL, List.of(BalancerFixture.originEndpoint()));
+    f.endAttemptWithLoad(id, endpoint, 20, QUEUE);
+    assertTrue(BalancerFixture.has(f.read(2), Refuse.class));
   }
 }
--- a/src/test/java/beampoint/policy/FleetTest.java
+++ b/src/test/java/beampoint/policy/MultiInstanceTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The combined effect of many instances of the decision module that share no state. */
-class FleetTest {
+class MultiInstanceTest {
 
   private static final int INSTANCES = 14;
   private static final int CACHES = 60;
@@ -34,27 +34,28 @@
   private static final double COLD_CAPACITY = RATE / 0.6 / CACHES * WINDOW * COLD_FROM;
 
   private final Random random = new Random(5);
-  private final List<Fixture> fleet = new ArrayList<>();
+  private final List<BalancerFixture> fleet = new ArrayList<>();
   private final Map<String, Deque<Double>> sent = new HashMap<>(); // to cold caches, in the last window
   private final Map<String, Integer> total = new HashMap<>();
   private double now = 100_000;
   private int maxInWindow; // to one cold cache in any window
   private double extraPart; // of the requests, for the first instance in addition to its even part
 
-  private static Fixture newInstance(long seed) {
+  private static BalancerFixture newInstance(long seed) {
     return newInstance(seed, 0, 0);
   }
 
-  private static Fixture newInstance(long seed, int zone, double crossZone) {
-    return new Fixture(new Settings(seed, INSTANCES, zone, true, WeightSource.NOMINAL, Fixture.ORIGIN, 0.05,
+  private static BalancerFixture newInstance(long seed, int zone, double crossZone) {
+    return new BalancerFixture(new Settings(seed, INSTANCES, zone, true, WeightSource.NOMINAL,
+        BalancerFixture.ORIGIN, 0.05,
         new Limits(3, false, false, true, 400, 50), new Rules(500, 3, WINDOW, COLD_FROM, 20_000, 10_000),
-        new Prices(0, 0, 0, crossZone), List.of(Fixture.READ), List.of(new Tenant(RATE * 1_000))));
+        new Prices(0, 0, 0, crossZone), List.of(BalancerFixture.READ), List.of(new Tenant(RATE * 1_000))));
   }
 
   private static List<Endpoint> caches(int cold, double startedAt) {
-    List<Endpoint> endpoints = Fixture.fleet(CACHES);
+    List<Endpoint> endpoints = BalancerFixture.fleet(CACHES);
     for (int i = 0; i < cold; i++) {
-      endpoints.set(i, Fixture.cache(i, EndpointState.RUNNING, startedAt));
+      endpoints.set(i, BalancerFixture.cache(i, EndpointState.RUNNING, startedAt));
     }
     return endpoints;
   }
@@ -68,9 +69,9 @@
 
   private void list(int cold) {
     List<Endpoint> endpoints = caches(cold, now);
-    for (Fixture f : fleet) {
+    for (BalancerFixture f : fleet) {
       f.now = now;
-      f.list(ListKind.FULL, endpoints);
+      f.receiveList(ListKind.FULL, endpoints);
     }
   }
 
@@ -79,10 +80,10 @@
     for (double end = now + time; now < end;) {
       now += -Math.log(1 - random.nextDouble()) / RATE;
       boolean toFirst = random.nextDouble() < extraPart;
-      Fixture f = fleet.get(toFirst ? 0 : random.nextInt(INSTANCES));
+      BalancerFixture f = fleet.get(toFirst ? 0 : random.nextInt(INSTANCES));
       f.now = now;
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.read(random.nextInt(1 << 20)));
+      String endpoint = BalancerFixture.sentTo(f.read(random.nextInt(1 << 20)));
       if (endpoint == null) {
         continue;
       }
@@ -95,7 +96,7 @@
         maxInWindow = Math.max(maxInWindow, window.size());
         total.merge(endpoint, 1, Integer::sum);
       }
-      f.end(id, 0, endpoint, 150, Result.OK); // slow enough that the fleet does not look idle
+      f.endAttempt(id, 0, endpoint, 150, Result.OK); // slow enough that the fleet does not look idle
     }
   }
 
@@ -139,14 +140,14 @@
   private void runWithDeadCaches(int dead, double time) {
     for (double end = now + time; now < end;) {
       now += -Math.log(1 - random.nextDouble()) / RATE;
-      Fixture f = fleet.get(random.nextInt(INSTANCES));
+      BalancerFixture f = fleet.get(random.nextInt(INSTANCES));
       f.now = now;
       long id = f.nextId();
-      String to = Fixture.sentTo(f.read(random.nextInt(1 << 20)));
+      String to = BalancerFixture.sentTo(f.read(random.nextInt(1 << 20)));
       for (int attempt = 0; to != null && attempt < 3; attempt++) {
         boolean refuses = Integer.parseInt(to.substring(6)) < dead;
         Result result = refuses ? Result.CONNECT_FAILED : Result.OK;
-        to = Fixture.sentTo(f.end(id, attempt, to, refuses ? 50 : 150, result));
+        to = BalancerFixture.sentTo(f.endAttempt(id, attempt, to, refuses ? 50 : 150, result));
       }
     }
   }
@@ -195,25 +196,27 @@
     begin(0);
     List<Endpoint> shrunkList = new ArrayList<>();
     for (int i = 0; i < CACHES; i++) {
-      shrunkList.add(Fixture.cache(i, i < CACHES / 3 ? EndpointState.RUNNING : EndpointState.DRAINING, 0));
+      shrunkList
+          .add(BalancerFixture.cache(i, i < CACHES / 3 ? EndpointState.RUNNING : EndpointState.DRAINING, 0));
     }
-    shrunkList.add(Fixture.originEndpoint());
-    for (Fixture f : fleet) {
+    shrunkList.add(BalancerFixture.originEndpoint());
+    for (BalancerFixture f : fleet) {
       Map<Long, String> out = new HashMap<>();
       for (int i = 0; i < 30; i++) { // ten keys, three times each
         long id = f.nextId();
-        out.put(id, Fixture.sentTo(f.read(i % 10)));
+        out.put(id, BalancerFixture.sentTo(f.read(i % 10)));
       }
       List<Long> fetching = new ArrayList<>();
       out.forEach((id, endpoint) -> {
-        if (endpoint != null && "origin".equals(Fixture.sentTo(f.end(id, 0, endpoint, 20, Result.MISS)))) {
+        if (endpoint != null
+            && "origin".equals(BalancerFixture.sentTo(f.endAttempt(id, 0, endpoint, 20, Result.MISS)))) {
           fetching.add(id);
         }
       });
       assertTrue(!fetching.isEmpty());
-      f.list(ListKind.CHANGES, shrunkList);
+      f.receiveList(ListKind.CHANGES, shrunkList);
       for (long id : fetching) {
-        for (Balancer.Action action : f.end(id, 1, "origin", 100, Result.OK)) {
+        for (Balancer.Action action : f.endAttempt(id, 1, "origin", 100, Result.OK)) {
           String sentTo = action instanceof Balancer.Send send ? send.endpoint() : null;
           assertTrue(isRunning(sentTo), "sent to " + sentTo);
         }
@@ -233,10 +236,10 @@
   @Test
   void nothingIsSentToCachesOfARememberedListOnceTheCurrentOneHasCome() {
     for (int i = 0; i < INSTANCES; i++) {
-      Fixture f = newInstance(i);
-      f.list(ListKind.REMEMBERED, Fixture.fleet(CACHES));
+      BalancerFixture f = newInstance(i);
+      f.receiveList(ListKind.REMEMBERED, BalancerFixture.fleet(CACHES));
       f.serve(1);
-      f.list(ListKind.FULL, Fixture.fleet(15));
+      f.receiveList(ListKind.FULL, BalancerFixture.fleet(15));
       for (long key = 0; key < 500; key++) {
         f.now += 5;
         int number = Integer.parseInt(f.serve(key).substring(6));
--- a/src/test/java/beampoint/policy/OriginOverloadTest.java
+++ b/src/test/java/beampoint/policy/OriginOverloadTest.java
@@ -38,7 +38,7 @@
 
   private final PriorityQueue<Task> tasks = new PriorityQueue<>(
       (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
-  private final List<Fixture> fleet = new ArrayList<>();
+  private final List<BalancerFixture> fleet = new ArrayList<>();
   private final Map<String, Integer> attempts = new HashMap<>(); // by instance and request
   private final Random random = new Random(11);
   private double now = 50_000;
@@ -107,9 +107,11 @@
   @Test
   void anOverloadedOriginServesMostOfWhatItCan() {
     for (int i = 0; i < INSTANCES; i++) {
-      fleet.add(new Fixture(new Settings(i, INSTANCES, i % 2, true, WeightSource.NOMINAL, Fixture.ORIGIN, 0.1,
-          new Limits(3, false, false, true, 400, 50), new Rules(500, 3, 2_000, 0.25, 8_000, 10_000),
-          new Prices(0, 0, 0, 0.02), List.of(Fixture.READ), List.of(new Tenant(1_000)))).withFleet(20));
+      fleet.add(new BalancerFixture(
+          new Settings(i, INSTANCES, i % 2, true, WeightSource.NOMINAL, BalancerFixture.ORIGIN, 0.1,
+              new Limits(3, false, false, true, 400, 50), new Rules(500, 3, 2_000, 0.25, 8_000, 10_000),
+              new Prices(0, 0, 0, 0.02), List.of(BalancerFixture.READ), List.of(new Tenant(1_000))))
+          .withFleet(20));
     }
     arrive(2 * CAPACITY, now + 30_000);
     run(15_000);
--- a/src/test/java/beampoint/policy/PlacementTest.java
+++ b/src/test/java/beampoint/policy/PlacementTest.java
@@ -23,10 +23,11 @@
 
   @Test
   void equalListsGiveEqualPlacementsInAnyOrderAndNeverTheOrigin() {
-    Fixture first = new Fixture(Fixture.READ).withFleet(8);
-    Fixture other = new Fixture(Fixture.READ);
-    List<Endpoint> reversed = IntStream.rangeClosed(0, 8).mapToObj(i -> Fixture.fleet(8).get(8 - i)).toList();
-    other.list(ListKind.FULL, reversed);
+    BalancerFixture first = new BalancerFixture(BalancerFixture.READ).withFleet(8);
+    BalancerFixture other = new BalancerFixture(BalancerFixture.READ);
+    List<Endpoint> reversed =
+        IntStream.rangeClosed(0, 8).mapToObj(i -> BalancerFixture.fleet(8).get(8 - i)).toList();
+    other.receiveList(ListKind.FULL, reversed);
     Map<Long, String> placed = first.placement();
     assertEquals(placed, other.placement());
     assertFalse(placed.containsValue("origin"));
@@ -34,9 +35,9 @@
 
   @Test
   void removingACacheMovesOnlyItsKeysAndItsReturnRestoresThem() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(8);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(8);
     Map<Long, String> before = f.placement();
-    f.list(ListKind.CHANGES, List.of(Fixture.cache(3, EndpointState.GONE, 0)));
+    f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(3, EndpointState.GONE, 0)));
     Map<Long, String> without = f.placement();
     without.forEach((key, cache) -> {
       assertNotEquals("cache-3", cache);
@@ -44,15 +45,15 @@
         assertEquals(before.get(key), cache);
       }
     });
-    f.list(ListKind.CHANGES, List.of(Fixture.cache(3)));
+    f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(3)));
     assertEquals(before, f.placement());
   }
 
   @Test
   void aWarmingCacheGetsMoreKeysAsItWarmsUp() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
     Map<Long, String> before = f.placement();
-    f.list(ListKind.CHANGES, List.of(Fixture.cache(4, EndpointState.RUNNING, f.now)));
+    f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(4, EndpointState.RUNNING, f.now)));
     long last = 0;
     for (int i = 0; i < 5; i++) {
       f.now += 2_000;
@@ -62,47 +63,48 @@
       assertTrue(count >= last, "keys of the warming cache fell from " + last + " to " + count);
       last = count;
     }
-    assertTrue(last > Fixture.KEYS / 10, "keys of the warm cache: " + last);
+    assertTrue(last > BalancerFixture.KEYS / 10, "keys of the warm cache: " + last);
   }
 
   @Test
   void aListThatChangesNoPointsDoesNotRebuildTheRing() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(8);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(8);
     BalancerPolicy policy = (BalancerPolicy) f.balancer;
     int before = policy.state.ringPoints.replacements();
-    f.list(ListKind.FULL, Fixture.fleet(8));
-    f.list(ListKind.CHANGES, List.of(Fixture.cache(3)));
+    f.receiveList(ListKind.FULL, BalancerFixture.fleet(8));
+    f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(3)));
     assertEquals(before, policy.state.ringPoints.replacements());
-    f.list(ListKind.CHANGES, List.of(Fixture.cache(3, EndpointState.DRAINING, 0)));
+    f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(3, EndpointState.DRAINING, 0)));
     assertEquals(before + 1, policy.state.ringPoints.replacements());
   }
 
   @Test
   void aRingAfterManyChangesEqualsOneBuiltFromScratch() {
     java.util.Random random = new java.util.Random(3);
-    Fixture changed = new Fixture(Fixture.READ).withFleet(12);
+    BalancerFixture changed = new BalancerFixture(BalancerFixture.READ).withFleet(12);
     for (int i = 0; i < 60; i++) {
       EndpointState state = random.nextInt(3) == 0 ? EndpointState.GONE : EndpointState.RUNNING;
-      changed.list(ListKind.CHANGES, List.of(Fixture.cache(random.nextInt(20), state, 0)));
+      changed.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(random.nextInt(20), state, 0)));
     }
-    changed.list(ListKind.FULL, Fixture.fleet(9));
-    assertEquals(new Fixture(Fixture.READ).withFleet(9).placement(), changed.placement());
+    changed.receiveList(ListKind.FULL, BalancerFixture.fleet(9));
+    assertEquals(new BalancerFixture(BalancerFixture.READ).withFleet(9).placement(), changed.placement());
   }
 
   @Test
   void nothingNewGoesToADrainingCacheOrOneMissingFromAFullList() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
-    f.list(ListKind.CHANGES, List.of(Fixture.cache(1, EndpointState.DRAINING, 0)));
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
+    f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(1, EndpointState.DRAINING, 0)));
     assertFalse(f.placement().containsValue("cache-1"));
-    f.list(ListKind.FULL, Fixture.fleet(3));
+    f.receiveList(ListKind.FULL, BalancerFixture.fleet(3));
     assertFalse(f.placement().containsValue("cache-3"));
   }
 
   @Test
   void changesCorrectAStaleRememberedList() {
-    Fixture f = new Fixture(Fixture.READ);
-    f.list(ListKind.REMEMBERED, Fixture.fleet(4));
-    f.list(ListKind.CHANGES, List.of(Fixture.cache(2, EndpointState.GONE, 0), Fixture.cache(7)));
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ);
+    f.receiveList(ListKind.REMEMBERED, BalancerFixture.fleet(4));
+    f.receiveList(ListKind.CHANGES,
+        List.of(BalancerFixture.cache(2, EndpointState.GONE, 0), BalancerFixture.cache(7)));
     Map<Long, String> placed = f.placement();
     assertFalse(placed.containsValue("cache-2"));
     assertTrue(placed.containsValue("cache-7"));
@@ -110,11 +112,11 @@
 
   @Test
   void aBusyPrimarySpillsToOneOtherCache() {
-    Fixture f = Fixture.withTraffic(6);
+    BalancerFixture f = BalancerFixture.withTraffic(6);
     String primary = f.serve(5);
     Map<String, Integer> sent = new HashMap<>();
     for (int i = 0; i < 9; i++) {
-      sent.merge(Fixture.sentTo(f.read(5)), 1, Integer::sum);
+      sent.merge(BalancerFixture.sentTo(f.read(5)), 1, Integer::sum);
     }
     assertEquals(2, sent.size(), sent.toString());
     assertTrue(sent.get(primary) >= 2, sent.toString());
@@ -122,7 +124,7 @@
 
   @Test
   void aHotKeyIsServedByAsManyCachesAsItsTrafficFills() {
-    Fixture f = Fixture.withTraffic(10);
+    BalancerFixture f = BalancerFixture.withTraffic(10);
     Map<String, Integer> served = new HashMap<>();
     for (int i = 0; i < 600; i++) {
       served.merge(f.serve(5), 1, Integer::sum);
@@ -135,15 +137,15 @@
   void aKeyIsServedWhileItsTwoCachesAreSlowForAMoment() {
     Balancer.RequestClass valuable =
         new Balancer.RequestClass(Idempotency.SAFE, DedupGroup.ALL, 2_000, 100, 1_500, 9, 0);
-    Fixture f = new Fixture(Fixture.READ, valuable).withFleet(40);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ, valuable).withFleet(40);
     for (long key = 1_000; key < 1_400; key++) {
       f.serve(key);
     }
     f.read(5);
     f.now += 60;
-    String other = Fixture.sentTo(f.read(5));
+    String other = BalancerFixture.sentTo(f.read(5));
     f.now += 60;
     assertNotNull(other);
-    assertNotNull(Fixture.sentTo(f.read(5)));
+    assertNotNull(BalancerFixture.sentTo(f.read(5)));
   }
 }
--- a/src/test/java/beampoint/policy/ProbeTest.java
+++ b/src/test/java/beampoint/policy/ProbeTest.java
@@ -21,48 +21,52 @@
 
   @Test
   void anUnknownCacheIsProbedAndALateProbeSpillsToTheNext() {
-    Fixture f = new Fixture(true, Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(true, BalancerFixture.READ).withFleet(6);
     List<Action> probing = f.read(5);
-    assertNull(Fixture.sentTo(probing));
+    assertNull(BalancerFixture.sentTo(probing));
     String primary = ((Balancer.Probe) probing.get(0)).endpoint();
     long first = f.nextId() - 1;
     List<Action> answered = f.balancer.handle(f.now, new Balancer.ProbeEnded(primary, Result.OK, 2));
-    assertEquals(primary, Fixture.sentTo(answered));
-    f.end(first, 0, primary, 10, Result.OK);
+    assertEquals(primary, BalancerFixture.sentTo(answered));
+    f.endAttempt(first, 0, primary, 10, Result.OK);
     long second = f.nextId();
     f.read(5);
     f.now += 50;
-    String next = Fixture.sentTo(f.balancer.handle(f.now, new TimerFired(second)));
+    String next = BalancerFixture.sentTo(f.balancer.handle(f.now, new TimerFired(second)));
     assertNotNull(next);
     assertNotEquals(primary, next);
-    assertNull(Fixture.sentTo(f.balancer.handle(f.now, new Balancer.ProbeEnded(primary, Result.OK, 60))));
+    assertNull(
+        BalancerFixture.sentTo(f.balancer.handle(f.now, new Balancer.ProbeEnded(primary, Result.OK, 60))));
   }
 
   @Test
   void aProbeIsSentOnlyWhereFailuresMakeItWorthItsPrice() {
     Balancer.Prices prices = new Balancer.Prices(0, 0, 0.08, 0);
-    Fixture f = new Fixture(Fixture.settings(List.of(), true, true, prices, Fixture.READ)).withFleet(40);
+    BalancerFixture f =
+        new BalancerFixture(BalancerFixture.settings(List.of(), true, true, prices, BalancerFixture.READ))
+            .withFleet(40);
     for (long key = 0; key < 20; key++) {
       long id = f.nextId();
       List<Action> actions = f.read(key);
-      assertFalse(Fixture.has(actions, Balancer.Probe.class), "while caches do well, key " + key);
-      f.end(id, 0, Fixture.sentTo(actions), 10, key == 12 ? Result.TIMEOUT : Result.OK);
+      assertFalse(BalancerFixture.has(actions, Balancer.Probe.class), "while caches do well, key " + key);
+      f.endAttempt(id, 0, BalancerFixture.sentTo(actions), 10, key == 12 ? Result.TIMEOUT : Result.OK);
     }
     for (long key = 100; key < 112; key++) {
       long id = f.nextId();
       List<Action> actions = f.read(key);
-      String endpoint = Fixture.sentTo(actions);
+      String endpoint = BalancerFixture.sentTo(actions);
       if (endpoint != null) {
-        f.end(id, 0, endpoint, 1_000, Result.TIMEOUT);
+        f.endAttempt(id, 0, endpoint, 1_000, Result.TIMEOUT);
       }
     }
-    assertTrue(IntStream.range(200, 220).anyMatch(key -> Fixture.has(f.read(key), Balancer.Probe.class)),
+    assertTrue(
+        IntStream.range(200, 220).anyMatch(key -> BalancerFixture.has(f.read(key), Balancer.Probe.class)),
         "once many attempts fail");
   }
 
   @Test
   void aProbeIsNotAwaitedBeyondTheDeadline() {
-    Fixture f = new Fixture(true, Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(true, BalancerFixture.READ).withFleet(6);
     Balancer.RequestReceived last = new Balancer.RequestReceived(1, f.now + 20, 0, 0, 5, false);
     List<Action> probing = f.balancer.handle(f.now, last);
     assertTrue(probing.stream().anyMatch(a -> a instanceof SetTimer t && t.delay() < 20));
@@ -70,19 +74,19 @@
 
   @Test
   void aCacheWhoseProbeFailsIsEjectedForAWhile() {
-    Fixture f = new Fixture(true, Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(true, BalancerFixture.READ).withFleet(6);
     String primary = ((Balancer.Probe) f.read(5).get(0)).endpoint();
-    String next = Fixture.sentTo(
+    String next = BalancerFixture.sentTo(
         f.balancer.handle(f.now, new Balancer.ProbeEnded(primary, Result.TIMEOUT, 50)));
     assertNotNull(next);
     assertNotEquals(primary, next);
-    f.end(0, 0, next, 10, Result.OK);
+    f.endAttempt(0, 0, next, 10, Result.OK);
     assertFalse(probed(f).contains(primary));
     f.now += 20_000;
     assertTrue(probed(f).contains(primary));
   }
 
-  private static List<String> probed(Fixture f) {
+  private static List<String> probed(BalancerFixture f) {
     return IntStream.range(0, 100).mapToObj(i -> f.read(100 + i)).flatMap(List::stream)
         .filter(Balancer.Probe.class::isInstance).map(a -> ((Balancer.Probe) a).endpoint()).toList();
   }
--- a/src/test/java/beampoint/policy/RecoveryFromOverloadTest.java
+++ b/src/test/java/beampoint/policy/RecoveryFromOverloadTest.java
@@ -27,7 +27,7 @@
 
   /** Requests at a steady mean rate to caches that all fail in the same way. */
   private static final class Run {
-    private final Fixture balancer = new Fixture(Fixture.READ).withFleet(CACHES);
+    private final BalancerFixture balancer = new BalancerFixture(BalancerFixture.READ).withFleet(CACHES);
     private final Random random;
     private final Result result;
     private final double duration; // ms until an attempt ends; 0: at its timeout
@@ -68,12 +68,13 @@
         while (!inFlight.isEmpty() && inFlight.peek().endsAt <= next) {
           InFlight attempt = inFlight.poll();
           balancer.now = Math.max(balancer.now, attempt.endsAt);
-          start(balancer.end(attempt.id, attempt.attempt, attempt.endpoint, balancer.now - attempt.sentAt,
+          start(balancer.endAttempt(attempt.id, attempt.attempt, attempt.endpoint,
+              balancer.now - attempt.sentAt,
               outcome));
         }
         balancer.now = next;
         List<Action> actions = balancer.read(random.nextInt(10_000));
-        refusedSince += Fixture.sentTo(actions) == null ? 1 : 0;
+        refusedSince += BalancerFixture.sentTo(actions) == null ? 1 : 0;
         start(actions);
         if (refusedSince >= MIN_REFUSED && balancer.now - lastAttempt > MAX_MS) {
           problems.add("at " + perSecond + "/s, " + outcome + ": " + refusedSince + " refused in "
--- a/src/test/java/beampoint/policy/RetryTest.java
+++ b/src/test/java/beampoint/policy/RetryTest.java
@@ -25,27 +25,27 @@
 
   @Test
   void aMissGoesToTheOrigin() {
-    Fixture f = Fixture.withTraffic(4);
+    BalancerFixture f = BalancerFixture.withTraffic(4);
     String cache = f.serve(5);
     long id = f.nextId();
     f.read(5);
-    assertEquals("origin", Fixture.sentTo(f.end(id, 0, cache, 2, Result.MISS)));
+    assertEquals("origin", BalancerFixture.sentTo(f.endAttempt(id, 0, cache, 2, Result.MISS)));
   }
 
   @Test
   void aFailedFetchIsNotRetriedAtAnOriginThatDrains() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
     long id = f.nextId();
-    assertEquals("origin", Fixture.sentTo(f.request(0, 0, 5, true)));
-    f.list(ListKind.CHANGES,
-        List.of(new Endpoint("origin", 0, Fixture.ORIGIN, 9, EndpointState.DRAINING, 1, 0)));
-    assertTrue(Fixture.has(f.end(id, 0, "origin", 5, Result.ERROR), Refuse.class));
+    assertEquals("origin", BalancerFixture.sentTo(f.request(0, 0, 5, true)));
+    f.receiveList(ListKind.CHANGES,
+        List.of(new Endpoint("origin", 0, BalancerFixture.ORIGIN, 9, EndpointState.DRAINING, 1, 0)));
+    assertTrue(BalancerFixture.has(f.endAttempt(id, 0, "origin", 5, Result.ERROR), Refuse.class));
   }
 
   @Test
   void aWriteGoesStraightToTheOrigin() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
-    assertEquals("origin", Fixture.sentTo(f.request(0, 0, 5, true)));
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
+    assertEquals("origin", BalancerFixture.sentTo(f.request(0, 0, 5, true)));
   }
 
   @Test
@@ -55,13 +55,13 @@
   }
 
   private static void everyFirstAttemptEnds(Result result) {
-    Fixture f = Fixture.withTraffic(6);
+    BalancerFixture f = BalancerFixture.withTraffic(6);
     for (long key = 0; key < 20; key++) {
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.read(key));
-      String next = Fixture.sentTo(f.end(id, 0, endpoint, 1, result));
+      String endpoint = BalancerFixture.sentTo(f.read(key));
+      String next = BalancerFixture.sentTo(f.endAttempt(id, 0, endpoint, 1, result));
       assertNotNull(next, result + ", request " + key);
-      f.end(id, 1, next, 10, Result.OK);
+      f.endAttempt(id, 1, next, 10, Result.OK);
       f.now += 2_000;
     }
   }
@@ -69,24 +69,25 @@
   /** Immediate retries would use up all attempts at once; a request must not wait until it expires. */
   @Test
   void anOriginThatRefusesAConnectionIsRetriedAfterAPauseOrNotAtAll() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
     long id = f.nextId();
-    String cache = Fixture.sentTo(f.read(1));
-    assertEquals("origin", Fixture.sentTo(f.end(id, 0, cache, 10, Result.MISS)));
+    String cache = BalancerFixture.sentTo(f.read(1));
+    assertEquals("origin", BalancerFixture.sentTo(f.endAttempt(id, 0, cache, 10, Result.MISS)));
     f.now += 100; // the time that the origin takes, as observed
-    List<Action> actions = f.end(id, 1, "origin", 100, Result.CONNECT_FAILED);
-    assertNull(Fixture.sentTo(actions));
+    List<Action> actions = f.endAttempt(id, 1, "origin", 100, Result.CONNECT_FAILED);
+    assertNull(BalancerFixture.sentTo(actions));
     double pause = actions.stream().filter(SetTimer.class::isInstance).map(a -> ((SetTimer) a).delay())
         .findFirst().orElseThrow();
     assertTrue(pause >= 0 && pause <= 400, "pause: " + pause);
     f.now += pause;
-    assertEquals("origin", Fixture.sentTo(f.balancer.handle(f.now, new TimerFired(id))));
-    f.end(id, 2, "origin", 20, Result.OK);
+    assertEquals("origin", BalancerFixture.sentTo(f.balancer.handle(f.now, new TimerFired(id))));
+    f.endAttempt(id, 2, "origin", 20, Result.OK);
     long late = f.nextId();
-    cache = Fixture.sentTo(f.read(2));
-    assertEquals("origin", Fixture.sentTo(f.end(late, 0, cache, 10, Result.MISS)));
+    cache = BalancerFixture.sentTo(f.read(2));
+    assertEquals("origin", BalancerFixture.sentTo(f.endAttempt(late, 0, cache, 10, Result.MISS)));
     f.now += 499.99;
-    assertTrue(Fixture.has(f.end(late, 1, "origin", 480, Result.CONNECT_FAILED), Refuse.class));
+    assertTrue(
+        BalancerFixture.has(f.endAttempt(late, 1, "origin", 480, Result.CONNECT_FAILED), Refuse.class));
   }
 
   @Test
@@ -96,10 +97,11 @@
         if (result == Result.OK || result == Result.MISS || result == Result.NOT_SENT) {
           continue;
         }
-        Fixture f = new Fixture(Fixture.requestClass(idempotency, DedupGroup.CELL)).withFleet(6);
+        BalancerFixture f =
+            new BalancerFixture(BalancerFixture.requestClass(idempotency, DedupGroup.CELL)).withFleet(6);
         long id = f.nextId();
-        String endpoint = Fixture.sentTo(f.request(0, 0, 5, true));
-        List<Action> answer = f.end(id, 0, endpoint, 5, result);
+        String endpoint = BalancerFixture.sentTo(f.request(0, 0, 5, true));
+        List<Action> answer = f.endAttempt(id, 0, endpoint, 5, result);
         if (result == Result.CONNECT_FAILED) { // retried after a pause
           f.now += 50;
           answer = f.balancer.handle(f.now, new TimerFired(id));
@@ -107,9 +109,9 @@
         boolean mayRefuse = result.neverRan || idempotency == Idempotency.SAFE;
         boolean mayRepeat = mayRefuse || idempotency == Idempotency.KEYED;
         String situation = idempotency + " after " + result + ": " + answer;
-        assertTrue(mayRefuse || !Fixture.has(answer, Refuse.class), situation);
-        assertEquals(mayRepeat, Fixture.sentTo(answer) != null, situation);
-        assertEquals(!mayRepeat, Fixture.has(answer, Fail.class), situation);
+        assertTrue(mayRefuse || !BalancerFixture.has(answer, Refuse.class), situation);
+        assertEquals(mayRepeat, BalancerFixture.sentTo(answer) != null, situation);
+        assertEquals(!mayRepeat, BalancerFixture.has(answer, Fail.class), situation);
       }
     }
   }
@@ -118,25 +120,25 @@
   void aKeyedRequestIsNotRetriedAfterItsDedupWindow() {
     Balancer.RequestClass keyed =
         new Balancer.RequestClass(Idempotency.KEYED, DedupGroup.ALL, 100, 5_000, 9_000, 1, 0);
-    Fixture f = new Fixture(keyed).withFleet(4);
+    BalancerFixture f = new BalancerFixture(keyed).withFleet(4);
     long id = f.nextId();
     f.request(0, 0, 5, true);
     f.now += 100;
-    List<Action> answer = f.end(id, 0, "origin", 100, Result.ERROR);
-    assertNull(Fixture.sentTo(answer));
-    assertTrue(Fixture.has(answer, Refuse.class));
+    List<Action> answer = f.endAttempt(id, 0, "origin", 100, Result.ERROR);
+    assertNull(BalancerFixture.sentTo(answer));
+    assertTrue(BalancerFixture.has(answer, Refuse.class));
   }
 
   @Test
   void attemptsAreLimited() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(6);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(6);
     long id = f.nextId();
     List<Action> answer = f.read(5);
     int attempts = 0;
-    while (Fixture.sentTo(answer) != null) {
-      answer = f.end(id, attempts++, Fixture.sentTo(answer), 1, Result.MISS);
+    while (BalancerFixture.sentTo(answer) != null) {
+      answer = f.endAttempt(id, attempts++, BalancerFixture.sentTo(answer), 1, Result.MISS);
     }
     assertTrue(attempts <= 3, "attempts: " + attempts);
-    assertTrue(Fixture.has(answer, Refuse.class));
+    assertTrue(BalancerFixture.has(answer, Refuse.class));
   }
 }
--- a/src/test/java/beampoint/policy/SettingsChangeTest.java
+++ b/src/test/java/beampoint/policy/SettingsChangeTest.java
@@ -17,43 +17,46 @@
 /** How the decision module treats settings that change while requests are open. */
 class SettingsChangeTest {
 
-  private static final RequestClass UNSAFE = Fixture.requestClass(Idempotency.UNSAFE, DedupGroup.ALL);
+  private static final RequestClass UNSAFE = BalancerFixture.requestClass(Idempotency.UNSAFE, DedupGroup.ALL);
 
   private static Settings settings(int attempts, RequestClass... classes) {
-    Settings s = Fixture.settings(List.of(), true, classes);
+    Settings s = BalancerFixture.settings(List.of(), true, classes);
     return new Settings(s.seed(), s.siblings(), s.zone(), s.listPushed(), s.weightSource(), s.originKind(),
         s.overShareWorth(), new Balancer.Limits(attempts, false, false, true, 400, 50), s.rules(), s.prices(),
         s.classes(), s.tenants());
   }
 
-  private static void change(Fixture f, Settings settings, Integer... former) {
+  private static void change(BalancerFixture f, Settings settings, Integer... former) {
     f.balancer.handle(f.now, new SettingsChanged(settings, List.of(former), List.of()));
   }
 
   @Test
   void anOpenRequestKeepsItsIdempotency() {
-    Fixture f = new Fixture(Fixture.READ, UNSAFE).withFleet(4);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ, UNSAFE).withFleet(4);
     long safe = f.nextId();
-    String first = Fixture.sentTo(f.request(0, 0, 5, false));
+    String first = BalancerFixture.sentTo(f.request(0, 0, 5, false));
     long unsafe = f.nextId();
-    String other = Fixture.sentTo(f.request(1, 0, 6, false));
-    change(f, settings(3, UNSAFE, Fixture.READ), 0, 1);
-    assertTrue(Fixture.sentTo(f.end(safe, 0, first, 10, Result.RESET)) != null, "a safe request is retried");
-    assertTrue(Fixture.has(f.end(unsafe, 0, other, 10, Result.RESET), Fail.class), "an unsafe one is not");
+    String other = BalancerFixture.sentTo(f.request(1, 0, 6, false));
+    change(f, settings(3, UNSAFE, BalancerFixture.READ), 0, 1);
+    assertTrue(BalancerFixture.sentTo(f.endAttempt(safe, 0, first, 10, Result.RESET)) != null,
+        "a safe request is retried");
+    assertTrue(BalancerFixture.has(f.endAttempt(unsafe, 0, other, 10, Result.RESET), Fail.class),
+        "an unsafe one is not");
     long now = f.nextId();
-    String third = Fixture.sentTo(f.request(0, 0, 7, false));
-    assertTrue(Fixture.has(f.end(now, 0, third, 10, Result.RESET), Fail.class), "the new settings apply");
+    String third = BalancerFixture.sentTo(f.request(0, 0, 7, false));
+    assertTrue(BalancerFixture.has(f.endAttempt(now, 0, third, 10, Result.RESET), Fail.class),
+        "the new settings apply");
   }
 
   @Test
   void anOpenRequestKeepsItsMaxAttemptsAndANewOneHasFewer() {
-    Fixture f = new Fixture(Fixture.READ).withFleet(4);
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
     long old = f.nextId();
-    String first = Fixture.sentTo(f.read(5));
-    change(f, settings(1, Fixture.READ), 0);
+    String first = BalancerFixture.sentTo(f.read(5));
+    change(f, settings(1, BalancerFixture.READ), 0);
     long next = f.nextId();
-    String other = Fixture.sentTo(f.read(900));
-    assertTrue(Fixture.sentTo(f.end(old, 0, first, 10, Result.ERROR)) != null);
-    assertTrue(Fixture.has(f.end(next, 0, other, 10, Result.ERROR), Refuse.class));
+    String other = BalancerFixture.sentTo(f.read(900));
+    assertTrue(BalancerFixture.sentTo(f.endAttempt(old, 0, first, 10, Result.ERROR)) != null);
+    assertTrue(BalancerFixture.has(f.endAttempt(next, 0, other, 10, Result.ERROR), Refuse.class));
   }
 }
--- a/src/test/java/beampoint/policy/SlowStartFleetTest.java
+++ b/src/test/java/beampoint/policy/SlowStartFleetTest.java
@@ -58,9 +58,9 @@
     private final double capacity;
     private final boolean probes; // and a handshake with each request
     private final DiscreteSampler keys;
-    private final List<Fixture> fleet = new ArrayList<>();
+    private final List<BalancerFixture> fleet = new ArrayList<>();
     private final Map<String, Deque<Sent>> sent = new HashMap<>(); // to cold caches, in the last window
-    private final Set<Fixture> informed = new HashSet<>();
+    private final Set<BalancerFixture> informed = new HashSet<>();
     private double now = 1_000_000;
     private double start; // of the cold caches
     private int cold;
@@ -81,24 +81,25 @@
       this.keys = RejectionInversionZipfSampler.of(random, 40_000, 1);
       for (int i = 0; i < instances; i++) {
         fleet.add(fresh(i));
-        fleet.get(i).list(ListKind.FULL, Fixture.fleet(caches));
+        fleet.get(i).receiveList(ListKind.FULL, BalancerFixture.fleet(caches));
       }
     }
 
-    private Fixture fresh(int number) {
-      Fixture f = new Fixture(new Settings(random.nextLong(), instances, number % 2, true,
-          WeightSource.NOMINAL, Fixture.ORIGIN, 0.05, new Limits(3, false, probes, true, 400, 50), RULES,
-          new Prices(0.03, 0.03, probes ? 0.01 : 0.05, 0.03), List.of(Fixture.READ),
+    private BalancerFixture fresh(int number) {
+      BalancerFixture f = new BalancerFixture(new Settings(random.nextLong(), instances, number % 2, true,
+          WeightSource.NOMINAL, BalancerFixture.ORIGIN, 0.05, new Limits(3, false, probes, true, 400, 50),
+          RULES,
+          new Prices(0.03, 0.03, probes ? 0.01 : 0.05, 0.03), List.of(BalancerFixture.READ),
           List.of(new Tenant(0.6 * caches * capacity * 1_000))));
       f.now = now;
       return f;
     }
 
     private List<Endpoint> list(int drained) {
-      List<Endpoint> entries = Fixture.fleet(caches);
+      List<Endpoint> entries = BalancerFixture.fleet(caches);
       for (int i = 0; i < caches; i++) {
         boolean gone = i >= caches - drained;
-        entries.set(i, Fixture.cache(i, gone ? EndpointState.DRAINING : EndpointState.RUNNING,
+        entries.set(i, BalancerFixture.cache(i, gone ? EndpointState.DRAINING : EndpointState.RUNNING,
             i < cold ? start : 0));
       }
       return entries;
@@ -116,10 +117,10 @@
         if (i * groups / instances != (i - 1) * groups / instances || i == 0) {
           run(within / groups, 0.6);
         }
-        Fixture f = fleet.get(i);
+        BalancerFixture f = fleet.get(i);
         f.now = now;
         informed.add(f);
-        f.list(ListKind.CHANGES, entries);
+        f.receiveList(ListKind.CHANGES, entries);
       }
     }
 
@@ -128,7 +129,7 @@
       for (int i = 0; i < number; i++) {
         int place = i * instances / number;
         fleet.set(place, fresh(place));
-        fleet.get(place).list(ListKind.FULL, list(0));
+        fleet.get(place).receiveList(ListKind.FULL, list(0));
         informed.add(fleet.get(place));
       }
     }
@@ -157,17 +158,18 @@
     }
 
     /** The endpoint of a request once the probe that it waits for, if any, has been answered. */
-    private String afterProbe(Fixture f, List<Action> actions) {
+    private String afterProbe(BalancerFixture f, List<Action> actions) {
       for (Action action : actions) {
         if (action instanceof Probe probe) {
           probesSent++;
           if (isCold(probe.endpoint())) {
             count(probe.endpoint(), new Sent(now, informed.contains(f), PROBE_WORK));
           }
-          return Fixture.sentTo(f.balancer.handle(now, new ProbeEnded(probe.endpoint(), Result.OK, 1)));
+          return BalancerFixture
+              .sentTo(f.balancer.handle(now, new ProbeEnded(probe.endpoint(), Result.OK, 1)));
         }
       }
-      return Fixture.sentTo(actions);
+      return BalancerFixture.sentTo(actions);
     }
 
     /** Reads at {@code load} times what all caches serve warm; a fifth of the instances get half of them. */
@@ -175,7 +177,7 @@
       double rate = load * caches * capacity;
       for (double end = now + time; now < end; now += -Math.log(1 - random.nextDouble()) / rate) {
         int busy = Math.max(1, instances / 5);
-        Fixture f = fleet.get(random.nextInt(random.nextDouble() < 0.5 ? instances : busy));
+        BalancerFixture f = fleet.get(random.nextInt(random.nextDouble() < 0.5 ? instances : busy));
         f.now = now;
         long id = f.nextId();
         String endpoint = afterProbe(f, f.read(keys.sample()));
@@ -183,7 +185,7 @@
           count(endpoint, new Sent(now, informed.contains(f), probes ? 1 + HANDSHAKE_WORK : 1));
         }
         if (endpoint != null) {
-          f.end(id, 0, endpoint, 120, Result.OK);
+          f.endAttempt(id, 0, endpoint, 120, Result.OK);
         }
       }
     }
--- a/src/test/java/beampoint/policy/RepeatWindowTest.java
+++ b/src/test/java/beampoint/policy/StartByAndSubscriptionRetryTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The latest start of an attempt, and the delay before the list is subscribed to again. */
-class RepeatWindowTest {
+class StartByAndSubscriptionRetryTest {
 
   private static Send sent(List<Action> actions) {
     return (Send) actions.stream().filter(Send.class::isInstance).findFirst().orElseThrow();
@@ -25,7 +25,8 @@
   /** A connection may be established late, when endpoints do not drop repeats of the request any more. */
   @Test
   void aRepeatOfAKeyedRequestMustBeginWithinTheDedupWindowOfItsFirstAttempt() {
-    Fixture f = new Fixture(Fixture.requestClass(Idempotency.KEYED, DedupGroup.ALL)).withFleet(4);
+    BalancerFixture f =
+        new BalancerFixture(BalancerFixture.requestClass(Idempotency.KEYED, DedupGroup.ALL)).withFleet(4);
     for (int key = 0; key < 10; key++) {
       f.serve(key); // retries are limited to a part of the requests
     }
@@ -34,20 +35,21 @@
     Send send = sent(f.read(7));
     assertTrue(send.startBy() > 1e15, "the first may begin at any time");
     f.now += 100;
-    Send again = sent(f.end(id, 0, send.endpoint(), 100, Result.RESET));
+    Send again = sent(f.endAttempt(id, 0, send.endpoint(), 100, Result.RESET));
     assertEquals(first + 2_000, again.startBy());
     f.now += 100;
-    Send last = sent(f.end(id, 1, again.endpoint(), 100, Result.RESET));
+    Send last = sent(f.endAttempt(id, 1, again.endpoint(), 100, Result.RESET));
     assertEquals(first + 2_000, last.startBy(), "counted from the first attempt");
   }
 
   @Test
   void aRequestThatNeverRanOrIsSafeMayBeginAtAnyTime() {
     for (Idempotency effect : Idempotency.values()) {
-      Fixture f = new Fixture(Fixture.requestClass(effect, DedupGroup.ALL)).withFleet(4);
+      BalancerFixture f =
+          new BalancerFixture(BalancerFixture.requestClass(effect, DedupGroup.ALL)).withFleet(4);
       Send send = sent(f.read(7));
       Result result = effect == Idempotency.SAFE ? Result.RESET : Result.CONNECT_FAILED;
-      assertTrue(sent(f.end(0, 0, send.endpoint(), 10, result)).startBy() > 1e15, effect.name());
+      assertTrue(sent(f.endAttempt(0, 0, send.endpoint(), 10, result)).startBy() > 1e15, effect.name());
     }
   }
 
@@ -57,13 +59,14 @@
    */
   @Test
   void aFailedSubscriptionIsRetriedWithinSeconds() {
-    Fixture f = new Fixture(Fixture.settings(List.of(), false, Fixture.READ));
-    List<Endpoint> known = List.of(Fixture.cache(0, EndpointState.RUNNING, 0));
-    double unanswered = Fixture.timerDelay(f.list(ListKind.REMEMBERED, known));
+    BalancerFixture f = new BalancerFixture(BalancerFixture.settings(List.of(), false, BalancerFixture.READ));
+    List<Endpoint> known = List.of(BalancerFixture.cache(0, EndpointState.RUNNING, 0));
+    double unanswered = BalancerFixture.timerDelay(f.receiveList(ListKind.REMEMBERED, known));
     assertTrue(unanswered <= 2_500, "no answer: " + unanswered);
     for (int i = 0; i < 50; i++) {
       double failed =
-          Fixture.timerDelay(f.balancer.handle(f.now, new ListReceived(ListKind.UNAVAILABLE, List.of())));
+          BalancerFixture
+              .timerDelay(f.balancer.handle(f.now, new ListReceived(ListKind.UNAVAILABLE, List.of())));
       assertTrue(failed <= 2_500, "failed: " + failed);
     }
   }
--- a/src/test/java/beampoint/policy/UnconfirmedListTest.java
+++ b/src/test/java/beampoint/policy/UnconfirmedListTest.java
@@ -22,29 +22,29 @@
 
   private static final int CACHES = 4;
 
-  private static Fixture started(boolean probes) {
-    Fixture f = new Fixture(probes, Fixture.READ);
-    f.list(ListKind.UNCONFIRMED, Fixture.fleet(CACHES));
+  private static BalancerFixture started(boolean probes) {
+    BalancerFixture f = new BalancerFixture(probes, BalancerFixture.READ);
+    f.receiveList(ListKind.UNCONFIRMED, BalancerFixture.fleet(CACHES));
     return f;
   }
 
   @Test
   void readsGoToTheOriginUntilDiscoveryHasAnswered() {
-    Fixture f = started(false);
+    BalancerFixture f = started(false);
     assertEquals(Set.of("origin"), Set.copyOf(f.placement(200).values()));
   }
 
   @Test
   void anAnswerWithoutChangesConfirmsTheList() {
-    Fixture f = started(false);
-    f.list(ListKind.CHANGES, List.of());
+    BalancerFixture f = started(false);
+    f.receiveList(ListKind.CHANGES, List.of());
     assertTrue(f.serve(5).startsWith("cache-"));
   }
 
   @Test
   void anAnswerWithADrainKeepsTheOtherCaches() {
-    Fixture f = started(false);
-    f.list(ListKind.CHANGES, List.of(Fixture.cache(1, EndpointState.DRAINING, 0)));
+    BalancerFixture f = started(false);
+    f.receiveList(ListKind.CHANGES, List.of(BalancerFixture.cache(1, EndpointState.DRAINING, 0)));
     Map<Long, String> placed = f.placement();
     assertFalse(placed.containsValue("cache-1"));
     assertTrue(placed.containsValue("cache-2"));
@@ -52,27 +52,27 @@
 
   @Test
   void noRetryAndNoProbeGoesToACache() {
-    Fixture f = started(true);
+    BalancerFixture f = started(true);
     for (Result failure : new Result[] {Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CONNECT_FAILED}) {
       long id = f.nextId();
       List<Action> actions = f.read(5);
-      for (int attempt = 0; "origin".equals(Fixture.sentTo(actions)); attempt++) {
-        assertFalse(Fixture.has(actions, Probe.class));
-        actions = f.end(id, attempt, "origin", 1, failure);
-        if (Fixture.has(actions, SetTimer.class)) {
-          f.now += Fixture.timerDelay(actions);
+      for (int attempt = 0; "origin".equals(BalancerFixture.sentTo(actions)); attempt++) {
+        assertFalse(BalancerFixture.has(actions, Probe.class));
+        actions = f.endAttempt(id, attempt, "origin", 1, failure);
+        if (BalancerFixture.has(actions, SetTimer.class)) {
+          f.now += BalancerFixture.timerDelay(actions);
           actions = f.balancer.handle(f.now, new TimerFired(id));
         }
       }
-      assertEquals(null, Fixture.sentTo(actions), failure + " was followed by another send");
-      assertTrue(Fixture.has(actions, Refuse.class), failure + ": " + actions);
+      assertEquals(null, BalancerFixture.sentTo(actions), failure + " was followed by another send");
+      assertTrue(BalancerFixture.has(actions, Refuse.class), failure + ": " + actions);
     }
   }
 
   @Test
   void withoutAnOriginRequestsAreRefusedWithRetryAdvice() {
-    Fixture f = new Fixture(Fixture.READ);
-    f.list(ListKind.UNCONFIRMED, List.of(Fixture.cache(0), Fixture.cache(1)));
+    BalancerFixture f = new BalancerFixture(BalancerFixture.READ);
+    f.receiveList(ListKind.UNCONFIRMED, List.of(BalancerFixture.cache(0), BalancerFixture.cache(1)));
     List<Action> actions = f.read(5);
     assertEquals(List.of(new Refuse(0, 400)), actions);
   }
--- a/src/test/java/beampoint/policy/ZoneLocalPlacementTest.java
+++ b/src/test/java/beampoint/policy/ZoneLocalPlacementTest.java
@@ -23,17 +23,19 @@
   private static final int CACHES = 12;
   private static final int KEYS = 300;
 
-  private static Fixture instance(int zone, double price) {
-    return new Fixture(new Settings(zone + 1, 20, zone, true, WeightSource.NOMINAL, Fixture.ORIGIN, 0.1,
-        new Limits(3, false, false, true, 400, 50), new Rules(500, 3, 1_000, 0.25, 8_000, 10_000),
-        new Prices(0, 0, 0, price), List.of(Fixture.READ), List.of())).withFleet(CACHES);
+  private static BalancerFixture instance(int zone, double price) {
+    return new BalancerFixture(
+        new Settings(zone + 1, 20, zone, true, WeightSource.NOMINAL, BalancerFixture.ORIGIN, 0.1,
+            new Limits(3, false, false, true, 400, 50), new Rules(500, 3, 1_000, 0.25, 8_000, 10_000),
+            new Prices(0, 0, 0, price), List.of(BalancerFixture.READ), List.of()))
+        .withFleet(CACHES);
   }
 
   private static int zone(String endpoint) {
     return Integer.parseInt(endpoint.substring(6)) % 2; // as the fixture places them
   }
 
-  private static List<String> places(Fixture f) {
+  private static List<String> places(BalancerFixture f) {
     List<String> places = new ArrayList<>();
     for (long key = 0; key < KEYS; key++) {
       places.add(f.serve(key));
@@ -46,16 +48,16 @@
   }
 
   /** One fetch from the origin, with this result. */
-  private static void fetch(Fixture f, Result result, double elapsed) {
+  private static void fetch(BalancerFixture f, Result result, double elapsed) {
     long id = f.nextId();
-    String cache = Fixture.sentTo(f.read(77_777));
-    assertEquals("origin", Fixture.sentTo(f.end(id, 0, cache, 10, Result.MISS)));
-    f.end(id, 1, "origin", elapsed, result);
+    String cache = BalancerFixture.sentTo(f.read(77_777));
+    assertEquals("origin", BalancerFixture.sentTo(f.endAttempt(id, 0, cache, 10, Result.MISS)));
+    f.endAttempt(id, 1, "origin", elapsed, result);
   }
 
   @Test
   void whileTheOriginHasRoomBucketsMoveToTheOwnZoneGradually() {
-    Fixture f = instance(1, 0.03);
+    BalancerFixture f = instance(1, 0.03);
     List<String> before = places(f);
     assertEquals(before, places(instance(0, 0.03)));
     f.now += 4_000;
@@ -71,11 +73,11 @@
 
   @Test
   void instancesOfOneZoneAgreeAndAllDoWhereCrossingZonesIsFree() {
-    Fixture one = instance(1, 0.03);
-    Fixture other = instance(1, 0.03);
-    Fixture free = instance(1, 0);
-    Fixture otherFree = instance(0, 0);
-    for (Fixture f : List.of(one, other, free, otherFree)) {
+    BalancerFixture one = instance(1, 0.03);
+    BalancerFixture other = instance(1, 0.03);
+    BalancerFixture free = instance(1, 0);
+    BalancerFixture otherFree = instance(0, 0);
+    for (BalancerFixture f : List.of(one, other, free, otherFree)) {
       f.now += 60_000;
     }
     assertEquals(places(one), places(other));
@@ -85,7 +87,7 @@
   /** Keys kept in several zones miss more often, which could overload the origin. */
   @Test
   void aFailedFetchWithdrawsAllZoneLocalPlacements() {
-    Fixture f = instance(1, 0.03);
+    BalancerFixture f = instance(1, 0.03);
     List<String> shared = places(f);
     f.now += 20_000;
     fetch(f, Result.OK, 400);
@@ -97,17 +99,18 @@
   /** A cold cache gets only what the shared ring gives it: a zone's part could overload it. */
   @Test
   void aColdCacheIsNotUsedAsZoneLocalCache() {
-    Fixture f = instance(1, 0.03);
+    BalancerFixture f = instance(1, 0.03);
     f.now += 20_000;
     List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < CACHES; i++) {
-      endpoints.add(i == 3 ? Fixture.cache(3, EndpointState.RUNNING, f.now) : Fixture.cache(i));
+      endpoints
+          .add(i == 3 ? BalancerFixture.cache(3, EndpointState.RUNNING, f.now) : BalancerFixture.cache(i));
     }
-    endpoints.add(Fixture.originEndpoint());
-    f.list(ListKind.FULL, endpoints);
-    Fixture shared = instance(1, 0);
+    endpoints.add(BalancerFixture.originEndpoint());
+    f.receiveList(ListKind.FULL, endpoints);
+    BalancerFixture shared = instance(1, 0);
     shared.now = f.now;
-    shared.list(ListKind.FULL, endpoints);
+    shared.receiveList(ListKind.FULL, endpoints);
     List<String> local = places(f);
     List<String> sharedPlaces = places(shared);
     for (int i = 0; i < KEYS; i++) {
@@ -119,20 +122,20 @@
 
   @Test
   void aZoneWithoutCachesUsesTheSharedRing() {
-    Fixture f = instance(1, 0.03);
+    BalancerFixture f = instance(1, 0.03);
     f.now += 20_000;
     List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < CACHES; i += 2) {
-      endpoints.add(Fixture.cache(i));
+      endpoints.add(BalancerFixture.cache(i));
     }
-    f.list(ListKind.FULL, endpoints);
+    f.receiveList(ListKind.FULL, endpoints);
     assertEquals(0, inZone(places(f), 1));
   }
 
   /** A zone-local cache that refuses connections is skipped; its keys go to the shared cache. */
   @Test
   void aZoneLocalCacheThatRefusesIsFollowedByTheSharedOne() {
-    Fixture f = instance(1, 0.03);
+    BalancerFixture f = instance(1, 0.03);
     List<String> shared = places(f);
     f.now += 20_000;
     List<String> local = places(f);
@@ -142,9 +145,9 @@
     }
     f.now += 20_000;
     long id = f.nextId();
-    String first = Fixture.sentTo(f.read(moved));
+    String first = BalancerFixture.sentTo(f.read(moved));
     assertEquals(local.get(moved), first);
-    String second = Fixture.sentTo(f.end(id, 0, first, 5, Result.CONNECT_FAILED));
+    String second = BalancerFixture.sentTo(f.endAttempt(id, 0, first, 5, Result.CONNECT_FAILED));
     assertEquals(shared.get(moved), second);
     assertNotEquals(first, f.serve(moved));
   }
