--- a/src/test/java/beampoint/policy/BalancerFixture.java
+++ b/src/test/java/beampoint/policy/BalancerFixture.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One decision module, driven with events and a clock that tests set. Times are in ms. */
+/** One balancer, driven with events and a clock that tests set. Times are in ms. */
 final class BalancerFixture {
 
   /** Number of keys in a placement, unless a test gives another. */
@@ -58,12 +58,17 @@
 
   static Settings settings(List<Tenant> tenants, boolean listPushed, boolean probes, Balancer.Prices prices,
       RequestClass... classes) {
+    // Settings: seed, siblings, zone, listPushed, weightSource, originKind, overShareWorth, ...
+    // Limits: maxAttempts, hedgedRequests, probes, retryAdvice, maxRetryAfter, connectTimeout.
+    // Rules: drainGrace, fallMultiple, fallWindow, coldFrom, warmUp, askEvery. Prices: connection, handshake,
+    // probe, crossZone.
     return new Settings(7, 2, 0, listPushed, WeightSource.NOMINAL, ORIGIN, 0.1,
         new Balancer.Limits(3, false, probes, true, 400, 50),
         new Balancer.Rules(500, 3, 1_000, 0.25, 8_000, 10_000), prices, List.of(classes), tenants);
   }
 
   static RequestClass requestClass(Idempotency idempotency, DedupGroup group) {
+    // RequestClass: idempotency, group, dedupWindow, aim, deadline, worth, lateWorth.
     return new RequestClass(idempotency, group, 2_000, 500, 1_500, 1, 0);
   }
 
@@ -93,7 +98,7 @@
     return this;
   }
 
-  /** A module that has served enough requests that a few more for one key do not make it a hot key. */
+  /** A balancer that has served enough requests that a few more for one key do not make it a hot key. */
   static BalancerFixture withTraffic(int caches) {
     BalancerFixture f = new BalancerFixture(READ).withFleet(caches);
     for (long key = 1_000; key < 1_400; key++) {
--- a/src/test/java/beampoint/policy/BanTest.java
+++ b/src/test/java/beampoint/policy/BanTest.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** How the decision module treats caches that operators take out of use and put back. */
+/** How a balancer treats caches that operators ban, and those whose ban has ended. */
 class BanTest {
 
   private static final int KEYS = 400;
--- a/src/test/java/beampoint/policy/ColdCacheTest.java
+++ b/src/test/java/beampoint/policy/ColdCacheTest.java
@@ -33,10 +33,10 @@
     assertTrue(cold < 800 / 4, "sent to the cold cache: " + cold);
   }
 
-  private static int sentToCold(BalancerFixture f, int requests, double apart, double elapsed) {
+  private static int sentToCold(BalancerFixture f, int requests, double gapMs, double elapsed) {
     int cold = 0;
     for (int i = 0; i < requests; i++) {
-      f.now += apart;
+      f.now += gapMs;
       long id = f.nextId();
       String endpoint = BalancerFixture.sentTo(f.read(20_000 + i));
       cold += "cache-3".equals(endpoint) ? 1 : 0;
@@ -45,7 +45,7 @@
     return cold;
   }
 
-  /** One cold cache beside three warm ones, at a balancer that has served so many requests before. */
+  /** One cold cache beside three warm ones, at a balancer that has served {@code served} requests. */
   private static BalancerFixture besideAColdCache(int served, double elapsed) {
     BalancerFixture f =
         new BalancerFixture(List.of(new Balancer.Tenant(100)), BalancerFixture.READ).withFleet(3);
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void cachesThatAreAllEmptyAndColdAreSentTheMissesThatFillThem() {
+  void emptyColdCachesAreSentEnoughRequestsToFill() {
     BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(4);
     for (long key = 0; key < 2_000; key++) {
       f.serve(key);
--- a/src/test/java/beampoint/policy/EndpointHealthTest.java
+++ b/src/test/java/beampoint/policy/EndpointHealthTest.java
@@ -29,8 +29,8 @@
     assertEquals(overloaded, f.serve(5));
   }
 
-  /** The requests sent to a cache that never answers, of ten per second at ten caches. */
-  private static int sentToSlow(BalancerFixture f, String slow, int requests) {
+  /** The number of requests sent to a cache that never answers, at 10 requests per second to ten caches. */
+  private static int sentToUnresponsive(BalancerFixture f, String slow, int requests) {
     int sent = 0;
     for (int i = 0; i < requests; i++) {
       f.now += 100;
@@ -51,8 +51,8 @@
   void aTimeoutIsRememberedForMoreThanOneSendToItsCache() {
     BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(10);
     String slow = f.serve(7);
-    sentToSlow(f, slow, 200);
-    int sent = sentToSlow(f, slow, 1_000);
+    sentToUnresponsive(f, slow, 200);
+    int sent = sentToUnresponsive(f, slow, 1_000);
     assertTrue(sent > 0, "it is tried again");
     assertTrue(sent < 60, "sent to the slow cache, of about 100 requests for its keys: " + sent);
   }
--- a/src/test/java/beampoint/policy/HundredInstancesSlowStartTest.java
+++ b/src/test/java/beampoint/policy/HundredInstancesSlowStartTest.java
@@ -28,15 +28,19 @@
 
   private static final int INSTANCES = 100;
   private static final int CACHES = 150;
-  private static final double RATE = 2; // requests a millisecond, over all instances
-  private static final double CAPACITY = RATE / 0.6 / CACHES; // of one warm cache
+  private static final double RATE = 2; // requests per ms, over all instances
+  private static final double CAPACITY = RATE / 0.6 / CACHES; // requests per ms that one warm cache can serve
   private static final Rules RULES = new Rules(500, 1.3, 2_000, 0.15, 15_000, 10_000);
 
-  private final Map<String, Deque<Double>> sent = new HashMap<>(); // to cold caches, in the last window
+  /** Times of the requests to each cold cache in the last window. */
+  private final Map<String, Deque<Double>> sent = new HashMap<>();
   private double worst = Double.NEGATIVE_INFINITY; // requests over what a cold cache can take
   private long toCold;
 
-  /** Requests of mean work that a cold cache can take in a window: N + 2 sqrt(N) + 2, N by the settings. */
+  /**
+   * Requests of mean work that a cold cache can take in a window: N + 2 sqrt(N) + 2, where N is the number
+   * that the settings allow and the rest is for random variation.
+   */
   private static double capacityOfColdCache(double age) {
     double allowed = RULES.fallMultiple() * RULES.warmth(age) * CAPACITY * RULES.fallWindow();
     return allowed + 2 * Math.sqrt(allowed) + 2;
@@ -70,7 +74,7 @@
           f.receiveList(ListKind.CHANGES, started);
         }
       }
-      // One instance in five gets several times an even part of the traffic.
+      // One instance in five gets several times an even share of the traffic.
       int number = random.nextInt(random.nextDouble() < 0.5 ? INSTANCES : busy);
       BalancerFixture f = fleet.get(number);
       f.now = now;
--- a/src/test/java/beampoint/policy/IdleConnectionTest.java
+++ b/src/test/java/beampoint/policy/IdleConnectionTest.java
@@ -20,7 +20,9 @@
 /** Which idle connections are closed where holding a connection has a price. */
 class IdleConnectionTest {
 
-  /** One of so many balancers with four caches; 100 connections to a cache cost as much as a new one. */
+  /**
+   * One of {@code balancers} balancers with four caches; holding 100 connections costs as much as a new one.
+   */
   private static BalancerFixture priced(int balancers) {
     Balancer.Prices prices = new Balancer.Prices(0.05, 0.05, 0, 0);
     Settings s = BalancerFixture.settings(List.of(), true, false, prices, BalancerFixture.READ);
@@ -29,11 +31,14 @@
         .withFleet(4);
   }
 
-  /** Serves a read of each key every {@code gap} ms; counts the closing of connections for each cache. */
-  private static Map<String, Integer> closes(BalancerFixture f, double gap, LongStream keys) {
+  /**
+   * Serves one read every {@code gapMs} ms, one for each key; returns how often each cache's connections are
+   * closed.
+   */
+  private static Map<String, Integer> closes(BalancerFixture f, double gapMs, LongStream keys) {
     Map<String, Integer> closes = new HashMap<>();
     keys.forEach(key -> {
-      f.now += gap;
+      f.now += gapMs;
       long id = f.nextId();
       List<Action> actions = new ArrayList<>(f.read(key));
       actions.addAll(f.endAttempt(id, 0, BalancerFixture.sentTo(actions), 10, Result.OK));
@@ -43,12 +48,16 @@
     return closes;
   }
 
-  /** The same for 200 distinct keys, summed over all caches. */
-  private static int closes(int balancers, double gap) {
-    return closes(priced(balancers), gap, LongStream.range(0, 200)).values().stream().mapToInt(n -> n).sum();
+  /** How often connections are closed while 200 distinct keys are read, summed over all caches. */
+  private static int closes(int balancers, double gapMs) {
+    return closes(priced(balancers), gapMs, LongStream.range(0, 200)).values().stream().mapToInt(n -> n)
+        .sum();
   }
 
-  /** Whatever one balancer's rate: the more balancers there are, the more connections a cache holds. */
+  /**
+   * The decision depends on the number of balancers, not on the rate of one: with more balancers a cache
+   * holds more connections.
+   */
   @Test
   void connectionsAreKeptIfUsedOftenComparedWithTheLoadOfTheFleet() {
     assertTrue(closes(20, 100) < 5);
@@ -69,14 +78,14 @@
         .get(endpoint));
   }
 
-  /** Hosts that are gone must not stay in memory, since new ones come under new names all the time. */
+  /** Endpoints that are gone must not stay in memory, since new ones come with new ids all the time. */
   @Test
-  void theConnectionsOfAHostThatIsGoneAreClosed() {
+  void theConnectionsOfAnEndpointThatIsGoneAreClosed() {
     BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(3);
     String endpoint = f.serve(1);
-    Endpoint host =
+    Endpoint removed =
         BalancerFixture.fleet(3).stream().filter(e -> e.id().equals(endpoint)).findFirst().orElseThrow();
-    List<Action> actions = f.receiveList(ListKind.CHANGES, List.of(host.gone()));
+    List<Action> actions = f.receiveList(ListKind.CHANGES, List.of(removed.gone()));
     assertTrue(actions.contains(new CloseIdle(endpoint)), actions.toString());
   }
 }
--- a/src/test/java/beampoint/policy/LateAnswerTest.java
+++ b/src/test/java/beampoint/policy/LateAnswerTest.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** How the module avoids and handles answers that come too late to earn anything. */
+/** How a balancer avoids and handles answers that come too late to be worth anything. */
 class LateAnswerTest {
 
   private static final RequestClass LATE_WORTH =
@@ -51,10 +51,10 @@
   /** A client must learn the outcome of its write, even if it is known late. */
   @Test
   void aWriteIsAwaitedUntilTheClientGivesUp() {
-    for (Idempotency effect : List.of(Idempotency.KEYED, Idempotency.UNSAFE)) {
+    for (Idempotency idempotency : List.of(Idempotency.KEYED, Idempotency.UNSAFE)) {
       BalancerFixture f =
-          new BalancerFixture(BalancerFixture.requestClass(effect, DedupGroup.ALL)).withFleet(6);
-      assertEquals(0, timeout(f.request(0, 0, 5, true)), effect.toString());
+          new BalancerFixture(BalancerFixture.requestClass(idempotency, DedupGroup.ALL)).withFleet(6);
+      assertEquals(0, timeout(f.request(0, 0, 5, true)), idempotency.toString());
     }
   }
 
@@ -96,7 +96,9 @@
     return refused;
   }
 
-  /** Overload must not persist because the answers that come in time look good while many come late. */
+  /**
+   * Overload must not persist because only the answers that come in time are measured while many come late.
+   */
   @Test
   void fewerReadsAreAdmittedWhereManyTimeOut() {
     assertEquals(0, refused(1_000, false));
@@ -104,7 +106,7 @@
     assertTrue(refused(3, false) > 40, "refused: " + refused(3, false));
   }
 
-  /** The origin must not be kept busy with fetches for which nobody waits any more. */
+  /** The origin must not be kept busy with fetches for which no client waits any more. */
   @Test
   void fewerReadsAreFetchedWhereManyFetchesTimeOut() {
     assertEquals(0, refused(1_000, true));
@@ -160,24 +162,26 @@
   }
 
   /**
-   * True where a request is served whose client waits for {@code wait} ms, marked as a retry or not, after
-   * 400 requests of clients that wait for 1 s, which the caches served in {@code elapsed} ms each.
+   * Sends 400 requests with 1 s left, which the caches serve in {@code elapsedMs} each. If {@code
+   * clientsMark}, one request marked as a retry follows. Returns true if a last request is served, which has
+   * {@code timeLeftMs} left and is marked as a retry if {@code markedAsRetry}.
    */
-  private static boolean serves(BalancerFixture f, int type, double wait, boolean again, double elapsed,
+  private static boolean serves(BalancerFixture f, int requestClass, double timeLeftMs, boolean markedAsRetry,
+      double elapsedMs,
       boolean clientsMark) {
     for (int i = 0; i < 400; i++) {
       f.now += 10;
       long id = f.nextId();
       String endpoint = BalancerFixture.sentTo(f.request(i % 2, 0, 1_000 + i, false));
       if (endpoint != null) {
-        f.endAttempt(id, 0, endpoint, elapsed, Result.OK);
+        f.endAttempt(id, 0, endpoint, elapsedMs, Result.OK);
       }
     }
     if (clientsMark) {
       f.balancer.handle(f.now, new RequestReceived(98_000, f.now + 1_000, 0, 0, 6, false, true));
     }
     return BalancerFixture.sentTo(f.balancer.handle(f.now,
-        new RequestReceived(99_000, f.now + wait, 0, type, 5, false, again))) != null;
+        new RequestReceived(99_000, f.now + timeLeftMs, 0, requestClass, 5, false, markedAsRetry))) != null;
   }
 
   private static BalancerFixture twoClasses() {
@@ -194,7 +198,9 @@
     assertTrue(serves(twoClasses(), 1, 400, false, 130, false), "a late answer earns a part");
   }
 
-  /** A client that waits a short time must not be taken for one that retries, where clients mark retries. */
+  /**
+   * If clients mark their retries, an unmarked request with little time left must not be taken for a retry.
+   */
   @Test
   void whereClientsMarkRetriesOnlyMarkedRequestsHaveLowPriority() {
     assertFalse(serves(twoClasses(), 0, 400, true, 130, true));
@@ -202,9 +208,12 @@
     assertTrue(serves(twoClasses(), 0, 1_000, true, 130, true), "a retry at once, with all the time left");
   }
 
-  /** A short wait must not count as a retry in a class all of whose clients wait for a part of its time. */
+  /**
+   * Little time left must not count as a sign of a retry in a class all of whose clients wait for a short
+   * time.
+   */
   @Test
-  void aWaitThatIsCommonInItsClassIsNoSignOfARetry() {
+  void littleTimeLeftThatIsUsualInItsClassIsNoSignOfARetry() {
     BalancerFixture f = new BalancerFixture(BalancerFixture.READ).withFleet(10);
     int refused = 0;
     for (int i = 0; i < 400; i++) {
--- a/src/test/java/beampoint/policy/ListSubscriptionTest.java
+++ b/src/test/java/beampoint/policy/ListSubscriptionTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When the module subscribes to the host list, and when it retries that. */
+/** When a balancer subscribes to the host list, and when it retries a subscription. */
 class ListSubscriptionTest {
 
   @Test
--- a/src/test/java/beampoint/policy/MultiInstanceTest.java
+++ b/src/test/java/beampoint/policy/MultiInstanceTest.java
@@ -22,24 +22,26 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The combined effect of many instances of the decision module that share no state. */
+/** The combined effect of many balancers, called instances, that share no state. */
 class MultiInstanceTest {
 
   private static final int INSTANCES = 14;
   private static final int CACHES = 60;
-  private static final double RATE = 0.7; // requests a millisecond, over all instances
-  private static final double WINDOW = 2_000; // of the rule on cold caches
+  private static final double RATE = 0.7; // requests per ms, over all instances
+  /** Window in ms of the limit on requests to a cold cache. */
+  private static final double WINDOW = 2_000;
   private static final double COLD_FROM = 0.25;
-  /** Requests that a cold cache can serve in a window; RATE is six tenths of what all caches can serve. */
+  /** Requests that a cold cache can serve in a window; RATE is 0.6 of what all warm caches can serve. */
   private static final double COLD_CAPACITY = RATE / 0.6 / CACHES * WINDOW * COLD_FROM;
 
   private final Random random = new Random(5);
   private final List<BalancerFixture> fleet = new ArrayList<>();
-  private final Map<String, Deque<Double>> sent = new HashMap<>(); // to cold caches, in the last window
+  /** Times of the requests to each cold cache in the last window. */
+  private final Map<String, Deque<Double>> sent = new HashMap<>();
   private final Map<String, Integer> total = new HashMap<>();
   private double now = 100_000;
-  private int maxInWindow; // to one cold cache in any window
-  private double extraPart; // of the requests, for the first instance in addition to its even part
+  private int maxInWindow; // most requests to one cold cache in any window
+  private double extraPart; // fraction of the requests that the first instance gets beside its even share
 
   private static BalancerFixture newInstance(long seed) {
     return newInstance(seed, 0, 0);
@@ -52,23 +54,23 @@
         new Prices(0, 0, 0, crossZone), List.of(BalancerFixture.READ), List.of(new Tenant(RATE * 1_000))));
   }
 
-  private static List<Endpoint> caches(int cold, double startedAt) {
+  private static List<Endpoint> caches(int coldCount, double startedAt) {
     List<Endpoint> endpoints = BalancerFixture.fleet(CACHES);
-    for (int i = 0; i < cold; i++) {
+    for (int i = 0; i < coldCount; i++) {
       endpoints.set(i, BalancerFixture.cache(i, EndpointState.RUNNING, startedAt));
     }
     return endpoints;
   }
 
-  private void begin(int cold) {
+  private void begin(int coldCount) {
     for (int i = 0; i < INSTANCES; i++) {
       fleet.add(newInstance(i));
     }
-    list(cold);
+    list(coldCount);
   }
 
-  private void list(int cold) {
-    List<Endpoint> endpoints = caches(cold, now);
+  private void list(int coldCount) {
+    List<Endpoint> endpoints = caches(coldCount, now);
     for (BalancerFixture f : fleet) {
       f.now = now;
       f.receiveList(ListKind.FULL, endpoints);
@@ -76,7 +78,7 @@
   }
 
   /** Reads of random keys at RATE, each answered at once. */
-  private void run(int cold, double time) {
+  private void run(int coldCount, double time) {
     for (double end = now + time; now < end;) {
       now += -Math.log(1 - random.nextDouble()) / RATE;
       boolean toFirst = random.nextDouble() < extraPart;
@@ -87,7 +89,7 @@
       if (endpoint == null) {
         continue;
       }
-      if (Integer.parseInt(endpoint.substring(6)) < cold) {
+      if (Integer.parseInt(endpoint.substring(6)) < coldCount) {
         Deque<Double> window = sent.computeIfAbsent(endpoint, e -> new ArrayDeque<>());
         window.add(now);
         while (window.peekFirst() < now - WINDOW) {
@@ -100,26 +102,27 @@
     }
   }
 
-  private void assertFair(int cold, double time) {
+  private void assertNeitherOverloadedNorStarved(int coldCount, double time) {
     assertTrue(maxInWindow <= 3 * COLD_CAPACITY,
-        "to one cold cache of " + cold + " in a window: " + maxInWindow);
+        "to one cold cache of " + coldCount + " in a window: " + maxInWindow);
     double all = total.values().stream().mapToInt(i -> i).sum();
-    double due = cold * COLD_CAPACITY * 0.6 * time / WINDOW;
-    assertTrue(all >= due / 2, "to " + cold + " cold caches: " + all + " of " + due + " or more");
+    double expectedTotal = coldCount * COLD_CAPACITY * 0.6 * time / WINDOW;
+    assertTrue(all >= expectedTotal / 2,
+        "to " + coldCount + " cold caches: " + all + " of " + expectedTotal + " or more");
   }
 
   @Test
   void newInstancesNeitherOverloadNorStarveOneColdCache() {
     begin(1);
     run(1, 4_000);
-    assertFair(1, 4_000);
+    assertNeitherOverloadedNorStarved(1, 4_000);
   }
 
   @Test
   void newInstancesNeitherOverloadNorStarveThirtySixColdCaches() {
     begin(36);
     run(36, 4_000);
-    assertFair(36, 4_000);
+    assertNeitherOverloadedNorStarved(36, 4_000);
   }
 
   @Test
@@ -128,15 +131,17 @@
     run(0, 4_000);
     list(1);
     run(1, 4_000);
-    assertFair(1, 4_000);
+    assertNeitherOverloadedNorStarved(1, 4_000);
     total.clear();
     sent.clear();
     list(36);
     run(36, 4_000);
-    assertFair(36, 4_000);
+    assertNeitherOverloadedNorStarved(36, 4_000);
   }
 
-  /** The first caches refuse connections, while the list still has them. */
+  /**
+   * Reads of random keys while the first {@code dead} caches refuse connections but are still in the list.
+   */
   private void runWithDeadCaches(int dead, double time) {
     for (double end = now + time; now < end;) {
       now += -Math.log(1 - random.nextDouble()) / RATE;
@@ -163,10 +168,10 @@
     runWithDeadCaches(30, 6_000);
     list(30);
     run(30, 4_000);
-    assertFair(30, 4_000);
+    assertNeitherOverloadedNorStarved(30, 4_000);
   }
 
-  /** The rate limit must not assume an even part of the traffic: each client may use a proxy of its own. */
+  /** The rate limit must not assume an even share of the traffic: each client may use a proxy of its own. */
   @Test
   void aColdCacheIsNeitherOverloadedNorStarvedWhereOneInstanceHasHalfOfTheTraffic() {
     extraPart = 0.5;
@@ -174,10 +179,10 @@
     run(0, 4_000);
     list(1);
     run(1, 4_000);
-    assertFair(1, 4_000);
+    assertNeitherOverloadedNorStarved(1, 4_000);
   }
 
-  /** Zone-local placement must not send a cold cache a whole zone's part. */
+  /** Zone-local placement must not send a cold cache the share of a whole zone. */
   @Test
   void aColdCacheIsNeitherOverloadedNorStarvedBesideZoneLocalPlacement() {
     for (int i = 0; i < INSTANCES; i++) {
@@ -187,7 +192,7 @@
     run(0, 12_000);
     list(1);
     run(1, 4_000);
-    assertFair(1, 4_000);
+    assertNeitherOverloadedNorStarved(1, 4_000);
   }
 
   /** A fleet shrinks to a third while requests are in flight at caches and at the origin. */
--- a/src/test/java/beampoint/policy/OriginOverloadTest.java
+++ b/src/test/java/beampoint/policy/OriginOverloadTest.java
@@ -30,11 +30,11 @@
 class OriginOverloadTest {
 
   private static final int INSTANCES = 200;
-  private static final double CAPACITY = 0.2; // fetches a millisecond
-  private static final double MAX_QUEUE = 3_000;
-  private static final double MISS = 60; // time until a cache reports a miss
+  private static final double CAPACITY = 0.2; // fetches per ms
+  private static final double MAX_QUEUE_MS = 3_000;
+  private static final double MISS_MS = 60; // time until a cache reports a miss
 
-  private record Task(double at, long order, Runnable what) {}
+  private record Task(double at, long order, Runnable action) {}
 
   private final PriorityQueue<Task> tasks = new PriorityQueue<>(
       (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
@@ -46,26 +46,26 @@
   private long order;
   private int served;
 
-  private void at(double time, Runnable what) {
-    tasks.add(new Task(time, order++, what));
+  private void schedule(double time, Runnable action) {
+    tasks.add(new Task(time, order++, action));
   }
 
   private void carryOut(int instance, List<Action> actions) {
     for (Action action : actions) {
       if (action instanceof SetTimer a) {
-        at(now + a.delay(), () -> give(instance, new TimerFired(a.token())));
+        schedule(now + a.delay(), () -> handleEvent(instance, new TimerFired(a.token())));
       } else if (action instanceof Send a) {
         int number = attempts.merge(instance + "/" + a.id(), 1, Integer::sum) - 1;
         double sentAt = now;
         double limit = a.timeout() > 0 ? a.timeout() : 800;
         if (!a.endpoint().equals("origin")) {
-          at(now + MISS, () -> end(instance, a, number, sentAt, Result.MISS));
-        } else if (busyUntil > now + MAX_QUEUE) {
-          at(now + 1, () -> end(instance, a, number, sentAt, Result.FULL));
+          schedule(now + MISS_MS, () -> end(instance, a, number, sentAt, Result.MISS));
+        } else if (busyUntil > now + MAX_QUEUE_MS) {
+          schedule(now + 1, () -> end(instance, a, number, sentAt, Result.FULL));
         } else {
           busyUntil = Math.max(now, busyUntil) + 1 / CAPACITY;
           boolean inTime = busyUntil <= now + limit;
-          at(inTime ? busyUntil : now + limit,
+          schedule(inTime ? busyUntil : now + limit,
               () -> end(instance, a, number, sentAt, inTime ? Result.OK : Result.TIMEOUT));
         }
       }
@@ -74,11 +74,11 @@
 
   private void end(int instance, Send send, int number, double sentAt, Result result) {
     served += result == Result.OK ? 1 : 0;
-    give(instance,
+    handleEvent(instance,
         new AttemptEnded(send.id(), number, send.endpoint(), now - sentAt, result, result == Result.OK));
   }
 
-  private void give(int instance, Balancer.Event event) {
+  private void handleEvent(int instance, Balancer.Event event) {
     fleet.get(instance).now = now;
     carryOut(instance, fleet.get(instance).balancer.handle(now, event));
   }
@@ -89,7 +89,7 @@
     carryOut(instance, fleet.get(instance).read(order + 1_000));
     double next = now - Math.log(1 - random.nextDouble()) / rate;
     if (next < end) {
-      at(next, () -> arrive(rate, end));
+      schedule(next, () -> arrive(rate, end));
     }
   }
 
@@ -98,12 +98,14 @@
     while (!tasks.isEmpty() && tasks.peek().at < end) {
       Task task = tasks.poll();
       now = task.at;
-      task.what.run();
+      task.action.run();
     }
     now = end;
   }
 
-  /** With the origin kept busy by fetches that nobody waits for any more, nothing would be served in time. */
+  /**
+   * With the origin kept busy by fetches that no client waits for any more, nothing would be served in time.
+   */
   @Test
   void anOverloadedOriginServesMostOfWhatItCan() {
     for (int i = 0; i < INSTANCES; i++) {
--- a/src/test/java/beampoint/policy/RecoveryFromOverloadTest.java
+++ b/src/test/java/beampoint/policy/RecoveryFromOverloadTest.java
@@ -18,8 +18,10 @@
 /** A balancer whose caches all fail still sends attempts: it does not refuse everything for seconds. */
 class RecoveryFromOverloadTest {
 
-  private static final double MAX_MS = 4_000; // without an attempt, while requests are refused
-  private static final int MIN_REFUSED = 15; // in that time; fewer may be chance
+  /** Longest time in ms for which requests may be refused while no attempt is sent. */
+  private static final double MAX_MS = 4_000;
+  /** Smallest number of refusals in that time that counts; fewer may be chance. */
+  private static final int MIN_REFUSED = 15;
   private static final int CACHES = 14;
 
   /** An attempt in flight. */
@@ -27,13 +29,13 @@
 
   /** Requests at a steady mean rate to caches that all fail in the same way. */
   private static final class Run {
-    private final BalancerFixture balancer = new BalancerFixture(BalancerFixture.READ).withFleet(CACHES);
+    private final BalancerFixture fixture = new BalancerFixture(BalancerFixture.READ).withFleet(CACHES);
     private final Random random;
     private final Result result;
     private final double duration; // ms until an attempt ends; 0: at its timeout
     private final PriorityQueue<InFlight> inFlight =
         new PriorityQueue<>(Comparator.comparingDouble(InFlight::endsAt));
-    private final Map<Long, Integer> attempts = new HashMap<>(); // of each request
+    private final Map<Long, Integer> attempts = new HashMap<>(); // number of attempts of each request
     private double lastAttempt;
     private int refusedSince;
 
@@ -48,37 +50,40 @@
         if (action instanceof Send send) {
           attempts.merge(send.id(), 1, Integer::sum);
           double ends =
-              balancer.now + (duration > 0 ? duration : send.timeout() > 0 ? send.timeout() : 1_000);
+              fixture.now + (duration > 0 ? duration : send.timeout() > 0 ? send.timeout() : 1_000);
           inFlight.add(
-              new InFlight(ends, send.id(), attempts.get(send.id()) - 1, send.endpoint(), balancer.now));
-          lastAttempt = balancer.now;
+              new InFlight(ends, send.id(), attempts.get(send.id()) - 1, send.endpoint(), fixture.now));
+          lastAttempt = fixture.now;
           refusedSince = 0;
         }
       }
     }
 
-    /** Runs for {@code length} ms at a rate; returns a problem if too many are refused without an attempt. */
+    /**
+     * Runs for {@code length} ms at a rate; returns a problem if at least MIN_REFUSED requests are refused
+     * and no attempt is sent for MAX_MS.
+     */
     List<String> run(double length, double perSecond, Result outcome) {
       List<String> problems = new ArrayList<>();
-      double until = balancer.now + length;
-      double next = balancer.now;
-      lastAttempt = balancer.now;
+      double until = fixture.now + length;
+      double next = fixture.now;
+      lastAttempt = fixture.now;
       refusedSince = 0;
       while (next < until) {
         while (!inFlight.isEmpty() && inFlight.peek().endsAt <= next) {
           InFlight attempt = inFlight.poll();
-          balancer.now = Math.max(balancer.now, attempt.endsAt);
-          start(balancer.endAttempt(attempt.id, attempt.attempt, attempt.endpoint,
-              balancer.now - attempt.sentAt,
+          fixture.now = Math.max(fixture.now, attempt.endsAt);
+          start(fixture.endAttempt(attempt.id, attempt.attempt, attempt.endpoint,
+              fixture.now - attempt.sentAt,
               outcome));
         }
-        balancer.now = next;
-        List<Action> actions = balancer.read(random.nextInt(10_000));
+        fixture.now = next;
+        List<Action> actions = fixture.read(random.nextInt(10_000));
         refusedSince += BalancerFixture.sentTo(actions) == null ? 1 : 0;
         start(actions);
-        if (refusedSince >= MIN_REFUSED && balancer.now - lastAttempt > MAX_MS) {
+        if (refusedSince >= MIN_REFUSED && fixture.now - lastAttempt > MAX_MS) {
           problems.add("at " + perSecond + "/s, " + outcome + ": " + refusedSince + " refused in "
-              + (balancer.now - lastAttempt) + " ms");
+              + (fixture.now - lastAttempt) + " ms");
           return problems;
         }
         next += -Math.log(1 - random.nextDouble()) * 1_000 / perSecond;
--- a/src/test/java/beampoint/policy/SettingsChangeTest.java
+++ b/src/test/java/beampoint/policy/SettingsChangeTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How the decision module treats settings that change while requests are open. */
+/** How a balancer treats settings that change while requests are open. */
 class SettingsChangeTest {
 
   private static final RequestClass UNSAFE = BalancerFixture.requestClass(Idempotency.UNSAFE, DedupGroup.ALL);
--- a/src/test/java/beampoint/policy/SlowStartFleetTest.java
+++ b/src/test/java/beampoint/policy/SlowStartFleetTest.java
@@ -32,8 +32,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Whether instances that share no state together overload a cold cache, however many they are. Within a
- * window it can take the N requests that the settings allow, and 2 sqrt(N) + 2 more, which count as chance.
+ * Whether instances that share no state together overload a cold cache, for fleets of many sizes. Within a
+ * window the cache can take the N requests that the settings allow; 2 sqrt(N) + 2 more are allowed for random
+ * variation.
  */
 class SlowStartFleetTest {
 
@@ -44,8 +45,10 @@
   /** Requests per ms that a cache can serve at the size of docs/CAPACITY.md. */
   private static final double PLANNED_CAPACITY = 4.26;
 
-  private static final double PROBE_WORK = 0.02; // of a request's mean work
-  private static final double HANDSHAKE_WORK = 0.05; // the same
+  /** Work of a probe, as a fraction of the mean work of a request. */
+  private static final double PROBE_WORK = 0.02;
+  /** Work of a handshake, as a fraction of the mean work of a request. */
+  private static final double HANDSHAKE_WORK = 0.05;
 
   /** Work sent to a cold cache, in requests of mean work, and whether its sender knew of the cold start. */
   private record Sent(double at, boolean informed, double work) {}
@@ -56,13 +59,15 @@
     private final int instances;
     private final int caches;
     private final double capacity;
-    private final boolean probes; // and a handshake with each request
+    /** Whether probes are allowed and each request needs a handshake. */
+    private final boolean probesAndHandshakes;
     private final DiscreteSampler keys;
     private final List<BalancerFixture> fleet = new ArrayList<>();
-    private final Map<String, Deque<Sent>> sent = new HashMap<>(); // to cold caches, in the last window
+    /** Work sent to each cold cache in the last window. */
+    private final Map<String, Deque<Sent>> sent = new HashMap<>();
     private final Set<BalancerFixture> informed = new HashSet<>();
     private double now = 1_000_000;
-    private double start; // of the cold caches
+    private double start; // start time of the cold caches
     private int cold;
     private long sentCold;
     private long probesSent;
@@ -72,24 +77,25 @@
       this(seed, instances, caches, capacity, false);
     }
 
-    FleetRun(long seed, int instances, int caches, double capacity, boolean probes) {
+    FleetRun(long seed, int instances, int caches, double capacity, boolean probesAndHandshakes) {
       this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
       this.instances = instances;
       this.caches = caches;
       this.capacity = capacity;
-      this.probes = probes;
+      this.probesAndHandshakes = probesAndHandshakes;
       this.keys = RejectionInversionZipfSampler.of(random, 40_000, 1);
       for (int i = 0; i < instances; i++) {
-        fleet.add(fresh(i));
+        fleet.add(newInstance(i));
         fleet.get(i).receiveList(ListKind.FULL, BalancerFixture.fleet(caches));
       }
     }
 
-    private BalancerFixture fresh(int number) {
+    private BalancerFixture newInstance(int number) {
       BalancerFixture f = new BalancerFixture(new Settings(random.nextLong(), instances, number % 2, true,
-          WeightSource.NOMINAL, BalancerFixture.ORIGIN, 0.05, new Limits(3, false, probes, true, 400, 50),
+          WeightSource.NOMINAL, BalancerFixture.ORIGIN, 0.05,
+          new Limits(3, false, probesAndHandshakes, true, 400, 50),
           RULES,
-          new Prices(0.03, 0.03, probes ? 0.01 : 0.05, 0.03), List.of(BalancerFixture.READ),
+          new Prices(0.03, 0.03, probesAndHandshakes ? 0.01 : 0.05, 0.03), List.of(BalancerFixture.READ),
           List.of(new Tenant(0.6 * caches * capacity * 1_000))));
       f.now = now;
       return f;
@@ -124,11 +130,11 @@
       }
     }
 
-    /** Replaces so many instances, spread over the fleet, by new ones that have the current list. */
+    /** Replaces {@code number} instances, spread over the fleet, by new ones that have the current list. */
     void replace(int number) {
       for (int i = 0; i < number; i++) {
         int place = i * instances / number;
-        fleet.set(place, fresh(place));
+        fleet.set(place, newInstance(place));
         fleet.get(place).receiveList(ListKind.FULL, list(0));
         informed.add(fleet.get(place));
       }
@@ -139,7 +145,10 @@
       return allowed + 2 * Math.sqrt(allowed) + 2;
     }
 
-    /** Overload by all counts as a fault only where informed instances sent over two thirds of the work. */
+    /**
+     * Overload counts as a failure only if instances that knew of the cold start sent over two thirds of the
+     * work.
+     */
     private void count(String endpoint, Sent next) {
       Deque<Sent> window = sent.computeIfAbsent(endpoint, e -> new ArrayDeque<>());
       window.add(next);
@@ -172,7 +181,10 @@
       return BalancerFixture.sentTo(actions);
     }
 
-    /** Reads at {@code load} times what all caches serve warm; a fifth of the instances get half of them. */
+    /**
+     * Reads at {@code load} times the rate that all caches can serve when warm; half of them go to a fifth of
+     * the instances, the other half to all.
+     */
     void run(double time, double load) {
       double rate = load * caches * capacity;
       for (double end = now + time; now < end; now += -Math.log(1 - random.nextDouble()) / rate) {
@@ -182,7 +194,7 @@
         long id = f.nextId();
         String endpoint = afterProbe(f, f.read(keys.sample()));
         if (isCold(endpoint)) {
-          count(endpoint, new Sent(now, informed.contains(f), probes ? 1 + HANDSHAKE_WORK : 1));
+          count(endpoint, new Sent(now, informed.contains(f), probesAndHandshakes ? 1 + HANDSHAKE_WORK : 1));
         }
         if (endpoint != null) {
           f.endAttempt(id, 0, endpoint, 120, Result.OK);
@@ -199,18 +211,18 @@
     return replaceHalf(new FleetRun(seed, instances, 15, capacity), instances);
   }
 
-  private static FleetRun replaceHalf(FleetRun all, int instances) {
-    all.run(6_000, 0.9);
-    all.restart(14, 0, 50);
-    all.run(2_000, 1.2);
-    all.replace((instances + 1) / 2);
-    all.run(6_000, 1.2);
-    return all;
+  private static FleetRun replaceHalf(FleetRun run, int instances) {
+    run.run(6_000, 0.9);
+    run.restart(14, 0, 50);
+    run.run(2_000, 1.2);
+    run.replace((instances + 1) / 2);
+    run.run(6_000, 1.2);
+    return run;
   }
 
   /**
-   * Seeds on which instances that had just started, and took their own request rate for too low, won more
-   * than their share of random draws, so that together they overloaded the cold caches.
+   * Seeds on which instances that had just started underestimated their request rate and by chance sent more
+   * than their share, so that together they overloaded the cold caches.
    */
   @Test
   void thirtyInstancesOfWhichHalfAreNewDoNotOverloadOnTheWorstSeeds() {
@@ -230,7 +242,7 @@
         few.restart(3, 0, 1_000);
         few.run(6_000, 0.9);
         check(few, at + "three of fifteen");
-        check(replaceHalf(seed, instances, capacity), at + "all but one, and half of the instances anew");
+        check(replaceHalf(seed, instances, capacity), at + "all but one, and half of the instances replaced");
         FleetRun surge = new FleetRun(seed, instances, 15, capacity);
         surge.run(6_000, 0.9);
         surge.restart(14, 0, 50);
@@ -257,7 +269,7 @@
       few.restart(3, 0, 1_000);
       few.run(6_000, 0.9);
       check(few, at + "three of fifteen");
-      check(replaceHalf(0, instances, capacity), at + "all but one, and half of the instances anew");
+      check(replaceHalf(0, instances, capacity), at + "all but one, and half of the instances replaced");
       FleetRun shrunk = new FleetRun(0, instances, 15, capacity);
       shrunk.run(6_000, 0.9);
       shrunk.restart(2, 8, 1_000);
@@ -307,15 +319,15 @@
       few.restart(3, 0, 1_000);
       few.run(6_000, 0.9);
       check(few, at + "three of fifteen");
-      FleetRun all = replaceHalf(new FleetRun(0, instances, 15, capacity, true), instances);
-      check(all, at + "all but one, and half of the instances anew");
+      FleetRun replaced = replaceHalf(new FleetRun(0, instances, 15, capacity, true), instances);
+      check(replaced, at + "all but one, and half of the instances replaced");
       FleetRun surge = new FleetRun(0, instances, 15, capacity, true);
       surge.run(6_000, 0.9);
       surge.restart(14, 0, 50);
       surge.run(3_000, 0.1);
       surge.run(4_000, 1.5);
       check(surge, at + "all but one, quiet and then a burst");
-      assertTrue(few.probesSent + all.probesSent + surge.probesSent > 0, at + "no probe was sent");
+      assertTrue(few.probesSent + replaced.probesSent + surge.probesSent > 0, at + "no probe was sent");
     }
   }
 }
--- a/src/test/java/beampoint/policy/StartByAndSubscriptionRetryTest.java
+++ b/src/test/java/beampoint/policy/StartByAndSubscriptionRetryTest.java
@@ -15,14 +15,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The latest start of an attempt, and the delay before the list is subscribed to again. */
+/**
+ * The latest start of a repeated attempt, and the delay before a failed subscription to the host list is
+ * retried.
+ */
 class StartByAndSubscriptionRetryTest {
 
   private static Send sent(List<Action> actions) {
     return (Send) actions.stream().filter(Send.class::isInstance).findFirst().orElseThrow();
   }
 
-  /** A connection may be established late, when endpoints do not drop repeats of the request any more. */
+  /** A connection may be established so late that endpoints no longer drop repeats of the request. */
   @Test
   void aRepeatOfAKeyedRequestMustBeginWithinTheDedupWindowOfItsFirstAttempt() {
     BalancerFixture f =
@@ -44,18 +47,18 @@
 
   @Test
   void aRequestThatNeverRanOrIsSafeMayBeginAtAnyTime() {
-    for (Idempotency effect : Idempotency.values()) {
+    for (Idempotency idempotency : Idempotency.values()) {
       BalancerFixture f =
-          new BalancerFixture(BalancerFixture.requestClass(effect, DedupGroup.ALL)).withFleet(4);
+          new BalancerFixture(BalancerFixture.requestClass(idempotency, DedupGroup.ALL)).withFleet(4);
       Send send = sent(f.read(7));
-      Result result = effect == Idempotency.SAFE ? Result.RESET : Result.CONNECT_FAILED;
-      assertTrue(sent(f.endAttempt(0, 0, send.endpoint(), 10, result)).startBy() > 1e15, effect.name());
+      Result result = idempotency == Idempotency.SAFE ? Result.RESET : Result.CONNECT_FAILED;
+      assertTrue(sent(f.endAttempt(0, 0, send.endpoint(), 10, result)).startBy() > 1e15, idempotency.name());
     }
   }
 
   /**
-   * After a call for the list that failed or was refused or abandoned, a balancer has to know a change within
-   * 6 s of the time when discovery had it and could be reached.
+   * After a subscription that failed or was refused or abandoned, a balancer has to know a change within 6 s
+   * of the time when discovery had it and could be reached.
    */
   @Test
   void aFailedSubscriptionIsRetriedWithinSeconds() {
