--- a/src/main/java/beampoint/Balancer.java
+++ b/src/main/java/beampoint/Balancer.java
@@ -154,8 +154,9 @@
    * Limits for drains, cold endpoints and list subscriptions. Once the balancer is informed of a drain or
    * removal, new attempts may begin at the endpoint for another {@code drainGrace} ms. A cold endpoint fails
    * if, within {@code fallWindow}, it is sent more than {@code fallMultiple} times what it can serve at its
-   * current warmth. Its capacity grows linearly from the fraction {@code coldFrom} to 1 during {@code
-   * warmUp}. {@code askEvery} is the interval from which the retry delay of a list subscription is derived.
+   * current warmth. Its capacity grows linearly from the fraction {@code coldFrom} to 1 during
+   * {@code warmUp}. {@code askEvery} is the interval from which the retry delay of a list subscription is
+   * derived.
    */
   record Rules(double drainGrace, double fallMultiple, double fallWindow, double coldFrom, double warmUp,
       double askEvery) {
