--- a/src/test/java/beampoint/policy/HundredInstancesSlowStartTest.java
+++ b/src/test/java/beampoint/policy/HundredInstancesSlowStartTest.java
@@ -30,6 +30,7 @@
   private static final int CACHES = 150;
   private static final double RATE = 2; // requests per ms, over all instances
   private static final double CAPACITY = RATE / 0.6 / CACHES; // requests per ms that one warm cache can serve
+  // drainGrace, fallMultiple, fallWindow, coldFrom, warmUp, askEvery
   private static final Rules RULES = new Rules(500, 1.3, 2_000, 0.15, 15_000, 10_000);
 
   /** Times of the requests to each cold cache in the last window. */
@@ -53,6 +54,7 @@
     double begin = now;
     List<BalancerFixture> fleet = new ArrayList<>();
     for (int i = 0; i < INSTANCES; i++) {
+      // BalancerFixture.settings names the parameters in order.
       fleet.add(new BalancerFixture(new Settings(seed + i, INSTANCES, i % 2, true, WeightSource.NOMINAL,
           BalancerFixture.ORIGIN, 0.05, new Limits(3, false, false, true, 400, 50), RULES,
           new Prices(0.03, 0.03, 0.05, 0.03), List.of(BalancerFixture.READ),
--- a/src/test/java/beampoint/policy/LateAnswerTest.java
+++ b/src/test/java/beampoint/policy/LateAnswerTest.java
@@ -163,8 +163,8 @@
 
   /**
    * Sends 400 requests with 1 s left, which the caches serve in {@code elapsedMs} each. If
-   * {@code clientsMark}, one request marked as a retry follows. Returns true if a last request is served, which has
-   * {@code timeLeftMs} left and is marked as a retry if {@code markedAsRetry}.
+   * {@code clientsMark}, one request marked as a retry follows. Returns true if a last request is served,
+   * which has {@code timeLeftMs} left and is marked as a retry if {@code markedAsRetry}.
    */
   private static boolean serves(BalancerFixture f, int requestClass, double timeLeftMs, boolean markedAsRetry,
       double elapsedMs,
--- a/src/test/java/beampoint/policy/MultiInstanceTest.java
+++ b/src/test/java/beampoint/policy/MultiInstanceTest.java
@@ -48,6 +48,7 @@
   }
 
   private static BalancerFixture newInstance(long seed, int zone, double crossZone) {
+    // BalancerFixture.settings names the parameters in order.
     return new BalancerFixture(new Settings(seed, INSTANCES, zone, true, WeightSource.NOMINAL,
         BalancerFixture.ORIGIN, 0.05,
         new Limits(3, false, false, true, 400, 50), new Rules(500, 3, WINDOW, COLD_FROM, 20_000, 10_000),
--- a/src/test/java/beampoint/policy/OriginOverloadTest.java
+++ b/src/test/java/beampoint/policy/OriginOverloadTest.java
@@ -109,6 +109,7 @@
   @Test
   void anOverloadedOriginServesMostOfWhatItCan() {
     for (int i = 0; i < INSTANCES; i++) {
+      // BalancerFixture.settings names the parameters in order.
       fleet.add(new BalancerFixture(
           new Settings(i, INSTANCES, i % 2, true, WeightSource.NOMINAL, BalancerFixture.ORIGIN, 0.1,
               new Limits(3, false, false, true, 400, 50), new Rules(500, 3, 2_000, 0.25, 8_000, 10_000),
--- a/src/test/java/beampoint/policy/SlowStartFleetTest.java
+++ b/src/test/java/beampoint/policy/SlowStartFleetTest.java
@@ -38,6 +38,7 @@
  */
 class SlowStartFleetTest {
 
+  // drainGrace, fallMultiple, fallWindow, coldFrom, warmUp, askEvery
   private static final Rules RULES = new Rules(1_000, 3, 2_000, 0.14, 20_000, 10_000);
   private static final int SEEDS = 6;
   /** Most groups in which instances get a list; one by one, with requests between, would take minutes. */
@@ -91,6 +92,7 @@
     }
 
     private BalancerFixture newInstance(int number) {
+      // BalancerFixture.settings names the parameters in order.
       BalancerFixture f = new BalancerFixture(new Settings(random.nextLong(), instances, number % 2, true,
           WeightSource.NOMINAL, BalancerFixture.ORIGIN, 0.05,
           new Limits(3, false, probesAndHandshakes, true, 400, 50),
--- a/src/test/java/beampoint/policy/ZoneLocalPlacementTest.java
+++ b/src/test/java/beampoint/policy/ZoneLocalPlacementTest.java
@@ -24,6 +24,7 @@
   private static final int KEYS = 300;
 
   private static BalancerFixture instance(int zone, double price) {
+    // BalancerFixture.settings names the parameters in order.
     return new BalancerFixture(
         new Settings(zone + 1, 20, zone, true, WeightSource.NOMINAL, BalancerFixture.ORIGIN, 0.1,
             new Limits(3, false, false, true, 400, 50), new Rules(500, 3, 1_000, 0.25, 8_000, 10_000),
--- a/src/test/java/beampoint/sim/SimulatorHostTest.java
+++ b/src/test/java/beampoint/sim/SimulatorHostTest.java
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void theModuleGetsTheRetryMarkOfAClient() throws Exception {
+  void theBalancerGetsTheRetryMarkOfAClient() throws Exception {
     List<Boolean> marks = new ArrayList<>();
     String input = START + "new_request\trid=5\tnot-after-ms=200\tservice=0\taffinity=9\n"
         + "new_request\trid=6\tnot-after-ms=200\tservice=0\taffinity=9\tresent=1\ncommit\n";
