--- a/src/main/java/beampoint/sim/Codec.java
+++ b/src/main/java/beampoint/sim/Codec.java
@@ -16,7 +16,7 @@
 import beampoint.settings.InputException;
 import beampoint.settings.LoadColumns;
 
-/** Translates between the simulator's wire format and the decision module's types. */
+/** Translates between the simulator's wire format and the types of {@link Balancer}. */
 final class Codec {
 
   private Codec() {}
@@ -100,7 +100,7 @@
       out.append("inspect\tnode=").append(a.endpoint());
     } else if (action instanceof Balancer.CloseIdle a) {
       out.append("free_links\tnode=").append(a.endpoint());
-    } else if (action instanceof Balancer.FollowList) {
+    } else if (action instanceof Balancer.SubscribeToList) {
       out.append("tail\ton=1");
     } else if (action instanceof Balancer.Log a) {
       out.append("debug\tbody-text=").append(a.text());
--- a/src/test/java/beampoint/policy/FleetTest.java
+++ b/src/test/java/beampoint/policy/MultiInstanceTest.java
@@ -22,71 +22,75 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The combined effect of many instances of the decision module that share no state. */
-class FleetTest {
+/** The combined effect of many balancers, called instances, that share no state. */
+class MultiInstanceTest {
 
   private static final int INSTANCES = 14;
   private static final int CACHES = 60;
-  private static final double RATE = 0.7; // requests a millisecond, over all instances
-  private static final double WINDOW = 2_000; // of the rule on cold caches
+  private static final double RATE = 0.7; // requests per ms, over all instances
+  /** Window in ms of the limit on requests to a cold cache. */
+  private static final double WINDOW = 2_000;
   private static final double COLD_FROM = 0.25;
-  /** Requests that a cold cache can serve in a window; RATE is six tenths of what all caches can serve. */
+  /** Requests that a cold cache can serve in a window; RATE is 0.6 of what all warm caches can serve. */
   private static final double COLD_CAPACITY = RATE / 0.6 / CACHES * WINDOW * COLD_FROM;
 
   private final Random random = new Random(5);
-  private final List<Fixture> fleet = new ArrayList<>();
-  private final Map<String, Deque<Double>> sent = new HashMap<>(); // to cold caches, in the last window
+  private final List<BalancerFixture> fleet = new ArrayList<>();
+  /** Times of the requests to each cold cache in the last window. */
+  private final Map<String, Deque<Double>> sent = new HashMap<>();
   private final Map<String, Integer> total = new HashMap<>();
   private double now = 100_000;
-  private int maxInWindow; // to one cold cache in any window
-  private double extraPart; // of the requests, for the first instance in addition to its even part
+  private int maxInWindow; // most requests to one cold cache in any window
+  private double extraPart; // fraction of the requests that the first instance gets beside its even share
 
-  private static Fixture newInstance(long seed) {
+  private static BalancerFixture newInstance(long seed) {
     return newInstance(seed, 0, 0);
   }
 
-  private static Fixture newInstance(long seed, int zone, double crossZone) {
-    return new Fixture(new Settings(seed, INSTANCES, zone, true, WeightSource.NOMINAL, Fixture.ORIGIN, 0.05,
+  private static BalancerFixture newInstance(long seed, int zone, double crossZone) {
+    // BalancerFixture.settings names the parameters in order.
+    return new BalancerFixture(new Settings(seed, INSTANCES, zone, true, WeightSource.NOMINAL,
+        BalancerFixture.ORIGIN, 0.05,
         new Limits(3, false, false, true, 400, 50), new Rules(500, 3, WINDOW, COLD_FROM, 20_000, 10_000),
-        new Prices(0, 0, 0, crossZone), List.of(Fixture.READ), List.of(new Tenant(RATE * 1_000))));
+        new Prices(0, 0, 0, crossZone), List.of(BalancerFixture.READ), List.of(new Tenant(RATE * 1_000))));
   }
 
-  private static List<Endpoint> caches(int cold, double startedAt) {
-    List<Endpoint> endpoints = Fixture.fleet(CACHES);
-    for (int i = 0; i < cold; i++) {
-      endpoints.set(i, Fixture.cache(i, EndpointState.RUNNING, startedAt));
+  private static List<Endpoint> caches(int coldCount, double startedAt) {
+    List<Endpoint> endpoints = BalancerFixture.fleet(CACHES);
+    for (int i = 0; i < coldCount; i++) {
+      endpoints.set(i, BalancerFixture.cache(i, EndpointState.RUNNING, startedAt));
     }
     return endpoints;
   }
 
-  private void begin(int cold) {
+  private void begin(int coldCount) {
     for (int i = 0; i < INSTANCES; i++) {
       fleet.add(newInstance(i));
     }
-    list(cold);
+    list(coldCount);
   }
 
-  private void list(int cold) {
-    List<Endpoint> endpoints = caches(cold, now);
-    for (Fixture f : fleet) {
+  private void list(int coldCount) {
+    List<Endpoint> endpoints = caches(coldCount, now);
+    for (BalancerFixture f : fleet) {
       f.now = now;
-      f.list(ListKind.FULL, endpoints);
+      f.receiveList(ListKind.FULL, endpoints);
     }
   }
 
   /** Reads of random keys at RATE, each answered at once. */
-  private void run(int cold, double time) {
+  private void run(int coldCount, double time) {
     for (double end = now + time; now < end;) {
       now += -Math.log(1 - random.nextDouble()) / RATE;
       boolean toFirst = random.nextDouble() < extraPart;
-      Fixture f = fleet.get(toFirst ? 0 : random.nextInt(INSTANCES));
+      BalancerFixture f = fleet.get(toFirst ? 0 : random.nextInt(INSTANCES));
       f.now = now;
       long id = f.nextId();
-      String endpoint = Fixture.sentTo(f.read(random.nextInt(1 << 20)));
+      String endpoint = BalancerFixture.sentTo(f.read(random.nextInt(1 << 20)));
       if (endpoint == null) {
         continue;
       }
-      if (Integer.parseInt(endpoint.substring(6)) < cold) {
+      if (Integer.parseInt(endpoint.substring(6)) < coldCount) {
         Deque<Double> window = sent.computeIfAbsent(endpoint, e -> new ArrayDeque<>());
         window.add(now);
         while (window.peekFirst() < now - WINDOW) {
@@ -95,30 +99,31 @@
         maxInWindow = Math.max(maxInWindow, window.size());
         total.merge(endpoint, 1, Integer::sum);
       }
-      f.end(id, 0, endpoint, 150, Result.OK); // slow enough that the fleet does not look idle
+      f.endAttempt(id, 0, endpoint, 150, Result.OK); // slow enough that the fleet does not look idle
     }
   }
 
-  private void assertFair(int cold, double time) {
+  private void assertNeitherOverloadedNorStarved(int coldCount, double time) {
     assertTrue(maxInWindow <= 3 * COLD_CAPACITY,
-        "to one cold cache of " + cold + " in a window: " + maxInWindow);
+        "to one cold cache of " + coldCount + " in a window: " + maxInWindow);
     double all = total.values().stream().mapToInt(i -> i).sum();
-    double due = cold * COLD_CAPACITY * 0.6 * time / WINDOW;
-    assertTrue(all >= due / 2, "to " + cold + " cold caches: " + all + " of " + due + " or more");
+    double expectedTotal = coldCount * COLD_CAPACITY * 0.6 * time / WINDOW;
+    assertTrue(all >= expectedTotal / 2,
+        "to " + coldCount + " cold caches: " + all + " of " + expectedTotal + " or more");
   }
 
   @Test
   void newInstancesNeitherOverloadNorStarveOneColdCache() {
     begin(1);
     run(1, 4_000);
-    assertFair(1, 4_000);
+    assertNeitherOverloadedNorStarved(1, 4_000);
   }
 
   @Test
   void newInstancesNeitherOverloadNorStarveThirtySixColdCaches() {
     begin(36);
     run(36, 4_000);
-    assertFair(36, 4_000);
+    assertNeitherOverloadedNorStarved(36, 4_000);
   }
 
   @Test
@@ -127,26 +132,28 @@
     run(0, 4_000);
     list(1);
     run(1, 4_000);
-    assertFair(1, 4_000);
+    assertNeitherOverloadedNorStarved(1, 4_000);
     total.clear();
     sent.clear();
     list(36);
     run(36, 4_000);
-    assertFair(36, 4_000);
+    assertNeitherOverloadedNorStarved(36, 4_000);
   }
 
-  /** The first caches refuse connections, while the list still has them. */
+  /**
+   * Reads of random keys while the first {@code dead} caches refuse connections but are still in the list.
+   */
   private void runWithDeadCaches(int dead, double time) {
     for (double end = now + time; now < end;) {
       now += -Math.log(1 - random.nextDouble()) / RATE;
-      Fixture f = fleet.get(random.nextInt(INSTANCES));
+      BalancerFixture f = fleet.get(random.nextInt(INSTANCES));
       f.now = now;
       long id = f.nextId();
-      String to = Fixture.sentTo(f.read(random.nextInt(1 << 20)));
+      String to = BalancerFixture.sentTo(f.read(random.nextInt(1 << 20)));
       for (int attempt = 0; to != null && attempt < 3; attempt++) {
         boolean refuses = Integer.parseInt(to.substring(6)) < dead;
         Result result = refuses ? Result.CONNECT_FAILED : Result.OK;
-        to = Fixture.sentTo(f.end(id, attempt, to, refuses ? 50 : 150, result));
+        to = BalancerFixture.sentTo(f.endAttempt(id, attempt, to, refuses ? 50 : 150, result));
       }
     }
   }
@@ -162,10 +169,10 @@
     runWithDeadCaches(30, 6_000);
     list(30);
     run(30, 4_000);
-    assertFair(30, 4_000);
+    assertNeitherOverloadedNorStarved(30, 4_000);
   }
 
-  /** The rate limit must not assume an even part of the traffic: each client may use a proxy of its own. */
+  /** The rate limit must not assume an even share of the traffic: each client may use a proxy of its own. */
   @Test
   void aColdCacheIsNeitherOverloadedNorStarvedWhereOneInstanceHasHalfOfTheTraffic() {
     extraPart = 0.5;
@@ -173,10 +180,10 @@
     run(0, 4_000);
     list(1);
     run(1, 4_000);
-    assertFair(1, 4_000);
+    assertNeitherOverloadedNorStarved(1, 4_000);
   }
 
-  /** Zone-local placement must not send a cold cache a whole zone's part. */
+  /** Zone-local placement must not send a cold cache the share of a whole zone. */
   @Test
   void aColdCacheIsNeitherOverloadedNorStarvedBesideZoneLocalPlacement() {
     for (int i = 0; i < INSTANCES; i++) {
@@ -186,7 +193,7 @@
     run(0, 12_000);
     list(1);
     run(1, 4_000);
-    assertFair(1, 4_000);
+    assertNeitherOverloadedNorStarved(1, 4_000);
   }
 
   /** A fleet shrinks to a third while requests are in flight at caches and at the origin. */
@@ -195,25 +202,27 @@
     begin(0);
     List<Endpoint> shrunkList = new ArrayList<>();
     for (int i = 0; i < CACHES; i++) {
-      shrunkList.add(Fixture.cache(i, i < CACHES / 3 ? EndpointState.RUNNING : EndpointState.DRAINING, 0));
+      shrunkList
+          .add(BalancerFixture.cache(i, i < CACHES / 3 ? EndpointState.RUNNING : EndpointState.DRAINING, 0));
     }
-    shrunkList.add(Fixture.originEndpoint());
-    for (Fixture f : fleet) {
+    shrunkList.add(BalancerFixture.originEndpoint());
+    for (BalancerFixture f : fleet) {
       Map<Long, String> out = new HashMap<>();
       for (int i = 0; i < 30; i++) { // ten keys, three times each
         long id = f.nextId();
-        out.put(id, Fixture.sentTo(f.read(i % 10)));
+        out.put(id, BalancerFixture.sentTo(f.read(i % 10)));
       }
       List<Long> fetching = new ArrayList<>();
       out.forEach((id, endpoint) -> {
-        if (endpoint != null && "origin".equals(Fixture.sentTo(f.end(id, 0, endpoint, 20, Result.MISS)))) {
+        if (endpoint != null
+            && "origin".equals(BalancerFixture.sentTo(f.endAttempt(id, 0, endpoint, 20, Result.MISS)))) {
           fetching.add(id);
         }
       });
       assertTrue(!fetching.isEmpty());
-      f.list(ListKind.CHANGES, shrunkList);
+      f.receiveList(ListKind.CHANGES, shrunkList);
       for (long id : fetching) {
-        for (Balancer.Action action : f.end(id, 1, "origin", 100, Result.OK)) {
+        for (Balancer.Action action : f.endAttempt(id, 1, "origin", 100, Result.OK)) {
           String sentTo = action instanceof Balancer.Send send ? send.endpoint() : null;
           assertTrue(isRunning(sentTo), "sent to " + sentTo);
         }
@@ -233,10 +242,10 @@
   @Test
   void nothingIsSentToCachesOfARememberedListOnceTheCurrentOneHasCome() {
     for (int i = 0; i < INSTANCES; i++) {
-      Fixture f = newInstance(i);
-      f.list(ListKind.REMEMBERED, Fixture.fleet(CACHES));
+      BalancerFixture f = newInstance(i);
+      f.receiveList(ListKind.REMEMBERED, BalancerFixture.fleet(CACHES));
       f.serve(1);
-      f.list(ListKind.FULL, Fixture.fleet(15));
+      f.receiveList(ListKind.FULL, BalancerFixture.fleet(15));
       for (long key = 0; key < 500; key++) {
         f.now += 5;
         int number = Integer.parseInt(f.serve(key).substring(6));
