--- a/src/main/java/beampoint/emulator/ControlLog.java
+++ b/src/main/java/beampoint/emulator/ControlLog.java
@@ -42,7 +42,7 @@
 
   private static final double LEASE_MS = 600;
   private static final double DRIFT = 0.02;
-  private static final double RETRY = 400; // ms, for messages between replicas
+  private static final double RETRY_MS = 400; // for messages between replicas
   private static final double SUBMIT_RETRY_MS = 300;
   private static final double TICK_MS = 10;
 
@@ -58,8 +58,8 @@
   private final BiConsumer<ControlHost, DistributionEvent> deliverEvent;
   private final Consumer<ControlHost> leaderChanged;
   private final ChangeCodec codec = new ChangeCodec("emulated");
-  private final LogSettings terms;
-  private final LeaseSettings leaseTerms;
+  private final LogSettings logSettings;
+  private final LeaseSettings leaseSettings;
   private final Map<ChangeId, Pending> pending = new HashMap<>();
   private long submitted;
   private double commitMax;
@@ -79,12 +79,12 @@
     for (int i = 0; i < layout.controls(); i++) {
       voters.add(layout.member(i).name());
     }
-    this.terms = new LogSettings(voters, RETRY, LogLimits.DEFAULTS);
-    this.leaseTerms = new LeaseSettings(voters, LEASE_MS, DRIFT);
+    this.logSettings = new LogSettings(voters, RETRY_MS, LogLimits.DEFAULTS);
+    this.leaseSettings = new LeaseSettings(voters, LEASE_MS, DRIFT);
   }
 
   void started(ControlHost host) {
-    host.controlNode = new ControlNode(terms, leaseTerms, host.member.name(), host.life,
+    host.controlNode = new ControlNode(logSettings, leaseSettings, host.member.name(), host.life,
         ReplicaState.started(host.life), host.localTime(clock.now()), new Random(random.nextLong()));
     host.knownLeader = "";
     host.leads = false;
