--- a/src/main/java/beampoint/fleet/changes/CatchUp.java
+++ b/src/main/java/beampoint/fleet/changes/CatchUp.java
@@ -13,10 +13,12 @@
  * entries are the same at all replicas, so any replica may serve them, under any leader.
  *
  * @param source the replica that is asked
- * @param targetIndex the index up to which entries are known to be committed
+ * @param targetIndex the index up to which this replica has to fetch: a committed index that it learned from
+ *     a leader
  * @param lastFetch the last request, or null; a duplicate answer does not cause a further request
+ * @param lastFetchAt when the last request was sent, in ms
  * @param collected the entries of the snapshot parts received so far
- * @param floors the floors of that snapshot, from its part 0
+ * @param floors the floors of that snapshot, which its part 0 contains; see {@link Snapshot}
  */
 record CatchUp(String source, long targetIndex, Fetch lastFetch, double lastFetchAt,
     List<ChangeEntry> collected, SortedMap<String, Long> floors) {
--- a/src/main/java/beampoint/fleet/changes/ControlNode.java
+++ b/src/main/java/beampoint/fleet/changes/ControlNode.java
@@ -23,8 +23,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A control machine: its replica of the change log and its part in granting the lease of the leader. The
- * holder of the lease is the leader. It has no clock and no socket: each call passes the time, in ms of a
+ * A control machine: its replica of the change log, and its vote and candidacy for the lease of the leader,
+ * whose holder is the leader. This class has no clock and no socket: each call passes the time, in ms of a
  * monotonic clock, and returns the actions to carry out. It must be used by one thread.
  */
 public final class ControlNode {
@@ -33,12 +33,12 @@
   private static final int RENEWALS_PER_LEASE = 4;
 
   /**
-   * The part of a lease after which a candidate without a majority gives up, which also ends the promises
-   * made to it.
+   * The fraction of a lease's length after which a candidate without a majority gives up and releases the
+   * promises that it received.
    */
   private static final double CANDIDACY_PART = 0.5;
 
-  /** Candidacies are delayed at random by up to this part of a lease, so that few compete. */
+  /** Candidacies are delayed at random by up to this fraction of a lease's length, so that few compete. */
   private static final double JITTER_PART = 0.4;
 
   private final LeaseSettings leaseSettings;
@@ -49,7 +49,7 @@
   private ReplicaState state;
   private boolean candidate;
   private double nextAttemptAt;
-  private double electionDeadline;
+  private double electionDeadline; // of the candidacy for the lease, then of becoming leader with it
   private Problem lastProblem;
   private double lastAppendAt = Double.NEGATIVE_INFINITY;
 
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Submits a change. The answer is an action that this call or a later one at this machine returns; there
-   * may be none.
+   * Submits a change. The answer is a {@link LogAction.Answer}, which this call or a later one at this
+   * machine returns. There may be none; the change can then be submitted again under the same id.
    */
   public List<LogAction> submit(double now, ChangeId id, Change change) {
     List<LogAction> actions = new ArrayList<>();
@@ -157,6 +157,10 @@
     }
   }
 
+  /**
+   * Renews a held lease, relinquishes it if this machine does not become leader in time, or tries to acquire
+   * it.
+   */
   private void renewOrCampaign(double now, List<LogAction> actions) {
     if (leaseState.isHolder(now)) {
       if (!state.leads() && now >= electionDeadline) {
--- a/src/main/java/beampoint/fleet/changes/Election.java
+++ b/src/main/java/beampoint/fleet/changes/Election.java
@@ -51,6 +51,7 @@
     decide(step);
   }
 
+  /** Founds a log, steps down or adopts the best log, or waits for more answers. */
   private static void decide(StepContext step) {
     Epoch identity = step.log.identity();
     Collection<Recovered> answers = step.leadership.answers().values();
@@ -74,8 +75,8 @@
   }
 
   /**
-   * Whether too few replicas can be left that still hold this log. A log that was never founded cannot be
-   * lost.
+   * Whether fewer than a majority of the voters can still hold this log, given how many have answered that
+   * they do not. A log that was never founded cannot be lost.
    */
   private static boolean isMajorityLost(StepContext step, int nonVotes) {
     return !step.newLogAllowed && !step.log.identity().equals(Epoch.NONE)
--- a/src/main/java/beampoint/fleet/changes/Follower.java
+++ b/src/main/java/beampoint/fleet/changes/Follower.java
@@ -58,7 +58,9 @@
     step.leader = message.epoch();
     if (message.epoch().equals(step.log.accepted())
         && message.entries().stream().anyMatch(step.log::conflictsWith)) {
-      return; // from a leader that others have fenced: the conflicting entries held here are committed
+      // A leader of a higher epoch has replaced the sender: the conflicting entries of this replica are
+      // committed.
+      return;
     }
     step.advance(step.log.withCommitted(committed(message)));
     acceptEntries(step, message);
@@ -85,8 +87,9 @@
   }
 
   /**
-   * Accepts the leader's entries. The first ones under its epoch are accepted only if they reach at least up
-   * to the index with which the leader began: an incomplete log must never count as equal to the leader's.
+   * Accepts the leader's entries. The first ones under its epoch are accepted only if they reach at least the
+   * last index of the leader's log when it began to lead ({@link Append#start}): an incomplete log must never
+   * count as equal to the leader's.
    */
   private static void acceptEntries(StepContext step, Append message) {
     LogState log = step.log;
--- a/src/main/java/beampoint/fleet/changes/Leader.java
+++ b/src/main/java/beampoint/fleet/changes/Leader.java
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Resets the progress of a follower with a new life: what it holds now is not known. */
+  /** Resets the progress of a follower whose process has restarted, because its log may have been lost. */
   static void resetIfRestarted(StepContext step, String follower, long life) {
     if (isLeading(step) && step.leadership.followers().get(follower).life() != life) {
       step.leadership = step.leadership.withFollower(follower, Progress.initial(life, step.now));
--- a/src/main/java/beampoint/fleet/changes/Leadership.java
+++ b/src/main/java/beampoint/fleet/changes/Leadership.java
@@ -10,12 +10,15 @@
 import java.util.TreeMap;
 
 /**
- * The state of an elected leader apart from its log.
+ * The state of an elected replica apart from its log, while it collects logs and while it leads.
  *
+ * @param epoch the epoch of its lease
+ * @param phase the present phase
  * @param answers the answers to its requests for logs, by replica, including its own
  * @param chosen the answer whose log it adopts, or null
  * @param start the last index of its log when it began to lead
  * @param founderLives if it founded the log, the lives of the replicas that took part, by their names
+ * @param followers the replication progress of the other voters, by their names
  * @param queue the changes that wait to be appended
  * @param requestedAt when it last requested logs
  */
--- a/src/main/java/beampoint/fleet/changes/LogEvent.java
+++ b/src/main/java/beampoint/fleet/changes/LogEvent.java
@@ -11,7 +11,9 @@
   /** A message of another control machine was received. */
   record Received(String from, LogMessage message) implements LogEvent {}
 
-  /** A lease of this epoch was promised to a member, or the epoch was observed. */
+  /**
+   * This machine has promised a lease of this epoch to a control machine, or has seen the epoch in a message.
+   */
   record Promised(Epoch epoch) implements LogEvent {}
 
   /** This replica holds the lease of an epoch, as a majority has promised it. */
--- a/src/main/java/beampoint/fleet/changes/LogLimits.java
+++ b/src/main/java/beampoint/fleet/changes/LogLimits.java
@@ -3,14 +3,17 @@
 /**
  * Limits on what a replica holds and sends; they must be the same at all voters of a log.
  *
- * @param entriesInFlight the maximum number of entries that are appended and not yet committed
- * @param bytesInFlight their maximum size in bytes; a single entry may exceed it
+ * @param entriesInFlight the maximum number of entries that are appended and not yet committed; also of the
+ *     entries in one message, and of the unacknowledged entries of one follower
+ * @param bytesInFlight the maximum size of the uncommitted entries, and of the entries in one message, in
+ *     bytes; a single entry may exceed it
  * @param queuedChanges the maximum number of changes that wait to be appended
- * @param queuedBytes their maximum size in bytes
+ * @param queuedBytes the maximum size of the changes that wait to be appended, in bytes
  * @param keptEntries the minimum number of committed entries that are not yet compacted into the snapshot, so
  *     that followers that lag by fewer need no snapshot; the maximum is twice this number
- * @param keptPurges the maximum number of purges in a snapshot, which is the retention window
- * @param keptBytes their maximum size in bytes
+ * @param keptPurges the maximum number of purges that are kept in a snapshot; a proxy that lags by more must
+ *     treat everything that it holds as purged
+ * @param keptBytes the maximum size of the purges in a snapshot, in bytes
  * @param origins the maximum number of submitters in a log
  */
 public record LogLimits(int entriesInFlight, int bytesInFlight, int queuedChanges, int queuedBytes,
--- a/src/main/java/beampoint/fleet/changes/LogMessage.java
+++ b/src/main/java/beampoint/fleet/changes/LogMessage.java
@@ -20,7 +20,7 @@
    * @param epoch the epoch of the request
    * @param identity the epoch under which the log was founded, or {@link Epoch#NONE}
    * @param voter false if the replica may have lost entries that it acknowledged
-   * @param accepted the epoch of the leader whose log the tail equals
+   * @param accepted the epoch of the leader to whose log this replica's log was last made equal
    * @param commit the last index known to be committed
    * @param tail the entries after {@code commit}
    */
@@ -72,13 +72,16 @@
   /**
    * A part of a snapshot.
    *
+   * @param index the index of the last entry that the snapshot covers
+   * @param completeFrom the snapshot contains all purges after this index; see {@link Snapshot}
    * @param part the number of the part, counted from 0
+   * @param parts the number of parts of the snapshot
    * @param floors the floors of the snapshot in part 0, otherwise empty
    */
   record SnapshotPart(Epoch identity, long index, long completeFrom, int part, int parts,
       List<ChangeEntry> entries, SortedMap<String, Long> floors) implements LogMessage {}
 
-  /** The request of a replica that lost its log for the promises of the others. */
+  /** Asks the other replicas which highest epoch they have promised; sent by a replica that lost its log. */
   record Rejoin(long life) implements LogMessage {}
 
   /**
--- a/src/main/java/beampoint/fleet/changes/LogState.java
+++ b/src/main/java/beampoint/fleet/changes/LogState.java
@@ -13,8 +13,8 @@
  *
  * @param identity the epoch under which the log was founded, or {@link Epoch#NONE} if no log is known
  * @param life a random number drawn at the start of the process, or after the log was lost
- * @param voter false from a start without a log until the replica holds every entry again that it may have
- *     acknowledged in an earlier life
+ * @param voter false after the replica has started without its log, until it again holds every entry that its
+ *     earlier processes may have acknowledged
  * @param fence the highest epoch that it has promised or followed; messages of lower epochs are rejected
  * @param accepted the epoch of the leader to whose log the tail was last made equal
  * @param entries the entries after the snapshot, without gaps
@@ -144,7 +144,10 @@
         Math.max(commit, newer.index()));
   }
 
-  /** Compacts committed entries into the snapshot once twice as many are kept as required. */
+  /**
+   * Compacts committed entries into the snapshot once more than twice {@link LogLimits#keptEntries} of them
+   * follow it.
+   */
   LogState compacted(LogLimits limits) {
     long keptCount = commit - snapshot.index();
     if (keptCount <= 2L * limits.keptEntries()) {
--- a/src/main/java/beampoint/fleet/changes/Replica.java
+++ b/src/main/java/beampoint/fleet/changes/Replica.java
@@ -21,9 +21,10 @@
 
 /**
  * One replica of the change log (after Viewstamped Replication, Liskov and Cowling 2012, with the epochs of
- * {@link beampoint.fleet.lease.Lease} as views). A pure function: from a state, a time and an event, it
- * computes the next state and the actions to carry out. Safety does not depend on clocks: no two entries are
- * ever committed under one index. The lease only keeps candidates from competing for leadership.
+ * {@link beampoint.fleet.lease.Lease} as views). It has no mutable state: from a state, a time and an event,
+ * {@link #step} computes the next state and the actions to carry out. Safety does not depend on clocks: no
+ * two entries are ever committed under one index. The lease only keeps candidates from competing for
+ * leadership.
  */
 public final class Replica {
 
--- a/src/main/java/beampoint/fleet/changes/ReplicaState.java
+++ b/src/main/java/beampoint/fleet/changes/ReplicaState.java
@@ -19,7 +19,7 @@
     return new ReplicaState(LogState.started(life), Rejoining.INITIAL, null, null, Epoch.NONE, false);
   }
 
-  /** The state after a restart, or a pause, that the log has survived. */
+  /** The state after a restart or a pause of the process in which the log was not lost. */
   public ReplicaState restartedWithLog() {
     return new ReplicaState(log, log.voter() ? null : Rejoining.INITIAL, null, null, Epoch.NONE, false);
   }
--- a/src/main/java/beampoint/fleet/changes/Snapshot.java
+++ b/src/main/java/beampoint/fleet/changes/Snapshot.java
@@ -13,9 +13,9 @@
  * Replaces the first entries of a log by the last configuration and the latest purges among them.
  *
  * @param index the index of the last entry that it covers
- * @param completeFrom all purges after this index and up to {@code index} are contained; a proxy that has
- *     applied less than this has missed purges that are no longer known, and must treat everything it holds
- *     as purged
+ * @param completeFrom the snapshot contains all purges after this index and up to {@code index}; a proxy
+ *     whose last applied index is lower has missed purges that are no longer known, and must treat everything
+ *     it holds as purged
  * @param entries the last configuration, if there is one, and the purges, ordered by index
  * @param floors by submitter, the highest number of its changes that are neither in the snapshot nor after
  *     it
