--- a/src/main/java/beampoint/fleet/distribution/ChangeApplier.java
+++ b/src/main/java/beampoint/fleet/distribution/ChangeApplier.java
@@ -16,7 +16,7 @@
 
   /**
    * Applies a snapshot in place of the entries up to its index, which are never delivered. Any of them may
-   * have been a purge, so everything that such a purge could name must be considered purged.
+   * have been a purge of any scope, so all cached values must be considered purged.
    */
   Outcome restore(ConfigurationSnapshot snapshot);
 }
--- a/src/main/java/beampoint/fleet/distribution/DistributionMessage.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionMessage.java
@@ -17,7 +17,7 @@
    *
    * @param session chosen by the child, higher for each subscription
    * @param token the number of this report; the parent echoes it once the leader has received the report
-   * @param appliedUpTo the last entry that the child itself has applied, with all before it
+   * @param appliedUpTo the index of the last entry that the child itself has applied, with all before it
    * @param progress the progress of the child and of those members below it that have reported since its last
    *     report
    */
@@ -29,8 +29,8 @@
    *
    * @param session the session of the child; 0 in the reply to a fetch
    * @param sourceAge the age in ms of the sender's latest information from the leader
-   * @param head the last entry that the sender has
-   * @param sentUpTo the last entry that the sender has sent to this child, including this batch
+   * @param head the index of the last entry that the sender has
+   * @param sentUpTo the index of the last entry that the sender has sent to this child, including this batch
    * @param echoes tokens of the child's reports that the leader has received
    * @param entries consecutive entries
    */
--- a/src/main/java/beampoint/fleet/distribution/DistributionNode.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionNode.java
@@ -28,8 +28,11 @@
  */
 public final class DistributionNode {
 
-  private static final int LOG_BITS = 16; // distinguish the logs of epochs that have the same number
-  private static final int SESSION_BITS = 20; // number the subscriptions of one process
+  /** The number of low bits of a log id, which distinguish logs whose epochs have the same number. */
+  private static final int LOG_BITS = 16;
+
+  /** The number of low bits of a session, its number among the subscriptions of one process. */
+  private static final int SESSION_BITS = 20;
 
   private final DistributionSettings settings;
   private final TreeMember self;
@@ -43,8 +46,8 @@
   private ProgressTracker tracker; // null while this member is not the leader
   private double now;
   private long log;
-  private long head; // the last entry known to this member, applied or not
-  private long sentUpTo; // the last entry sent by the current parent
+  private long head; // the index of the last entry known to this member, applied or not
+  private long sentUpTo; // the index of the last entry sent by the current parent
   private double nextReportAt;
   private double lastReportAt;
   private double nextFetchAt;
--- a/src/main/java/beampoint/fleet/distribution/DistributionSettings.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionSettings.java
@@ -1,8 +1,8 @@
 package beampoint.fleet.distribution;
 
 /**
- * The parameters of the distribution tree, which must be the same at all members of a kind. All times are in
- * ms.
+ * The parameters of the distribution tree, which must be the same at all proxies, and the same at all control
+ * machines. All times are in ms.
  *
  * @param minBatchInterval the shortest time between two batches to one child; entries that arrive in between
  *     are sent together
@@ -13,13 +13,13 @@
  * @param parentRetryDelay how long a parent that failed is not tried again
  * @param childTimeout a child that has sent no report for this time is removed
  * @param fetchTimeout how long to wait for the answer to a fetch
- * @param lease how long a proxy is fresh, from when it sent a report that the leader has received
+ * @param lease how long a proxy counts as fresh after it sent a report that reached the leader
  * @param drift the fraction by which one clock may run faster than another, from 0 to below 1
  * @param burst the number of batches sent at once to a child that lacks more than one
  * @param window the maximum number of entries that are in flight to one child
- * @param batchBytes the approximate maximum size of the entries in one batch
+ * @param batchBytes the approximate maximum size of the entries in one batch, in bytes
  * @param tailEntries the number of entries that a member keeps in full for its children and for fetches
- * @param tailBytes the approximate maximum size of these entries
+ * @param tailBytes the approximate maximum size of these entries, in bytes
  * @param maxOutOfOrderEntries how far ahead of the last applied entry a received entry may be and still be
  *     held back until its predecessors arrive
  * @param maxChildren the maximum number of children of a member
--- a/src/main/java/beampoint/fleet/distribution/DistributionTree.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionTree.java
@@ -11,7 +11,8 @@
  * leader of the control machines is the root and the other control machines are its children. In each site,
  * one proxy in {@code fanOut + 1} is a relay, which subscribes to a control machine of its region; the other
  * proxies subscribe to a relay of their site, at most {@code fanOut} to each. Only children use this
- * function, to choose the parent to which they subscribe, so views that differ temporarily do no harm.
+ * function, to choose the parent to which they subscribe. A parent does not check by it who subscribes, so it
+ * does no harm if members temporarily differ about which members are live.
  */
 public final class DistributionTree {
 
@@ -33,8 +34,9 @@
 
   /**
    * Returns the members to which a member may subscribe, in order of preference. For a control machine, this
-   * is the leader; nobody if it is the leader itself or the leader is not known. For a proxy, these are its
-   * relay, if it has one, and then the control machines, starting with those of its region.
+   * is the leader, or an empty list if the machine is the leader itself or the leader is not known. For a
+   * proxy, these are its relay, if it has one, and then the control machines, starting with those of its
+   * region.
    *
    * @param live the live members, with or without the member itself
    * @param leader the name of the leading control machine; empty if it is not known
--- a/src/main/java/beampoint/fleet/distribution/FreshnessLease.java
+++ b/src/main/java/beampoint/fleet/distribution/FreshnessLease.java
@@ -11,7 +11,7 @@
 
   private final double length;
   private double expiresAt = Double.NEGATIVE_INFINITY;
-  private long requiredIndex = Long.MAX_VALUE; // the entry to apply before the proxy is fresh again
+  private long requiredIndex = Long.MAX_VALUE; // of the entry to apply before the proxy is fresh again
   private long lapses;
   private boolean wasFresh;
 
@@ -23,7 +23,7 @@
    * Renews the lease after the leader has received a report.
    *
    * @param sentAt when this proxy sent the report
-   * @param head the last entry known to this proxy
+   * @param head the index of the last entry known to this proxy
    */
   void renew(double now, double sentAt, long head) {
     boolean lapsed = now >= expiresAt;
--- a/src/main/java/beampoint/fleet/distribution/MemberProgress.java
+++ b/src/main/java/beampoint/fleet/distribution/MemberProgress.java
@@ -5,8 +5,8 @@
  *
  * @param member its name; empty for the sender of the report
  * @param life the number of its process; a later one has a higher number
- * @param appliedUpTo the last entry that it has applied, with all before it
- * @param refused the last configuration change if the proxy refused it; otherwise 0
+ * @param appliedUpTo the index of the last entry that it has applied, with all before it
+ * @param refused the index of the last configuration change if the proxy refused it; otherwise 0
  */
 public record MemberProgress(String member, long life, long appliedUpTo, long refused) {
 
--- a/src/main/java/beampoint/fleet/distribution/ProgressTracker.java
+++ b/src/main/java/beampoint/fleet/distribution/ProgressTracker.java
@@ -85,12 +85,12 @@
     return names;
   }
 
-  /** The last entry that every expected proxy has applied, including fenced ones. */
+  /** The index of the last entry that every expected proxy has applied, including fenced ones. */
   public long doneEverywhereUpTo() {
     return proxies.values().stream().mapToLong(p -> p.progress.appliedUpTo()).min().orElse(Long.MAX_VALUE);
   }
 
-  /** The last entry that every expected proxy has applied, except for fenced ones. */
+  /** The index of the last entry that every expected proxy has applied, except for fenced ones. */
   public long doneOrFencedUpTo(double now) {
     return proxies.values().stream().filter(p -> !isFenced(p, now)).mapToLong(p -> p.progress.appliedUpTo())
         .min().orElse(Long.MAX_VALUE);
--- a/src/main/java/beampoint/fleet/distribution/ReportForwarder.java
+++ b/src/main/java/beampoint/fleet/distribution/ReportForwarder.java
@@ -8,8 +8,8 @@
 
 /**
  * Forwards each report of a child to the parent once, and keeps track of which ones the leader has received.
- * Members are reported individually up to the leader. Counts would count a proxy twice that has just changed
- * its parent, and so hide one that is missing.
+ * The progress of each proxy is forwarded separately up to the leader: sums over subtrees could include a
+ * proxy twice that has just changed its parent, and so hide one that is missing.
  */
 final class ReportForwarder {
 
@@ -47,7 +47,8 @@
   /**
    * Builds the next report to the parent from the pending ones.
    *
-   * @param includesSelf whether the member adds its own progress; so for the first report of a round
+   * @param includesSelf whether the member adds its own progress: true for the first report of each round,
+   *     unless the member is a control machine
    */
   OutgoingReport next(double now, boolean includesSelf) {
     List<ChildReport> childReports = new ArrayList<>();
--- a/src/main/java/beampoint/fleet/distribution/SnapshotQueue.java
+++ b/src/main/java/beampoint/fleet/distribution/SnapshotQueue.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * The members that wait for a snapshot. Snapshots are sent at a limited rate, so that a zone that restarts
- * takes no capacity from members that are up to date.
+ * The members that wait for a snapshot. Snapshots are sent at a limited rate, so that many members that start
+ * at the same time, as those of a zone, do not delay the batches to members that are up to date.
  */
 final class SnapshotQueue {
 
