--- a/src/main/java/beampoint/emulator/CacheNode.java
+++ b/src/main/java/beampoint/emulator/CacheNode.java
@@ -12,12 +12,14 @@
 final class CacheNode {
 
   /**
-   * A request received while cold: its work in ms on a warm node, and whether its sender knew of the start.
+   * A request received while cold: its work in ms on a warm node, and whether the sending proxy had been
+   * notified that this node has started.
    */
   private record ReceivedWork(double at, double work, boolean senderNotified) {}
 
   /**
-   * A fall breaks the rule if more than this fraction of the work came from proxies that knew of the start.
+   * An overload that kills a cold node counts as a broken rule if more than this fraction of the work came
+   * from proxies that had been notified of its start.
    */
   private static final double NOTIFIED_WORK_FRACTION = 2.0 / 3;
 
@@ -127,10 +129,10 @@
 
   /**
    * Checks the rule on cold nodes: compares the work received in a window with the node's present capacity.
-   * A cold node bears N + 2 sqrt(N) + 2 requests of mean work, where N is the number that the configured
-   * multiple of its capacity allows, so that random variation alone does not overload it. Beyond that it
-   * falls, that is, its process dies. Each fall is counted; it breaks the rule if most of the work came from
-   * proxies that had been notified of the start.
+   * Let N be the number of requests of mean work that make up the configured multiple of this capacity. A
+   * cold node dies if it has received more than N + 2 sqrt(N) + 2 requests in the window, so that random
+   * variation alone does not overload it. Each such death is counted; it breaks the rule if most of the work
+   * came from proxies that had been notified of the start.
    */
   private void recordColdLoad(double work, Instance sender) {
     if (!isCold()) {
--- a/src/main/java/beampoint/emulator/ClientRequest.java
+++ b/src/main/java/beampoint/emulator/ClientRequest.java
@@ -11,7 +11,7 @@
   final int kindNumber;
   final int tenant;
   final long key;
-  final double work; // a factor on the mean work, the same at each server
+  final double work; // multiplies the mean work of its class; the same at every server
   final double dueAt;
   int tries;
 
--- a/src/main/java/beampoint/emulator/ControlEmulation.java
+++ b/src/main/java/beampoint/emulator/ControlEmulation.java
@@ -14,8 +14,8 @@
 
 /**
  * Simulates the control plane of a fleet in virtual time. The same seed gives the same figures, except for
- * two that are measured of this process: the processor time and the heap of the whole model, divided by the
- * number of proxies.
+ * two that are measured in the emulator's own process: the processor time and the heap of the whole model,
+ * divided by the number of proxies.
  */
 public final class ControlEmulation {
 
--- a/src/main/java/beampoint/emulator/ControlFleet.java
+++ b/src/main/java/beampoint/emulator/ControlFleet.java
@@ -106,11 +106,13 @@
     views.changed(numbers);
   }
 
+  /** Pauses a host; its events are deferred until it is resumed. */
   public void pause(int number) {
     hosts.get(number).pause();
     hosts.get(number).record.reachableSince(Double.POSITIVE_INFINITY);
   }
 
+  /** Resumes a paused host, which then handles its deferred events. */
   public void resume(int number) {
     hosts.get(number).resume();
     updateReachability(hosts.get(number));
@@ -138,7 +140,10 @@
     }
   }
 
-  /** Whether a host is in the main partition, in which faults leave a majority of the control machines. */
+  /**
+   * Whether a host is in partition 0, the main one. Callers must keep a majority of the control machines
+   * there.
+   */
   private boolean isReachable(int number) {
     return network.partition(number) == 0;
   }
--- a/src/main/java/beampoint/emulator/ControlScenario.java
+++ b/src/main/java/beampoint/emulator/ControlScenario.java
@@ -6,7 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A scenario for the control plane of a fleet: its layout, the changes and the faults. */
+/**
+ * A scenario for the control plane of a fleet: its layout, the changes and the faults. {@code length} and
+ * {@code warmUp} are in ms.
+ */
 public record ControlScenario(String name, long seed, double length, double warmUp, Size size,
     Membership membership, int fanOut, Network network, Changes changes, Limits limits, List<Fault> faults) {
 
@@ -26,7 +29,10 @@
    */
   public record Membership(int members, double bytesPerSecond) {}
 
-  /** One-way delays in ms by distance, and the fractions of messages that are lost and duplicated. */
+  /**
+   * One-way delays in ms by distance, and the fractions of messages that are lost and duplicated ({@code
+   * repeats}).
+   */
   public record Network(double site, double region, double far, double jitter, double loss, double repeats) {}
 
   /** Purges per second, configuration changes per second, and the length of a configuration document. */
--- a/src/main/java/beampoint/emulator/Discovery.java
+++ b/src/main/java/beampoint/emulator/Discovery.java
@@ -47,7 +47,8 @@
   }
 
   /**
-   * Sends the full list to a new process at once, as the agent on its machine holds it; nothing while down.
+   * Sends the full list to a new process without delay, as if a discovery agent on the proxy's machine had
+   * stored it; does nothing while discovery is down.
    */
   void subscribe(Instance proxy) {
     if (!down) {
--- a/src/main/java/beampoint/emulator/FaultPlan.java
+++ b/src/main/java/beampoint/emulator/FaultPlan.java
@@ -9,7 +9,7 @@
 
   private FaultPlan() {}
 
-  /** Schedules the begin and the end of a fault: a zone's hosts are killed, or a region is cut off. */
+  /** Schedules the beginning and the end of a fault: a zone's hosts are killed, or a region is cut off. */
   static void plan(ControlFleet fleet, Fault fault) {
     boolean isZone = fault.what() == What.ZONE_LOST;
     List<Integer> hosts = isZone ? fleet.layout().ofZone(fault.place())
--- a/src/main/java/beampoint/emulator/FleetLayout.java
+++ b/src/main/java/beampoint/emulator/FleetLayout.java
@@ -22,6 +22,7 @@
   private final List<Integer> regions = new ArrayList<>();
   private final Map<String, Integer> numbers = new HashMap<>();
 
+  /** Creates a layout with these numbers of proxies, sites, zones, regions and control machines. */
   public FleetLayout(int proxies, int sites, int zoneCount, int regionCount, int controls) {
     this.controls = controls;
     for (int i = 0; i < controls; i++) {
@@ -59,14 +60,17 @@
     return controls;
   }
 
+  /** The member at a host, by the number of the host from 0. */
   public TreeMember member(int host) {
     return members.get(host);
   }
 
+  /** The zone of a host, by the number of the host from 0. */
   public int zone(int host) {
     return zones.get(host);
   }
 
+  /** The region of a host, by the number of the host from 0. */
   public int region(int host) {
     return regions.get(host);
   }
@@ -87,6 +91,7 @@
         .collect(Collectors.toCollection(TreeSet::new));
   }
 
+  /** The number of the host of this name. */
   public int number(String name) {
     return numbers.get(name);
   }
--- a/src/main/java/beampoint/emulator/Instance.java
+++ b/src/main/java/beampoint/emulator/Instance.java
@@ -17,7 +17,8 @@
   final World world;
   final int number;
   final int zone;
-  // What the agent on the machine was sent is known to the proxy, also to a process that starts later.
+  // These survive a restart of the process: a discovery agent on the proxy's machine receives the lists, and
+  // what the agent has received counts as known to the proxy, also to a process that starts later.
   private final Map<String, Double> drainDeadlines = new TreeMap<>(); // end of the grace period
   private final Map<String, Double> announcedStarts = new TreeMap<>(); // the latest of each node
   private boolean up;
@@ -29,7 +30,11 @@
     this.zone = zone;
   }
 
-  /** Starts a new process with an old list and no learned state; it is up on return or some time later. */
+  /**
+   * Starts a new process without learned state; it is up on return or some time later.
+   *
+   * @param remembered the list of endpoints that the process begins with, from before the run
+   */
   abstract void start(List<Endpoint> remembered);
 
   /** Kills the process at once, with all requests that it holds. */
--- a/src/main/java/beampoint/emulator/Loopback.java
+++ b/src/main/java/beampoint/emulator/Loopback.java
@@ -7,7 +7,10 @@
 /** Runs a scenario with real proxy processes on loopback and the same model of caches, origin and clients. */
 public final class Loopback {
 
-  /** A run says nothing about the proxies and is void if its own tasks' lateness exceeds this at p99. */
+  /**
+   * A run is void if the 99th percentile of the delay of the emulator's own tasks in ms exceeds this, because
+   * its figures then do not describe the proxies.
+   */
   public static final double MAX_LATENESS_MS = 20;
   private static final double MAX_START_MS = 30_000;
 
--- a/src/main/java/beampoint/emulator/MemberFleet.java
+++ b/src/main/java/beampoint/emulator/MemberFleet.java
@@ -84,7 +84,9 @@
     this(settings, seed, initialStates(members, 0));
   }
 
-  /** Creates members that know each other's current incarnation, as long after their start. */
+  /**
+   * Creates members that know each other's current incarnation, as they would a long time after their start.
+   */
   public static MemberFleet settled(int members, MembershipSettings settings, long seed) {
     return new MemberFleet(settings, seed, initialStates(members, FIRST_INCARNATION));
   }
@@ -172,6 +174,7 @@
     return stateMachineNanos;
   }
 
+  /** Stops a member without notifying the others. */
   public void kill(int member) {
     hosts.get(member).membership = null;
     hosts.get(member).life++;
@@ -188,6 +191,7 @@
     hosts.get(member).paused = true;
   }
 
+  /** Resumes a member, which handles its deferred events at once. */
   public void resume(int member) {
     Host host = hosts.get(member);
     host.paused = false;
@@ -201,6 +205,7 @@
     losses[from][to] = fraction;
   }
 
+  /** Sets the fraction of the messages that is lost, for all links. */
   public void setLossEverywhere(double fraction) {
     Arrays.stream(losses).forEach(row -> Arrays.fill(row, fraction));
   }
@@ -235,10 +240,12 @@
         .map(host -> host.live).distinct().count() <= 1;
   }
 
+  /** All declarations of a member as dead so far, in order. */
   public List<Death> deaths() {
     return deaths;
   }
 
+  /** The number of messages sent so far. */
   public long messages() {
     return messages;
   }
--- a/src/main/java/beampoint/emulator/MembershipViews.java
+++ b/src/main/java/beampoint/emulator/MembershipViews.java
@@ -198,9 +198,10 @@
   }
 
   /**
-   * The 99th percentile of the time from when a host was killed or cut off until a host of the larger part of
-   * the network declared it dead, in ms. Hosts that are cut off with a few others suspect that they are
-   * isolated themselves and declare the rest dead later on purpose; they are not counted.
+   * The 99th percentile of the time in ms from when a host was killed or cut off until a host in partition 0,
+   * the main one, declared it dead. Declarations by hosts in other partitions are not counted: a host that is
+   * cut off with a few others suspects that it is isolated itself, and declares the rest dead later on
+   * purpose.
    */
   double detectP99() {
     return detection.getValueAtPercentile(99);
--- a/src/main/java/beampoint/emulator/ModelledViews.java
+++ b/src/main/java/beampoint/emulator/ModelledViews.java
@@ -6,8 +6,9 @@
 
 /**
  * The hosts' views of each other by a model in place of the membership protocol: a host that is down or cut
- * off is considered dead after the detection times of a fleet of 400 members, and one that is back is seen
- * soon. Views cover only the hosts that a host may be connected to: its site and the control machines.
+ * off is considered dead after 4.0 to 4.4 s, the detection times of a fleet of 400 members, and one that is
+ * reachable again is considered live after 100 to 500 ms. Views cover only the hosts that a host may be
+ * connected to: its site and the control machines.
  */
 final class ModelledViews implements Views {
 
--- a/src/main/java/beampoint/emulator/ProcessFleet.java
+++ b/src/main/java/beampoint/emulator/ProcessFleet.java
@@ -56,7 +56,8 @@
   }
 
   /**
-   * Runs the scenario once all proxies are ready; null, without a run, if one is not within the limit (ms).
+   * Runs the scenario once all proxies are ready. Returns null, and does not run the scenario, if a proxy is
+   * not ready within {@code maxStartTime} ms.
    */
   Report run(double maxStartTime) throws IOException {
     for (CacheNode node : world.caches()) {
@@ -236,7 +237,8 @@
           }
         }
         in.readNBytes(length);
-        String wireId = "O" + id; // the origin gets the bare id, a cache node the id behind its flag
+        // A request to the origin has the id alone, one to a cache node has it after the flag letter O.
+        String wireId = "O" + id;
         if (probe) {
           Listener.write(socket, httpResponse("200 OK", "", ""));
         } else {
--- a/src/main/java/beampoint/emulator/ReservedPort.java
+++ b/src/main/java/beampoint/emulator/ReservedPort.java
@@ -6,7 +6,7 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A port on loopback that is reserved for a proxy. A port that is looked up and released can be assigned to
+ * A port on loopback that is reserved for a proxy. Without the reservation, the port could be assigned to
  * another process before the proxy listens on it. As proxies listen with SO_REUSEPORT, two proxies would then
  * share their clients.
  */
--- a/src/main/java/beampoint/emulator/Scenario.java
+++ b/src/main/java/beampoint/emulator/Scenario.java
@@ -36,7 +36,11 @@
   /** Keys with Zipf-distributed popularity; the popularity shifts by {@code drift} keys a second. */
   public record Keys(int count, double exponent, double drift) {}
 
-  /** The cache nodes; {@code memory} is in keys, and a miss takes {@code missPart} of the work of a hit. */
+  /**
+   * The cache nodes; {@code memory} is in keys, and a miss takes {@code missPart} of the work of a hit.
+   * {@code handshake} is the work in ms of a new connection, {@code idle} the time in ms after which an idle
+   * connection is closed, and {@code filled} the fraction of the memory that is filled at the start.
+   */
   public record Caches(int count, int cores, int queue, int memory, int connections, double handshake,
       double idle, double missPart, double filled) {}
 
@@ -48,7 +52,8 @@
       double stopped) {}
 
   /**
-   * The clients' retries; {@code failoverDelay} is how long they are still sent to a proxy that has ended.
+   * The clients' retries; {@code failoverDelay} is how long the load balancer still sends requests to a proxy
+   * whose process has ended.
    */
   public record Clients(int retries, double retryPause, double tryPart, double failoverDelay) {}
 
--- a/src/main/java/beampoint/emulator/World.java
+++ b/src/main/java/beampoint/emulator/World.java
@@ -59,7 +59,8 @@
   }
 
   /**
-   * Fills the nodes with popular keys regardless of their placement; each soon gets the keys placed on it.
+   * Fills each node with random popular keys, not those that the proxies will request from it; it soon holds
+   * the latter.
    */
   private void prefill(UniformRandomProvider random) {
     int popularKeys =
--- a/src/main/java/beampoint/experiment/Plan.java
+++ b/src/main/java/beampoint/experiment/Plan.java
@@ -13,7 +13,9 @@
 public record Plan(Path file, Path scenario, int repeats, long firstSeed, List<String> figures,
     List<Variant> variants) {
 
-  /** Fewer repeats give no meaningful confidence interval. */
+  /**
+   * The minimum number of seeds on which each variant is run; fewer give no meaningful confidence interval.
+   */
   public static final int MIN_REPEATS = 10;
   private static final int VERSION = 1;
   private static final List<String> DEFAULT_FIGURES =
