--- a/src/main/java/beampoint/emulator/ControlLog.java
+++ b/src/main/java/beampoint/emulator/ControlLog.java
@@ -5,21 +5,21 @@
 import beampoint.fleet.changes.ChangeEntry;
 import beampoint.fleet.changes.ChangeId;
 import beampoint.fleet.changes.ControlNode;
-import beampoint.fleet.changes.LogAction;
 import beampoint.fleet.changes.LogAction.Answer;
 import beampoint.fleet.changes.LogAction.Deliver;
 import beampoint.fleet.changes.LogAction.Install;
 import beampoint.fleet.changes.LogAction.Send;
+import beampoint.fleet.changes.LogAction;
 import beampoint.fleet.changes.LogLimits;
 import beampoint.fleet.changes.LogMessage;
 import beampoint.fleet.changes.LogSettings;
-import beampoint.fleet.changes.MalformedChangeException;
+import beampoint.fleet.changes.MalformedLogMessageException;
 import beampoint.fleet.changes.ReplicaState;
 import beampoint.fleet.changes.Snapshot;
 import beampoint.fleet.changes.SubmitOutcome.Committed;
 import beampoint.fleet.distribution.ConfigurationSnapshot;
-import beampoint.fleet.distribution.DistributionEvent;
 import beampoint.fleet.distribution.DistributionEvent.Installed;
+import beampoint.fleet.distribution.DistributionEvent;
 import beampoint.fleet.distribution.DistributionNode;
 import beampoint.fleet.facts.Epoch;
 import beampoint.fleet.lease.LeaseSettings;
@@ -105,8 +105,8 @@
 
   /** Submits a change, and retries until it is committed. */
   void submit(Change change) {
-    String origin = layout.member(random.nextInt(layout.controls())).name();
-    ChangeId id = new ChangeId(origin, ++submitted);
+    String submitter = layout.member(random.nextInt(layout.controls())).name();
+    ChangeId id = new ChangeId(submitter, ++submitted);
     pending.put(id, new Pending(change, clock.now()));
     trySubmit(id);
   }
@@ -162,7 +162,7 @@
       host.leads = leads;
       deliverEvent.accept(host, leads
           ? new DistributionEvent.BecameLeader(
-              DistributionNode.logId(host.controlNode.state().log().identity()), layout.proxies())
+              DistributionNode.logId(host.controlNode.state().log().foundingEpoch()), layout.proxies())
           : new DistributionEvent.LostLeadership());
     }
     String leader = leads ? host.member.name() : host.controlNode.state().leader().holder();
@@ -181,7 +181,7 @@
       } else if (action instanceof Deliver entries) {
         deliverEntries(host, entries);
       } else if (action instanceof Install install) {
-        deliverEvent.accept(host, new Installed(DistributionNode.logId(install.identity()),
+        deliverEvent.accept(host, new Installed(DistributionNode.logId(install.foundingEpoch()),
             toConfigurationSnapshot(install.snapshot())));
       }
     }
@@ -194,8 +194,9 @@
         checks.committed(entry, clock.now());
       }
     }
-    deliverEvent.accept(host, new DistributionEvent.Committed(DistributionNode.logId(delivered.identity()),
-        delivered.entries()));
+    deliverEvent.accept(host,
+        new DistributionEvent.Committed(DistributionNode.logId(delivered.foundingEpoch()),
+            delivered.entries()));
   }
 
   private static ConfigurationSnapshot toConfigurationSnapshot(Snapshot snapshot) {
@@ -227,7 +228,7 @@
   private LogMessage read(byte[] bytes) {
     try {
       return codec.read(bytes);
-    } catch (MalformedChangeException e) {
+    } catch (MalformedLogMessageException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/src/main/java/beampoint/fleet/changes/Batches.java
+++ b/src/main/java/beampoint/fleet/changes/Batches.java
@@ -13,7 +13,7 @@
     long bytes = 0;
     int count = 0;
     while (count < entries.size() && count < limits.entriesInFlight()) {
-      bytes += entries.get(count).weight();
+      bytes += entries.get(count).approximateBytes();
       if (count > 0 && bytes > limits.bytesInFlight()) {
         break;
       }
--- a/src/main/java/beampoint/fleet/changes/CatchUp.java
+++ b/src/main/java/beampoint/fleet/changes/CatchUp.java
@@ -1,6 +1,6 @@
 package beampoint.fleet.changes;
 
-import beampoint.fleet.changes.LogMessage.Committed;
+import beampoint.fleet.changes.LogMessage.CommittedEntries;
 import beampoint.fleet.changes.LogMessage.Fetch;
 import beampoint.fleet.changes.LogMessage.SnapshotPart;
 import java.util.ArrayList;
@@ -18,10 +18,10 @@
  * @param lastFetch the last request, or null; a duplicate answer does not cause a further request
  * @param lastFetchAt when the last request was sent, in ms
  * @param collected the entries of the snapshot parts received so far
- * @param floors the floors of that snapshot, which its part 0 contains; see {@link Snapshot}
+ * @param droppedNumbers the dropped numbers of that snapshot, which its part 0 contains; see {@link Snapshot}
  */
 record CatchUp(String source, long targetIndex, Fetch lastFetch, double lastFetchAt,
-    List<ChangeEntry> collected, SortedMap<String, Long> floors) {
+    List<ChangeEntry> collected, SortedMap<String, Long> droppedNumbers) {
 
   /** Fetches the committed entries up to an index, if any of them are missing. */
   static void start(StepContext step, String source, long targetIndex) {
@@ -35,7 +35,8 @@
   }
 
   private CatchUp withTarget(long index) {
-    return new CatchUp(source, Math.max(targetIndex, index), lastFetch, lastFetchAt, collected, floors);
+    return new CatchUp(source, Math.max(targetIndex, index), lastFetch, lastFetchAt, collected,
+        droppedNumbers);
   }
 
   /** Requests the next entries or snapshot part; the same request is repeated after the retry interval. */
@@ -44,12 +45,14 @@
     if (current == null || step.log.commit() >= current.targetIndex) {
       return;
     }
-    boolean continues = current.lastFetch != null && current.lastFetch.identity().equals(step.log.identity())
-        && current.lastFetch.from() == step.log.commit() + 1;
-    Fetch next = continues ? current.lastFetch : new Fetch(step.log.identity(), step.log.commit() + 1, 0, 0);
+    boolean continues =
+        current.lastFetch != null && current.lastFetch.foundingEpoch().equals(step.log.foundingEpoch())
+            && current.lastFetch.from() == step.log.commit() + 1;
+    Fetch next =
+        continues ? current.lastFetch : new Fetch(step.log.foundingEpoch(), step.log.commit() + 1, 0, 0);
     if (!next.equals(current.lastFetch) || step.now >= current.lastFetchAt + step.settings.retryInterval()) {
       step.catchUp = new CatchUp(current.source, current.targetIndex, next, step.now, current.collected,
-          current.floors);
+          current.droppedNumbers);
       step.send(current.source, next);
     }
   }
@@ -57,24 +60,25 @@
   /** Sends committed entries, or a snapshot part if the first requested entry has been compacted. */
   static void serve(StepContext step, String to, Fetch fetch) {
     LogState log = step.log;
-    if (!fetch.identity().equals(log.identity()) || fetch.from() > log.commit()) {
+    if (!fetch.foundingEpoch().equals(log.foundingEpoch()) || fetch.from() > log.commit()) {
       return;
     }
     if (fetch.from() > log.snapshot().index()) {
       List<ChangeEntry> entries = log.between(fetch.from(), log.commit());
-      step.send(to, new Committed(log.identity(), Batches.first(entries, step.settings.limits())));
+      step.send(to,
+          new CommittedEntries(log.foundingEpoch(), Batches.first(entries, step.settings.limits())));
       return;
     }
     Snapshot snapshot = log.snapshot();
     List<List<ChangeEntry>> parts = Batches.split(snapshot.entries(), step.settings.limits());
     boolean continues = fetch.snapshotIndex() == snapshot.index() && fetch.part() < parts.size();
     int part = continues ? fetch.part() : 0;
-    step.send(to, new SnapshotPart(log.identity(), snapshot.index(), snapshot.completeFrom(), part,
-        parts.size(), parts.get(part), part == 0 ? snapshot.floors() : Collections.emptySortedMap()));
+    step.send(to, new SnapshotPart(log.foundingEpoch(), snapshot.index(), snapshot.completeFrom(), part,
+        parts.size(), parts.get(part), part == 0 ? snapshot.droppedNumbers() : Collections.emptySortedMap()));
   }
 
-  static void receiveEntries(StepContext step, Committed message) {
-    if (message.identity().equals(step.log.identity())) {
+  static void receiveEntries(StepContext step, CommittedEntries message) {
+    if (message.foundingEpoch().equals(step.log.foundingEpoch())) {
       step.advance(step.log.withCommitted(message.entries()));
       fetchNext(step);
     }
@@ -84,7 +88,7 @@
   static void receivePart(StepContext step, SnapshotPart message) {
     CatchUp current = step.catchUp;
     LogState log = step.log;
-    if (current == null || current.lastFetch == null || !message.identity().equals(log.identity())
+    if (current == null || current.lastFetch == null || !message.foundingEpoch().equals(log.foundingEpoch())
         || message.index() <= log.commit()) {
       return;
     }
@@ -95,15 +99,16 @@
     }
     List<ChangeEntry> all = new ArrayList<>(message.part() == 0 ? List.of() : current.collected);
     all.addAll(message.entries());
-    SortedMap<String, Long> floors = message.part() == 0 ? message.floors() : current.floors;
+    SortedMap<String, Long> droppedNumbers =
+        message.part() == 0 ? message.droppedNumbers() : current.droppedNumbers;
     if (message.part() + 1 == message.parts()) {
-      step.install(new Snapshot(message.index(), message.completeFrom(), List.copyOf(all), floors));
+      step.install(new Snapshot(message.index(), message.completeFrom(), List.copyOf(all), droppedNumbers));
       step.catchUp = new CatchUp(current.source, current.targetIndex, null, 0, List.of(),
           Collections.emptySortedMap());
     } else if (all.size() <= step.settings.limits().keptPurges() + 1) {
-      Fetch fetch = new Fetch(log.identity(), log.commit() + 1, message.index(), message.part() + 1);
+      Fetch fetch = new Fetch(log.foundingEpoch(), log.commit() + 1, message.index(), message.part() + 1);
       step.catchUp = new CatchUp(current.source, current.targetIndex, fetch, step.now, List.copyOf(all),
-          floors);
+          droppedNumbers);
       step.send(current.source, fetch);
     }
     fetchNext(step);
--- a/src/main/java/beampoint/fleet/changes/Change.java
+++ b/src/main/java/beampoint/fleet/changes/Change.java
@@ -7,5 +7,5 @@
   int formatVersion();
 
   /** The approximate size of its content in bytes. */
-  int weight();
+  int contentBytes();
 }
--- a/src/main/java/beampoint/fleet/changes/ChangeCodec.java
+++ b/src/main/java/beampoint/fleet/changes/ChangeCodec.java
@@ -2,12 +2,12 @@
 
 import beampoint.fleet.changes.LogMessage.Accepted;
 import beampoint.fleet.changes.LogMessage.Append;
-import beampoint.fleet.changes.LogMessage.Committed;
+import beampoint.fleet.changes.LogMessage.CommittedEntries;
+import beampoint.fleet.changes.LogMessage.EpochRejected;
 import beampoint.fleet.changes.LogMessage.Fetch;
 import beampoint.fleet.changes.LogMessage.LeaseEnvelope;
-import beampoint.fleet.changes.LogMessage.Recover;
-import beampoint.fleet.changes.LogMessage.Recovered;
-import beampoint.fleet.changes.LogMessage.Refused;
+import beampoint.fleet.changes.LogMessage.LogReply;
+import beampoint.fleet.changes.LogMessage.LogRequest;
 import beampoint.fleet.changes.LogMessage.Rejoin;
 import beampoint.fleet.changes.LogMessage.RejoinAnswer;
 import beampoint.fleet.changes.LogMessage.SnapshotPart;
@@ -31,7 +31,7 @@
 /**
  * Encodes and decodes the messages of the change log in CBOR (RFC 8949). A message is one array that begins
  * with the name of the cluster, the version of the format and the kind of message. For any other bytes, the
- * decoder throws {@link MalformedChangeException} and no other exception.
+ * decoder throws {@link MalformedLogMessageException} and no other exception.
  */
 public final class ChangeCodec {
 
@@ -42,7 +42,7 @@
   static final int MAX_PARTS = 4_096;
 
   /** The maximum number of submitters in a snapshot. */
-  static final int MAX_ORIGINS = 1_024;
+  static final int MAX_SUBMITTERS = 1_024;
 
   private static final int VERSION = 1;
   private static final int MAX_DEPTH = 4;
@@ -54,8 +54,9 @@
 
   /** The kinds of messages. Their ordinals are sent on the wire, so new kinds are added at the end. */
   private enum Kind {
-    LEASE_REQUEST, LEASE_PROMISE, LEASE_DENIAL, LEASE_RELEASE, RECOVER, RECOVERED, APPEND, ACCEPTED, REFUSED,
-    FETCH, COMMITTED, SNAPSHOT_PART, REJOIN, REJOIN_ANSWER
+    LEASE_REQUEST, LEASE_PROMISE, LEASE_DENIAL, LEASE_RELEASE, LOG_REQUEST, LOG_REPLY, APPEND, ACCEPTED,
+    EPOCH_REJECTED,
+    FETCH, COMMITTED_ENTRIES, SNAPSHOT_PART, REJOIN, REJOIN_ANSWER
   }
 
   private final String cluster;
@@ -100,11 +101,11 @@
   private static void write(JsonGenerator out, LogMessage message) throws IOException {
     if (message instanceof LeaseEnvelope m) {
       writeLease(out, m);
-    } else if (message instanceof Recover m) {
-      writeKind(out, Kind.RECOVER, m.epoch());
-    } else if (message instanceof Recovered m) {
-      writeKind(out, Kind.RECOVERED, m.epoch());
-      EntryCodec.write(out, m.identity());
+    } else if (message instanceof LogRequest m) {
+      writeKind(out, Kind.LOG_REQUEST, m.epoch());
+    } else if (message instanceof LogReply m) {
+      writeKind(out, Kind.LOG_REPLY, m.epoch());
+      EntryCodec.write(out, m.foundingEpoch());
       out.writeNumber(m.life());
       out.writeBoolean(m.voter());
       EntryCodec.write(out, m.accepted());
@@ -119,8 +120,8 @@
       out.writeBoolean(m.voter());
       out.writeNumber(m.last());
       out.writeNumber(m.commit());
-    } else if (message instanceof Refused m) {
-      writeKind(out, Kind.REFUSED, m.fence());
+    } else if (message instanceof EpochRejected m) {
+      writeKind(out, Kind.EPOCH_REJECTED, m.fence());
     } else {
       writeCatchUp(out, message);
     }
@@ -143,7 +144,7 @@
 
   private static void writeAppend(JsonGenerator out, Append m) throws IOException {
     writeKind(out, Kind.APPEND, m.epoch());
-    EntryCodec.write(out, m.identity());
+    EntryCodec.write(out, m.foundingEpoch());
     out.writeNumber(m.life());
     out.writeBoolean(m.founder());
     out.writeNumber(m.start());
@@ -154,12 +155,12 @@
 
   private static void writeCatchUp(JsonGenerator out, LogMessage message) throws IOException {
     if (message instanceof Fetch m) {
-      writeKind(out, Kind.FETCH, m.identity());
+      writeKind(out, Kind.FETCH, m.foundingEpoch());
       out.writeNumber(m.from());
       out.writeNumber(m.snapshotIndex());
       out.writeNumber(m.part());
-    } else if (message instanceof Committed m) {
-      writeKind(out, Kind.COMMITTED, m.identity());
+    } else if (message instanceof CommittedEntries m) {
+      writeKind(out, Kind.COMMITTED_ENTRIES, m.foundingEpoch());
       EntryCodec.write(out, m.entries());
     } else if (message instanceof SnapshotPart m) {
       writeSnapshotPart(out, m);
@@ -167,7 +168,7 @@
       writeKind(out, Kind.REJOIN);
       out.writeNumber(m.life());
     } else if (message instanceof RejoinAnswer m) {
-      writeKind(out, Kind.REJOIN_ANSWER, m.identity());
+      writeKind(out, Kind.REJOIN_ANSWER, m.foundingEpoch());
       out.writeNumber(m.life());
       out.writeBoolean(m.voter());
       EntryCodec.write(out, m.fence());
@@ -175,16 +176,16 @@
   }
 
   private static void writeSnapshotPart(JsonGenerator out, SnapshotPart m) throws IOException {
-    writeKind(out, Kind.SNAPSHOT_PART, m.identity());
+    writeKind(out, Kind.SNAPSHOT_PART, m.foundingEpoch());
     out.writeNumber(m.index());
     out.writeNumber(m.completeFrom());
     out.writeNumber(m.part());
     out.writeNumber(m.parts());
     EntryCodec.write(out, m.entries());
-    out.writeNumber(m.floors().size());
-    for (Map.Entry<String, Long> floor : m.floors().entrySet()) {
-      out.writeString(floor.getKey());
-      out.writeNumber(floor.getValue());
+    out.writeNumber(m.droppedNumbers().size());
+    for (Map.Entry<String, Long> droppedNumber : m.droppedNumbers().entrySet()) {
+      out.writeString(droppedNumber.getKey());
+      out.writeNumber(droppedNumber.getValue());
     }
   }
 
@@ -193,90 +194,93 @@
    *
    * @throws MalformedChangeException if the bytes are not a message of this cluster and version
    */
-  public LogMessage read(byte[] bytes) throws MalformedChangeException {
+  public LogMessage read(byte[] bytes) throws MalformedLogMessageException {
     if (bytes.length > MAX_BYTES) {
-      throw new MalformedChangeException("message longer than " + MAX_BYTES + " bytes: " + bytes.length);
+      throw new MalformedLogMessageException("message longer than " + MAX_BYTES + " bytes: " + bytes.length);
     }
     try (JsonParser parser = CBOR.createParser(bytes)) {
       MessageReader in = new MessageReader(parser);
       in.beginArray();
       if (!in.name().equals(cluster)) {
-        throw new MalformedChangeException("sent by another cluster");
+        throw new MalformedLogMessageException("sent by another cluster");
       }
       long version = in.number();
       if (version != VERSION) {
-        throw new MalformedChangeException("version other than " + VERSION + ": " + version);
+        throw new MalformedLogMessageException("version other than " + VERSION + ": " + version);
       }
       LogMessage message = read(in, Kind.values()[(int) in.numberBetween(0, Kind.values().length - 1)]);
       in.endArray();
       in.endOfMessage();
       return message;
     } catch (IOException | RuntimeException e) {
-      throw new MalformedChangeException("invalid message: " + e.getMessage());
+      throw new MalformedLogMessageException("invalid message: " + e.getMessage());
     }
   }
 
-  private static LogMessage read(MessageReader in, Kind kind) throws IOException, MalformedChangeException {
+  private static LogMessage read(MessageReader in, Kind kind)
+      throws IOException, MalformedLogMessageException {
     return switch (kind) {
       case LEASE_REQUEST -> new LeaseEnvelope(new Request(in.epoch(), in.index()));
       case LEASE_PROMISE -> new LeaseEnvelope(new Promise(in.epoch(), in.index()));
       case LEASE_DENIAL -> new LeaseEnvelope(new Denial(in.index()));
       case LEASE_RELEASE -> new LeaseEnvelope(new Release(in.epoch()));
-      case RECOVER -> new Recover(in.epoch());
-      case RECOVERED -> recovered(in);
+      case LOG_REQUEST -> new LogRequest(in.epoch());
+      case LOG_REPLY -> logReply(in);
       case APPEND -> append(in);
       case ACCEPTED ->
         new Accepted(in.epoch(), in.number(), in.bool(), in.bool(), in.index(), in.index());
-      case REFUSED -> new Refused(in.epoch());
+      case EPOCH_REJECTED -> new EpochRejected(in.epoch());
       case FETCH -> new Fetch(in.epoch(), in.index(), in.index(), (int) in.numberBetween(0, MAX_PARTS - 1));
-      case COMMITTED -> new Committed(in.epoch(), EntryCodec.readWithoutGaps(in));
+      case COMMITTED_ENTRIES -> new CommittedEntries(in.epoch(), EntryCodec.readWithoutGaps(in));
       case SNAPSHOT_PART -> snapshotPart(in);
       case REJOIN -> new Rejoin(in.number());
       case REJOIN_ANSWER -> rejoinAnswer(in);
     };
   }
 
-  private static Recovered recovered(MessageReader in) throws IOException, MalformedChangeException {
-    Recovered message = new Recovered(in.epoch(), in.epoch(), in.number(), in.bool(), in.epoch(), in.index(),
+  private static LogReply logReply(MessageReader in) throws IOException, MalformedLogMessageException {
+    LogReply message = new LogReply(in.epoch(), in.epoch(), in.number(), in.bool(), in.epoch(), in.index(),
         EntryCodec.readWithoutGaps(in));
     if (!message.tail().isEmpty() && message.tail().get(0).index() != message.commit() + 1) {
-      throw new MalformedChangeException("tail does not follow the commit index");
+      throw new MalformedLogMessageException("tail does not follow the commit index");
     }
     return message;
   }
 
-  private static Append append(MessageReader in) throws IOException, MalformedChangeException {
+  private static Append append(MessageReader in) throws IOException, MalformedLogMessageException {
     return new Append(in.epoch(), in.epoch(), in.number(), in.bool(), in.index(), in.index(), in.index(),
         EntryCodec.readWithoutGaps(in));
   }
 
-  private static RejoinAnswer rejoinAnswer(MessageReader in) throws IOException, MalformedChangeException {
-    Epoch identity = in.epoch();
-    return new RejoinAnswer(in.number(), identity, in.bool(), in.epoch());
+  private static RejoinAnswer rejoinAnswer(MessageReader in)
+      throws IOException, MalformedLogMessageException {
+    Epoch foundingEpoch = in.epoch();
+    return new RejoinAnswer(in.number(), foundingEpoch, in.bool(), in.epoch());
   }
 
-  private static SnapshotPart snapshotPart(MessageReader in) throws IOException, MalformedChangeException {
-    Epoch identity = in.epoch();
+  private static SnapshotPart snapshotPart(MessageReader in)
+      throws IOException, MalformedLogMessageException {
+    Epoch foundingEpoch = in.epoch();
     long index = in.index();
     long completeFrom = in.numberBetween(0, index);
     int part = (int) in.numberBetween(0, MAX_PARTS - 1);
     int parts = (int) in.numberBetween(part + 1L, MAX_PARTS);
     List<ChangeEntry> entries = EntryCodec.read(in);
     if (!entries.isEmpty() && entries.get(entries.size() - 1).index() > index) {
-      throw new MalformedChangeException("snapshot part has an entry after the index of the snapshot");
+      throw new MalformedLogMessageException("snapshot part has an entry after the index of the snapshot");
     }
-    return new SnapshotPart(identity, index, completeFrom, part, parts, entries, floors(in));
+    return new SnapshotPart(foundingEpoch, index, completeFrom, part, parts, entries, droppedNumbers(in));
   }
 
-  private static SortedMap<String, Long> floors(MessageReader in)
-      throws IOException, MalformedChangeException {
-    SortedMap<String, Long> floors = new TreeMap<>();
-    for (long remaining = in.numberBetween(0, MAX_ORIGINS); remaining > 0; remaining--) {
-      ChangeId floor = new ChangeId(in.text(), in.number());
-      if (floors.put(floor.origin(), floor.number()) != null) {
-        throw new MalformedChangeException("duplicate submitter in a snapshot part");
+  private static SortedMap<String, Long> droppedNumbers(MessageReader in)
+      throws IOException, MalformedLogMessageException {
+    SortedMap<String, Long> droppedNumbers = new TreeMap<>();
+    for (long remaining = in.numberBetween(0, MAX_SUBMITTERS); remaining > 0; remaining--) {
+      ChangeId droppedNumber = new ChangeId(in.text(), in.number());
+      if (droppedNumbers.put(droppedNumber.submitter(), droppedNumber.number()) != null) {
+        throw new MalformedLogMessageException("duplicate submitter in a snapshot part");
       }
     }
-    return Collections.unmodifiableSortedMap(floors);
+    return Collections.unmodifiableSortedMap(droppedNumbers);
   }
 }
--- a/src/main/java/beampoint/fleet/changes/ChangeEntry.java
+++ b/src/main/java/beampoint/fleet/changes/ChangeEntry.java
@@ -11,7 +11,7 @@
  */
 public record ChangeEntry(long index, Epoch epoch, ChangeId id, Change change) {
 
-  private static final int FIXED_WEIGHT = 64;
+  private static final int FIXED_BYTES = 64;
 
   /** Whether this is the same entry: a leader assigns an index to one change only. */
   boolean isSameAs(ChangeEntry other) {
@@ -19,8 +19,8 @@
   }
 
   /** The approximate size of the entry in bytes, in memory and in a message. */
-  int weight() {
-    return FIXED_WEIGHT + TextLimits.utf8Length(epoch.holder()) + TextLimits.utf8Length(id.origin())
-        + change.weight();
+  int approximateBytes() {
+    return FIXED_BYTES + TextLimits.utf8Length(epoch.holder()) + TextLimits.utf8Length(id.submitter())
+        + change.contentBytes();
   }
 }
--- a/src/main/java/beampoint/fleet/changes/ConfigurationChange.java
+++ b/src/main/java/beampoint/fleet/changes/ConfigurationChange.java
@@ -16,7 +16,7 @@
   }
 
   @Override
-  public int weight() {
+  public int contentBytes() {
     return TextLimits.utf8Length(document);
   }
 }
--- a/src/main/java/beampoint/fleet/changes/ControlNode.java
+++ b/src/main/java/beampoint/fleet/changes/ControlNode.java
@@ -36,10 +36,10 @@
    * The fraction of a lease's length after which a candidate without a majority gives up and releases the
    * promises that it received.
    */
-  private static final double CANDIDACY_PART = 0.5;
+  private static final double CANDIDACY_FRACTION = 0.5;
 
   /** Candidacies are delayed at random by up to this fraction of a lease's length, so that few compete. */
-  private static final double JITTER_PART = 0.4;
+  private static final double JITTER_FRACTION = 0.4;
 
   private final LeaseSettings leaseSettings;
   private final Lease lease;
@@ -179,7 +179,7 @@
     } else if (!candidate && now >= nextAttemptAt && now >= lastAppendAt + leaseSettings.length()
         && isEligible()) {
       candidate = true;
-      electionDeadline = now + CANDIDACY_PART * leaseSettings.length();
+      electionDeadline = now + CANDIDACY_FRACTION * leaseSettings.length();
       leaseStep(now, new LeaseEvent.Acquire(), actions);
     }
   }
@@ -191,7 +191,7 @@
   }
 
   private double jitter() {
-    return random.nextDouble() * JITTER_PART * leaseSettings.length();
+    return random.nextDouble() * JITTER_FRACTION * leaseSettings.length();
   }
 
   private void relinquishLease(double now, List<LogAction> actions) {
--- a/src/main/java/beampoint/fleet/changes/Election.java
+++ b/src/main/java/beampoint/fleet/changes/Election.java
@@ -3,8 +3,8 @@
 import beampoint.fleet.changes.Leadership.Phase;
 import beampoint.fleet.changes.Leadership.Progress;
 import beampoint.fleet.changes.LogAction.Problem;
-import beampoint.fleet.changes.LogMessage.Recover;
-import beampoint.fleet.changes.LogMessage.Recovered;
+import beampoint.fleet.changes.LogMessage.LogReply;
+import beampoint.fleet.changes.LogMessage.LogRequest;
 import beampoint.fleet.facts.Epoch;
 import java.util.Collection;
 import java.util.Collections;
@@ -34,11 +34,11 @@
     step.settings.voters().forEach(voter -> followers.put(voter, Progress.initial(0, step.now)));
     followers.remove(step.self);
     step.leadership = Leadership.collecting(epoch, followers, step.now);
-    step.sendToOthers(new Recover(epoch));
-    receiveRecovered(step, step.self, Follower.recoveredMessage(step.log, epoch));
+    step.sendToOthers(new LogRequest(epoch));
+    receiveLogReply(step, step.self, Follower.logReply(step.log, epoch));
   }
 
-  static void receiveRecovered(StepContext step, String from, Recovered answer) {
+  static void receiveLogReply(StepContext step, String from, LogReply answer) {
     Leadership leadership = step.leadership;
     if (leadership == null || leadership.phase() != Phase.COLLECTING
         || !answer.epoch().equals(leadership.epoch())) {
@@ -53,22 +53,23 @@
 
   /** Founds a log, steps down or adopts the best log, or waits for more answers. */
   private static void decide(StepContext step) {
-    Epoch identity = step.log.identity();
-    Collection<Recovered> answers = step.leadership.answers().values();
-    List<Recovered> votes = answers.stream().filter(a -> a.voter() && a.identity().equals(identity)).toList();
+    Epoch foundingEpoch = step.log.foundingEpoch();
+    Collection<LogReply> answers = step.leadership.answers().values();
+    List<LogReply> votes =
+        answers.stream().filter(a -> a.voter() && a.foundingEpoch().equals(foundingEpoch)).toList();
     boolean noVoterLeft = answers.size() == step.settings.voters().size()
-        && answers.stream().noneMatch(Recovered::voter);
+        && answers.stream().noneMatch(LogReply::voter);
     boolean foundingAllowed = step.newLogAllowed && answers.size() >= step.settings.majority();
     if (noVoterLeft) {
       foundLog(step);
-    } else if (answers.stream().anyMatch(a -> a.identity().compareTo(identity) > 0
+    } else if (answers.stream().anyMatch(a -> a.foundingEpoch().compareTo(foundingEpoch) > 0
         && (a.voter() || step.log.voter()))) {
       Leader.stepDown(step, Problem.OTHER_LOG);
     } else if (step.log.voter() && votes.size() >= step.settings.majority()) {
       adopt(step, best(votes));
     } else if (foundingAllowed) {
       foundLog(step);
-    } else if (answers.stream().anyMatch(Recovered::voter)
+    } else if (answers.stream().anyMatch(LogReply::voter)
         && isMajorityLost(step, answers.size() - votes.size())) {
       Leader.stepDown(step, Problem.MAJORITY_LOST);
     }
@@ -79,7 +80,7 @@
    * they do not. A log that was never founded cannot be lost.
    */
   private static boolean isMajorityLost(StepContext step, int nonVotes) {
-    return !step.newLogAllowed && !step.log.identity().equals(Epoch.NONE)
+    return !step.newLogAllowed && !step.log.foundingEpoch().equals(Epoch.NONE)
         && step.settings.voters().size() - nonVotes < step.settings.majority();
   }
 
@@ -87,12 +88,12 @@
    * Chooses the log accepted under the highest epoch and, among several of these, the longest one: it
    * contains every entry that may be committed.
    */
-  private static Recovered best(List<Recovered> votes) {
-    return votes.stream().max(Comparator.comparing(Recovered::accepted)
-        .thenComparing(Recovered::last)).orElseThrow();
+  private static LogReply best(List<LogReply> votes) {
+    return votes.stream().max(Comparator.comparing(LogReply::accepted)
+        .thenComparing(LogReply::last)).orElseThrow();
   }
 
-  private static void adopt(StepContext step, Recovered best) {
+  private static void adopt(StepContext step, LogReply best) {
     String source = step.leadership.answers().entrySet().stream()
         .filter(e -> e.getValue().equals(best)).map(Map.Entry::getKey).findFirst().orElseThrow();
     step.leadership = step.leadership.fetchingFrom(best);
@@ -106,7 +107,7 @@
         || step.log.commit() < step.leadership.chosen().commit()) {
       return;
     }
-    Recovered best = step.leadership.chosen();
+    LogReply best = step.leadership.chosen();
     if (best.last() < step.log.commit()) {
       Leader.stepDown(step, Problem.CONTRADICTION);
       return;
@@ -143,7 +144,7 @@
         && step.now >= leadership.requestedAt() + step.settings.retryInterval()) {
       step.leadership = leadership.withRequestsRepeated(step.now);
       leadership.followers().keySet().stream().filter(v -> !leadership.answers().containsKey(v))
-          .forEach(voter -> step.send(voter, new Recover(leadership.epoch())));
+          .forEach(voter -> step.send(voter, new LogRequest(leadership.epoch())));
     }
   }
 }
--- a/src/main/java/beampoint/fleet/changes/EntryCodec.java
+++ b/src/main/java/beampoint/fleet/changes/EntryCodec.java
@@ -29,7 +29,7 @@
       out.writeStartArray();
       out.writeNumber(entry.index());
       write(out, entry.epoch());
-      out.writeString(entry.id().origin());
+      out.writeString(entry.id().submitter());
       out.writeNumber(entry.id().number());
       write(out, entry.change());
       out.writeEndArray();
@@ -52,17 +52,17 @@
   }
 
   /** Reads entries with strictly increasing indexes. */
-  static List<ChangeEntry> read(MessageReader in) throws IOException, MalformedChangeException {
+  static List<ChangeEntry> read(MessageReader in) throws IOException, MalformedLogMessageException {
     List<ChangeEntry> entries = new ArrayList<>();
     long previousIndex = 0;
     in.beginArray();
     while (in.nextArray()) {
       if (entries.size() == MAX_ENTRIES) {
-        throw new MalformedChangeException("more than " + MAX_ENTRIES + " entries");
+        throw new MalformedLogMessageException("more than " + MAX_ENTRIES + " entries");
       }
       ChangeEntry entry = entry(in);
       if (entry.index() <= previousIndex || entry.epoch().number() == 0) {
-        throw new MalformedChangeException("entry out of order or without an epoch");
+        throw new MalformedLogMessageException("entry out of order or without an epoch");
       }
       previousIndex = entry.index();
       entries.add(entry);
@@ -71,16 +71,17 @@
   }
 
   /** Reads entries with consecutive indexes. */
-  static List<ChangeEntry> readWithoutGaps(MessageReader in) throws IOException, MalformedChangeException {
+  static List<ChangeEntry> readWithoutGaps(MessageReader in)
+      throws IOException, MalformedLogMessageException {
     List<ChangeEntry> entries = read(in);
     if (!entries.isEmpty()
         && entries.get(entries.size() - 1).index() - entries.get(0).index() != entries.size() - 1) {
-      throw new MalformedChangeException("gap between the indexes of entries");
+      throw new MalformedLogMessageException("gap between the indexes of entries");
     }
     return entries;
   }
 
-  private static ChangeEntry entry(MessageReader in) throws IOException, MalformedChangeException {
+  private static ChangeEntry entry(MessageReader in) throws IOException, MalformedLogMessageException {
     long index = in.index();
     Epoch epoch = in.epoch();
     ChangeId id = new ChangeId(in.text(), in.number());
@@ -89,7 +90,7 @@
     return entry;
   }
 
-  private static Change change(MessageReader in) throws IOException, MalformedChangeException {
+  private static Change change(MessageReader in) throws IOException, MalformedLogMessageException {
     long kind = in.numberBetween(CONFIGURATION, PURGE);
     int version = (int) in.numberBetween(1, Integer.MAX_VALUE);
     if (kind == CONFIGURATION) {
--- a/src/main/java/beampoint/fleet/changes/Follower.java
+++ b/src/main/java/beampoint/fleet/changes/Follower.java
@@ -3,9 +3,9 @@
 import beampoint.fleet.changes.LogAction.Install;
 import beampoint.fleet.changes.LogMessage.Accepted;
 import beampoint.fleet.changes.LogMessage.Append;
-import beampoint.fleet.changes.LogMessage.Recover;
-import beampoint.fleet.changes.LogMessage.Recovered;
-import beampoint.fleet.changes.LogMessage.Refused;
+import beampoint.fleet.changes.LogMessage.EpochRejected;
+import beampoint.fleet.changes.LogMessage.LogReply;
+import beampoint.fleet.changes.LogMessage.LogRequest;
 import beampoint.fleet.facts.Epoch;
 import java.util.List;
 
@@ -28,7 +28,7 @@
       return false;
     }
     if (epoch.compareTo(step.log.fence()) < 0) {
-      step.send(from, new Refused(step.log.fence()));
+      step.send(from, new EpochRejected(step.log.fence()));
       return false;
     }
     promise(step, epoch);
@@ -36,24 +36,24 @@
   }
 
   /** Sends a new leader the log of this replica from its commit index on. */
-  static void recover(StepContext step, String from, Recover message) {
+  static void sendLog(StepContext step, String from, LogRequest message) {
     if (isFromLeader(step, from, message.epoch())) {
-      step.send(from, recoveredMessage(step.log, message.epoch()));
+      step.send(from, logReply(step.log, message.epoch()));
     }
   }
 
-  static Recovered recoveredMessage(LogState log, Epoch epoch) {
-    return new Recovered(epoch, log.identity(), log.life(), log.voter(), log.accepted(), log.commit(),
+  static LogReply logReply(LogState log, Epoch epoch) {
+    return new LogReply(epoch, log.foundingEpoch(), log.life(), log.voter(), log.accepted(), log.commit(),
         log.tail());
   }
 
   static void append(StepContext step, String from, Append message) {
-    if (message.identity().compareTo(step.log.identity()) < 0
+    if (message.foundingEpoch().compareTo(step.log.foundingEpoch()) < 0
         || !isFromLeader(step, from, message.epoch())) {
       return;
     }
-    if (message.identity().compareTo(step.log.identity()) > 0) {
-      joinLog(step, message.identity());
+    if (message.foundingEpoch().compareTo(step.log.foundingEpoch()) > 0) {
+      joinLog(step, message.foundingEpoch());
     }
     step.leader = message.epoch();
     if (message.epoch().equals(step.log.accepted())
@@ -73,9 +73,9 @@
   }
 
   /** Becomes a member of another log; nothing of the previous log is valid in it. */
-  private static void joinLog(StepContext step, Epoch identity) {
-    step.log = step.log.asMemberOf(identity);
-    step.actions.add(new Install(identity, Snapshot.EMPTY));
+  private static void joinLog(StepContext step, Epoch foundingEpoch) {
+    step.log = step.log.asMemberOf(foundingEpoch);
+    step.actions.add(new Install(foundingEpoch, Snapshot.EMPTY));
     step.catchUp = null;
     if (step.rejoining == null) {
       step.rejoining = Rejoining.INITIAL;
--- a/src/main/java/beampoint/fleet/changes/Leader.java
+++ b/src/main/java/beampoint/fleet/changes/Leader.java
@@ -130,7 +130,7 @@
     Progress progress = leadership.followers().get(follower);
     List<ChangeEntry> entries = isUnresponsive(step, progress) ? List.of() : entriesToSend(step, progress);
     boolean founder = Long.valueOf(progress.life()).equals(leadership.founderLives().get(follower));
-    step.send(follower, new Append(leadership.epoch(), log.identity(), progress.life(), founder,
+    step.send(follower, new Append(leadership.epoch(), log.foundingEpoch(), progress.life(), founder,
         leadership.start(), log.commit(), log.last(), entries));
     long sent = entries.isEmpty() ? progress.sent() : entries.get(entries.size() - 1).index();
     step.leadership = leadership.withFollower(follower, progress.withSent(sent, log.commit(), step.now));
--- a/src/main/java/beampoint/fleet/changes/Leadership.java
+++ b/src/main/java/beampoint/fleet/changes/Leadership.java
@@ -1,7 +1,7 @@
 package beampoint.fleet.changes;
 
 import beampoint.fleet.changes.LogEvent.Submit;
-import beampoint.fleet.changes.LogMessage.Recovered;
+import beampoint.fleet.changes.LogMessage.LogReply;
 import beampoint.fleet.facts.Epoch;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -22,7 +22,7 @@
  * @param queue the changes that wait to be appended
  * @param requestedAt when it last requested logs
  */
-record Leadership(Epoch epoch, Phase phase, SortedMap<String, Recovered> answers, Recovered chosen,
+record Leadership(Epoch epoch, Phase phase, SortedMap<String, LogReply> answers, LogReply chosen,
     long start, SortedMap<String, Long> founderLives, SortedMap<String, Progress> followers,
     List<Submit> queue, double requestedAt) {
 
@@ -82,8 +82,8 @@
         Collections.emptySortedMap(), followers, List.of(), now);
   }
 
-  Leadership withAnswer(String from, Recovered answer) {
-    SortedMap<String, Recovered> all = new TreeMap<>(answers);
+  Leadership withAnswer(String from, LogReply answer) {
+    SortedMap<String, LogReply> all = new TreeMap<>(answers);
     all.put(from, answer);
     return new Leadership(epoch, phase, all, chosen, start, founderLives, followers, queue, requestedAt);
   }
@@ -92,7 +92,7 @@
     return new Leadership(epoch, phase, answers, chosen, start, founderLives, followers, queue, now);
   }
 
-  Leadership fetchingFrom(Recovered best) {
+  Leadership fetchingFrom(LogReply best) {
     return new Leadership(epoch, Phase.FETCHING, Collections.emptySortedMap(), best, start, founderLives,
         followers, queue, requestedAt);
   }
--- a/src/main/java/beampoint/fleet/changes/LogAction.java
+++ b/src/main/java/beampoint/fleet/changes/LogAction.java
@@ -13,10 +13,10 @@
   record Answer(ChangeId id, SubmitOutcome outcome) implements LogAction {}
 
   /** Delivers committed entries, which follow the previously delivered ones without a gap. */
-  record Deliver(Epoch identity, List<ChangeEntry> entries) implements LogAction {}
+  record Deliver(Epoch foundingEpoch, List<ChangeEntry> entries) implements LogAction {}
 
   /** Replaces everything delivered before by a snapshot, which may belong to another log. */
-  record Install(Epoch identity, Snapshot snapshot) implements LogAction {}
+  record Install(Epoch foundingEpoch, Snapshot snapshot) implements LogAction {}
 
   /** Relinquishes the lease, as this replica can't lead. */
   record RelinquishLease(Problem problem) implements LogAction {}
--- a/src/main/java/beampoint/fleet/changes/LogLimits.java
+++ b/src/main/java/beampoint/fleet/changes/LogLimits.java
@@ -14,10 +14,10 @@
  * @param keptPurges the maximum number of purges that are kept in a snapshot; a proxy that lags by more must
  *     treat everything that it holds as purged
  * @param keptBytes the maximum size of the purges in a snapshot, in bytes
- * @param origins the maximum number of submitters in a log
+ * @param submitters the maximum number of submitters in a log
  */
 public record LogLimits(int entriesInFlight, int bytesInFlight, int queuedChanges, int queuedBytes,
-    int keptEntries, int keptPurges, int keptBytes, int origins) {
+    int keptEntries, int keptPurges, int keptBytes, int submitters) {
 
   /** At 27 purges per second, keeps the purges of 10 min in a snapshot and those of 19 s as entries. */
   public static final LogLimits DEFAULTS = new LogLimits(256, 512 << 10, 1_024, 2 << 20, 512, 16_384, 8 << 20,
@@ -27,9 +27,9 @@
   private static final int MAX_BYTES_IN_FLIGHT = ChangeCodec.MAX_BYTES / 2;
 
   public LogLimits {
-    boolean hasRequired = entriesInFlight >= 1 && bytesInFlight >= 1 && origins >= 1;
+    boolean hasRequired = entriesInFlight >= 1 && bytesInFlight >= 1 && submitters >= 1;
     boolean fitsMessage = entriesInFlight <= EntryCodec.MAX_ENTRIES && bytesInFlight <= MAX_BYTES_IN_FLIGHT
-        && origins <= ChangeCodec.MAX_ORIGINS;
+        && submitters <= ChangeCodec.MAX_SUBMITTERS;
     boolean hasNegative = queuedChanges < 0 || queuedBytes < 0 || keptEntries < 0 || keptPurges < 0
         || keptBytes < 0;
     if (!hasRequired || !fitsMessage || hasNegative
--- a/src/main/java/beampoint/fleet/changes/LogMessage.java
+++ b/src/main/java/beampoint/fleet/changes/LogMessage.java
@@ -12,19 +12,19 @@
   record LeaseEnvelope(LeaseMessage message) implements LogMessage {}
 
   /** A new leader's request for a replica's log; the replica then rejects messages of lower epochs. */
-  record Recover(Epoch epoch) implements LogMessage {}
+  record LogRequest(Epoch epoch) implements LogMessage {}
 
   /**
-   * The answer to {@link Recover}.
+   * The answer to {@link LogRequest}.
    *
    * @param epoch the epoch of the request
-   * @param identity the epoch under which the log was founded, or {@link Epoch#NONE}
+   * @param foundingEpoch the epoch under which the log was founded, or {@link Epoch#NONE}
    * @param voter false if the replica may have lost entries that it acknowledged
    * @param accepted the epoch of the leader to whose log this replica's log was last made equal
    * @param commit the last index known to be committed
    * @param tail the entries after {@code commit}
    */
-  record Recovered(Epoch epoch, Epoch identity, long life, boolean voter, Epoch accepted, long commit,
+  record LogReply(Epoch epoch, Epoch foundingEpoch, long life, boolean voter, Epoch accepted, long commit,
       List<ChangeEntry> tail) implements LogMessage {
 
     long last() {
@@ -42,7 +42,8 @@
    * @param entries entries without gaps; for a follower that is not known to be in sync, all entries that are
    *     not committed
    */
-  record Append(Epoch epoch, Epoch identity, long life, boolean founder, long start, long commit, long last,
+  record Append(Epoch epoch, Epoch foundingEpoch, long life, boolean founder, long start, long commit,
+      long last,
       List<ChangeEntry> entries) implements LogMessage {}
 
   /**
@@ -55,7 +56,7 @@
       implements LogMessage {}
 
   /** The rejection of a leader's message, as the replica has promised the higher epoch {@code fence}. */
-  record Refused(Epoch fence) implements LogMessage {}
+  record EpochRejected(Epoch fence) implements LogMessage {}
 
   /**
    * A request for committed entries.
@@ -64,10 +65,10 @@
    * @param snapshotIndex the index of the snapshot of which it has parts, or 0
    * @param part the next part of that snapshot, counted from 0
    */
-  record Fetch(Epoch identity, long from, long snapshotIndex, int part) implements LogMessage {}
+  record Fetch(Epoch foundingEpoch, long from, long snapshotIndex, int part) implements LogMessage {}
 
   /** Committed entries, without gaps. */
-  record Committed(Epoch identity, List<ChangeEntry> entries) implements LogMessage {}
+  record CommittedEntries(Epoch foundingEpoch, List<ChangeEntry> entries) implements LogMessage {}
 
   /**
    * A part of a snapshot.
@@ -76,10 +77,10 @@
    * @param completeFrom the snapshot contains all purges after this index; see {@link Snapshot}
    * @param part the number of the part, counted from 0
    * @param parts the number of parts of the snapshot
-   * @param floors the floors of the snapshot in part 0, otherwise empty
+   * @param droppedNumbers the dropped numbers of the snapshot in part 0, otherwise empty
    */
-  record SnapshotPart(Epoch identity, long index, long completeFrom, int part, int parts,
-      List<ChangeEntry> entries, SortedMap<String, Long> floors) implements LogMessage {}
+  record SnapshotPart(Epoch foundingEpoch, long index, long completeFrom, int part, int parts,
+      List<ChangeEntry> entries, SortedMap<String, Long> droppedNumbers) implements LogMessage {}
 
   /** Asks the other replicas which highest epoch they have promised; sent by a replica that lost its log. */
   record Rejoin(long life) implements LogMessage {}
@@ -90,5 +91,5 @@
    * @param life the life of the requesting replica, as in its request
    * @param fence the highest epoch that the answering replica has promised
    */
-  record RejoinAnswer(long life, Epoch identity, boolean voter, Epoch fence) implements LogMessage {}
+  record RejoinAnswer(long life, Epoch foundingEpoch, boolean voter, Epoch fence) implements LogMessage {}
 }
--- a/src/main/java/beampoint/fleet/changes/LogState.java
+++ b/src/main/java/beampoint/fleet/changes/LogState.java
@@ -11,7 +11,7 @@
  * The log of one replica: a snapshot, the committed entries after it, and a tail of entries that are not yet
  * known to be committed.
  *
- * @param identity the epoch under which the log was founded, or {@link Epoch#NONE} if no log is known
+ * @param foundingEpoch the epoch under which the log was founded, or {@link Epoch#NONE} if no log is known
  * @param life a random number drawn at the start of the process, or after the log was lost
  * @param voter false after the replica has started without its log, until it again holds every entry that its
  *     earlier processes may have acknowledged
@@ -20,7 +20,7 @@
  * @param entries the entries after the snapshot, without gaps
  * @param commit the commit index: the last index that is known to be committed
  */
-public record LogState(Epoch identity, long life, boolean voter, Epoch fence, Epoch accepted,
+public record LogState(Epoch foundingEpoch, long life, boolean voter, Epoch fence, Epoch accepted,
     Snapshot snapshot, List<ChangeEntry> entries, long commit) {
 
   /** The state of a replica that starts without a log. */
@@ -63,16 +63,16 @@
 
   LogState withFence(Epoch epoch) {
     return epoch.compareTo(fence) <= 0 ? this
-        : new LogState(identity, life, voter, epoch, accepted, snapshot, entries, commit);
+        : new LogState(foundingEpoch, life, voter, epoch, accepted, snapshot, entries, commit);
   }
 
   LogState asVoter() {
-    return new LogState(identity, life, true, fence, accepted, snapshot, entries, commit);
+    return new LogState(foundingEpoch, life, true, fence, accepted, snapshot, entries, commit);
   }
 
   /** The log once it equals the log of the leader of an epoch, up to its last entry. */
   LogState withAccepted(Epoch epoch) {
-    return new LogState(identity, life, voter, fence.max(epoch), epoch, snapshot, entries, commit);
+    return new LogState(foundingEpoch, life, voter, fence.max(epoch), epoch, snapshot, entries, commit);
   }
 
   /** The state of a member of another log that holds none of its entries. */
@@ -87,7 +87,8 @@
 
   LogState committedTo(long index) {
     return index <= commit ? this
-        : new LogState(identity, life, voter, fence, accepted, snapshot, entries, Math.min(index, last()));
+        : new LogState(foundingEpoch, life, voter, fence, accepted, snapshot, entries,
+            Math.min(index, last()));
   }
 
   /** Replaces the tail; committed entries stay. */
@@ -140,7 +141,7 @@
   /** Replaces the entries that a snapshot covers by the snapshot. */
   LogState withSnapshot(Snapshot newer) {
     List<ChangeEntry> rest = newer.index() >= last() ? List.of() : between(newer.index() + 1, last());
-    return new LogState(identity, life, voter, fence, accepted, newer, rest,
+    return new LogState(foundingEpoch, life, voter, fence, accepted, newer, rest,
         Math.max(commit, newer.index()));
   }
 
@@ -158,6 +159,6 @@
   }
 
   private LogState withEntries(List<ChangeEntry> all) {
-    return new LogState(identity, life, voter, fence, accepted, snapshot, List.copyOf(all), commit);
+    return new LogState(foundingEpoch, life, voter, fence, accepted, snapshot, List.copyOf(all), commit);
   }
 }
--- a/src/main/java/beampoint/fleet/changes/PurgeChange.java
+++ b/src/main/java/beampoint/fleet/changes/PurgeChange.java
@@ -22,7 +22,7 @@
   }
 
   @Override
-  public int weight() {
+  public int contentBytes() {
     return TextLimits.utf8Length(value);
   }
 }
--- a/src/main/java/beampoint/fleet/changes/Rejoining.java
+++ b/src/main/java/beampoint/fleet/changes/Rejoining.java
@@ -34,7 +34,7 @@
   static void reply(StepContext step, String from, Rejoin message) {
     LogState log = step.log;
     Leader.resetIfRestarted(step, from, message.life());
-    step.send(from, new RejoinAnswer(message.life(), log.identity(), log.voter(), log.fence()));
+    step.send(from, new RejoinAnswer(message.life(), log.foundingEpoch(), log.voter(), log.fence()));
   }
 
   static void receiveAnswer(StepContext step, String from, RejoinAnswer message) {
@@ -50,7 +50,7 @@
     LogState log = step.log;
     boolean holdsAll = log.accepted().equals(append.epoch()) && log.last() >= append.last()
         && append.life() == log.life();
-    boolean founder = append.founder() && append.epoch().equals(append.identity());
+    boolean founder = append.founder() && append.epoch().equals(append.foundingEpoch());
     if (step.rejoining != null && holdsAll && (founder || step.rejoining.isUpToDate(step, append))) {
       step.log = log.asVoter();
       step.rejoining = null;
@@ -60,7 +60,7 @@
   /** Whether a majority has answered and none of its promises is above the epoch of this leader. */
   private boolean isUpToDate(StepContext step, Append append) {
     List<RejoinAnswer> voters = answers.values().stream()
-        .filter(a -> a.voter() && a.identity().equals(append.identity())).toList();
+        .filter(a -> a.voter() && a.foundingEpoch().equals(append.foundingEpoch())).toList();
     return voters.size() >= step.settings.majority()
         && voters.stream().allMatch(a -> a.fence().compareTo(append.epoch()) <= 0);
   }
--- a/src/main/java/beampoint/fleet/changes/Replica.java
+++ b/src/main/java/beampoint/fleet/changes/Replica.java
@@ -9,11 +9,11 @@
 import beampoint.fleet.changes.LogEvent.Tick;
 import beampoint.fleet.changes.LogMessage.Accepted;
 import beampoint.fleet.changes.LogMessage.Append;
-import beampoint.fleet.changes.LogMessage.Committed;
+import beampoint.fleet.changes.LogMessage.CommittedEntries;
+import beampoint.fleet.changes.LogMessage.EpochRejected;
 import beampoint.fleet.changes.LogMessage.Fetch;
-import beampoint.fleet.changes.LogMessage.Recover;
-import beampoint.fleet.changes.LogMessage.Recovered;
-import beampoint.fleet.changes.LogMessage.Refused;
+import beampoint.fleet.changes.LogMessage.LogReply;
+import beampoint.fleet.changes.LogMessage.LogRequest;
 import beampoint.fleet.changes.LogMessage.Rejoin;
 import beampoint.fleet.changes.LogMessage.RejoinAnswer;
 import beampoint.fleet.changes.LogMessage.SnapshotPart;
@@ -84,11 +84,11 @@
       Follower.append(step, from, m);
     } else if (message instanceof Accepted m) {
       Leader.receiveAccepted(step, from, m);
-    } else if (message instanceof Recover m) {
-      Follower.recover(step, from, m);
-    } else if (message instanceof Recovered m) {
-      Election.receiveRecovered(step, from, m);
-    } else if (message instanceof Refused m) {
+    } else if (message instanceof LogRequest m) {
+      Follower.sendLog(step, from, m);
+    } else if (message instanceof LogReply m) {
+      Election.receiveLogReply(step, from, m);
+    } else if (message instanceof EpochRejected m) {
       Follower.promise(step, m.fence());
     } else {
       receiveCatchUp(step, from, message);
@@ -98,7 +98,7 @@
   private static void receiveCatchUp(StepContext step, String from, LogMessage message) {
     if (message instanceof Fetch m) {
       CatchUp.serve(step, from, m);
-    } else if (message instanceof Committed m) {
+    } else if (message instanceof CommittedEntries m) {
       CatchUp.receiveEntries(step, m);
       Election.leadIfComplete(step);
     } else if (message instanceof SnapshotPart m) {
--- a/src/main/java/beampoint/fleet/changes/Snapshot.java
+++ b/src/main/java/beampoint/fleet/changes/Snapshot.java
@@ -17,11 +17,11 @@
  *     whose last applied index is lower has missed purges that are no longer known, and must treat everything
  *     it holds as purged
  * @param entries the last configuration, if there is one, and the purges, ordered by index
- * @param floors by submitter, the highest number of its changes that are neither in the snapshot nor after
- *     it
+ * @param droppedNumbers by submitter, the highest number of its changes that are neither in the snapshot nor
+ *     after it
  */
 public record Snapshot(long index, long completeFrom, List<ChangeEntry> entries,
-    SortedMap<String, Long> floors) {
+    SortedMap<String, Long> droppedNumbers) {
 
   /** The snapshot of the empty log. */
   public static final Snapshot EMPTY = new Snapshot(0, 0, List.of(), Collections.emptySortedMap());
@@ -51,14 +51,14 @@
   private static final class Compaction {
 
     private final Deque<ChangeEntry> purges = new ArrayDeque<>();
-    private final SortedMap<String, Long> floors;
+    private final SortedMap<String, Long> droppedNumbers;
     private ChangeEntry configuration;
     private long index;
     private long completeFrom;
     private long bytes;
 
     Compaction(Snapshot before) {
-      floors = new TreeMap<>(before.floors);
+      droppedNumbers = new TreeMap<>(before.droppedNumbers);
       index = before.index;
       completeFrom = before.completeFrom;
       before.entries.forEach(this::retain);
@@ -74,26 +74,26 @@
 
     private void retain(ChangeEntry entry) {
       if (entry.change() instanceof ConfigurationChange) {
-        raiseFloor(configuration);
+        recordDropped(configuration);
         configuration = entry;
       } else {
         purges.add(entry);
-        bytes += entry.weight();
+        bytes += entry.approximateBytes();
       }
     }
 
-    private void raiseFloor(ChangeEntry entry) {
+    private void recordDropped(ChangeEntry entry) {
       if (entry != null) {
-        floors.merge(entry.id().origin(), entry.id().number(), Math::max);
+        droppedNumbers.merge(entry.id().submitter(), entry.id().number(), Math::max);
       }
     }
 
     Snapshot trimmedTo(LogLimits limits) {
       while (purges.size() > limits.keptPurges() || bytes > limits.keptBytes()) {
         ChangeEntry oldest = purges.remove();
-        bytes -= oldest.weight();
+        bytes -= oldest.approximateBytes();
         completeFrom = oldest.index();
-        raiseFloor(oldest);
+        recordDropped(oldest);
       }
       List<ChangeEntry> entries = new ArrayList<>(purges);
       if (configuration != null) {
@@ -101,7 +101,7 @@
         entries.sort((a, b) -> Long.compare(a.index(), b.index()));
       }
       return new Snapshot(index, completeFrom, List.copyOf(entries),
-          Collections.unmodifiableSortedMap(floors));
+          Collections.unmodifiableSortedMap(droppedNumbers));
     }
   }
 }
--- a/src/main/java/beampoint/fleet/changes/StepContext.java
+++ b/src/main/java/beampoint/fleet/changes/StepContext.java
@@ -52,7 +52,7 @@
   /** Replaces the log, delivers the entries that are newly committed in it, and compacts it. */
   void advance(LogState next) {
     if (next.commit() > log.commit()) {
-      actions.add(new Deliver(next.identity(), next.between(log.commit() + 1, next.commit())));
+      actions.add(new Deliver(next.foundingEpoch(), next.between(log.commit() + 1, next.commit())));
     }
     log = next.compacted(settings.limits());
   }
@@ -60,6 +60,6 @@
   /** Installs a snapshot in place of entries that were never delivered. */
   void install(Snapshot snapshot) {
     log = log.withSnapshot(snapshot);
-    actions.add(new Install(log.identity(), snapshot));
+    actions.add(new Install(log.foundingEpoch(), snapshot));
   }
 }
--- a/src/main/java/beampoint/fleet/changes/Submissions.java
+++ b/src/main/java/beampoint/fleet/changes/Submissions.java
@@ -15,7 +15,7 @@
 final class Submissions {
 
   /** The maximum size of a change in bytes apart from its content. */
-  private static final int FIXED_WEIGHT = 64 + ChangeId.MAX_ORIGIN_BYTES;
+  private static final int FIXED_BYTES = 64 + ChangeId.MAX_SUBMITTER_BYTES;
 
   private Submissions() {}
 
@@ -45,34 +45,34 @@
 
   private static Reason refusalReason(StepContext step, Submit change) {
     LogLimits limits = step.settings.limits();
-    Long floor = step.log.snapshot().floors().get(change.id().origin());
-    if (floor != null && change.id().number() <= floor) {
+    Long droppedNumber = step.log.snapshot().droppedNumbers().get(change.id().submitter());
+    if (droppedNumber != null && change.id().number() <= droppedNumber) {
       return Reason.TOO_OLD;
     }
-    if (floor == null && exceedsOriginLimit(step, change.id().origin())) {
-      return Reason.TOO_MANY_ORIGINS;
+    if (droppedNumber == null && exceedsSubmitterLimit(step, change.id().submitter())) {
+      return Reason.TOO_MANY_SUBMITTERS;
     }
     List<Submit> queue = step.leadership.queue();
     boolean fitsDirectly = queue.isEmpty() && hasRoom(step, change);
-    long bytes = queue.stream().mapToLong(Submissions::weight).sum() + weight(change);
+    long bytes = queue.stream().mapToLong(Submissions::approximateBytes).sum() + approximateBytes(change);
     boolean full = queue.size() >= limits.queuedChanges() || bytes > limits.queuedBytes();
     return full && !fitsDirectly ? Reason.QUEUE_FULL : null;
   }
 
   /** Whether a new submitter would exceed the limit; counts submitters only if that is possible. */
-  private static boolean exceedsOriginLimit(StepContext step, String origin) {
+  private static boolean exceedsSubmitterLimit(StepContext step, String submitter) {
     LogState log = step.log;
-    int max = step.settings.limits().origins();
-    long ids = (long) log.snapshot().floors().size() + log.snapshot().entries().size()
+    int max = step.settings.limits().submitters();
+    long ids = (long) log.snapshot().droppedNumbers().size() + log.snapshot().entries().size()
         + log.entries().size() + step.leadership.queue().size();
     if (ids < max) {
       return false;
     }
-    Set<String> origins = new HashSet<>(log.snapshot().floors().keySet());
-    log.snapshot().entries().forEach(e -> origins.add(e.id().origin()));
-    log.entries().forEach(e -> origins.add(e.id().origin()));
-    step.leadership.queue().forEach(s -> origins.add(s.id().origin()));
-    return !origins.contains(origin) && origins.size() >= max;
+    Set<String> submitters = new HashSet<>(log.snapshot().droppedNumbers().keySet());
+    log.snapshot().entries().forEach(e -> submitters.add(e.id().submitter()));
+    log.entries().forEach(e -> submitters.add(e.id().submitter()));
+    step.leadership.queue().forEach(s -> submitters.add(s.id().submitter()));
+    return !submitters.contains(submitter) && submitters.size() >= max;
   }
 
   /** Appends queued changes while they are within the limits of entries in flight. */
@@ -92,12 +92,12 @@
 
   private static boolean hasRoom(StepContext step, Submit change) {
     List<ChangeEntry> tail = step.log.tail();
-    long bytes = tail.stream().mapToLong(ChangeEntry::weight).sum() + weight(change);
+    long bytes = tail.stream().mapToLong(ChangeEntry::approximateBytes).sum() + approximateBytes(change);
     LogLimits limits = step.settings.limits();
     return tail.isEmpty() || tail.size() < limits.entriesInFlight() && bytes <= limits.bytesInFlight();
   }
 
-  private static int weight(Submit change) {
-    return change.change().weight() + FIXED_WEIGHT;
+  private static int approximateBytes(Submit change) {
+    return change.change().contentBytes() + FIXED_BYTES;
   }
 }
--- a/src/main/java/beampoint/fleet/changes/SubmitOutcome.java
+++ b/src/main/java/beampoint/fleet/changes/SubmitOutcome.java
@@ -26,6 +26,6 @@
     /** Its number is so low that the log no longer knows whether the change was committed. */
     TOO_OLD,
     /** The log has reached its maximum number of submitters. */
-    TOO_MANY_ORIGINS
+    TOO_MANY_SUBMITTERS
   }
 }
--- a/src/main/java/beampoint/fleet/distribution/ChangeTail.java
+++ b/src/main/java/beampoint/fleet/distribution/ChangeTail.java
@@ -102,12 +102,12 @@
 
   /** The approximate bytes of an entry in a message, where documents are deflated. */
   private static int messageBytes(ChangeEntry entry) {
-    int weight = entry.change().weight();
+    int contentBytes = entry.change().contentBytes();
     return ENTRY_OVERHEAD_BYTES
-        + (entry.change() instanceof ConfigurationChange ? weight / COMPRESSION_RATIO : weight);
+        + (entry.change() instanceof ConfigurationChange ? contentBytes / COMPRESSION_RATIO : contentBytes);
   }
 
   private static int storedBytes(ChangeEntry entry) {
-    return ENTRY_OVERHEAD_BYTES + entry.change().weight();
+    return ENTRY_OVERHEAD_BYTES + entry.change().contentBytes();
   }
 }
--- a/src/main/java/beampoint/fleet/distribution/DistributionNode.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionNode.java
@@ -76,8 +76,8 @@
    * Returns the id of a log in the tree. A log that was founded later has a higher id, unless both were
    * founded under epochs with the same number.
    */
-  public static long logId(Epoch identity) {
-    return identity.number() << LOG_BITS | identity.hashCode() & (1 << LOG_BITS) - 1;
+  public static long logId(Epoch foundingEpoch) {
+    return foundingEpoch.number() << LOG_BITS | foundingEpoch.hashCode() & (1 << LOG_BITS) - 1;
   }
 
   /** Handles one event and returns the resulting actions. The time must not go back. */
--- a/src/main/java/beampoint/fleet/distribution/EntryCodec.java
+++ b/src/main/java/beampoint/fleet/distribution/EntryCodec.java
@@ -23,7 +23,7 @@
   static final int MAX_ENTRIES = 4_096;
   private static final int CONFIGURATION = PurgeScope.values().length; // lower kinds are purges of a scope
   private static final int NEW_EPOCH = 4;
-  private static final int NEW_ORIGIN = 8;
+  private static final int NEW_SUBMITTER = 8;
   private static final int MAX_VERSION = 1_000_000;
 
   private EntryCodec() {}
@@ -32,18 +32,18 @@
   private static final class Context {
     private Epoch epoch = Epoch.NONE;
     private long requestedAtMs;
-    private final List<String> origins = new ArrayList<>();
-    private final List<Long> lastNumbers = new ArrayList<>(); // by origin
-    private int currentOrigin = -1; // the index in origins of that of the previous entry; -1 if there is none
+    private final List<String> submitters = new ArrayList<>();
+    private final List<Long> lastNumbers = new ArrayList<>(); // by submitter
+    private int currentSubmitter = -1; // index in submitters, of the previous entry; -1 if there is none
 
-    private void addOrigin(String origin) {
-      currentOrigin = origins.size();
-      origins.add(origin);
+    private void addSubmitter(String submitter) {
+      currentSubmitter = submitters.size();
+      submitters.add(submitter);
       lastNumbers.add(0L);
     }
 
-    private boolean isCurrentOrigin(String origin) {
-      return currentOrigin >= 0 && origins.get(currentOrigin).equals(origin);
+    private boolean isCurrentSubmitter(String submitter) {
+      return currentSubmitter >= 0 && submitters.get(currentSubmitter).equals(submitter);
     }
   }
 
@@ -62,20 +62,20 @@
   private static void write(JsonGenerator out, ChangeEntry entry, Context context) throws IOException {
     Change change = entry.change();
     boolean hasEpoch = !entry.epoch().equals(context.epoch);
-    boolean hasOrigin = !context.isCurrentOrigin(entry.id().origin());
+    boolean hasNewSubmitter = !context.isCurrentSubmitter(entry.id().submitter());
     int kind = change instanceof PurgeChange purge ? purge.scope().ordinal() : CONFIGURATION;
-    out.writeNumber(kind + (hasEpoch ? NEW_EPOCH : 0) + (hasOrigin ? NEW_ORIGIN : 0));
+    out.writeNumber(kind + (hasEpoch ? NEW_EPOCH : 0) + (hasNewSubmitter ? NEW_SUBMITTER : 0));
     if (hasEpoch) {
       out.writeNumber(entry.epoch().number());
       out.writeString(entry.epoch().holder());
       out.writeNumber(entry.epoch().life());
       context.epoch = entry.epoch();
     }
-    if (hasOrigin) {
-      writeOrigin(out, entry.id().origin(), context);
+    if (hasNewSubmitter) {
+      writeSubmitter(out, entry.id().submitter(), context);
     }
-    out.writeNumber(entry.id().number() - context.lastNumbers.get(context.currentOrigin));
-    context.lastNumbers.set(context.currentOrigin, entry.id().number());
+    out.writeNumber(entry.id().number() - context.lastNumbers.get(context.currentSubmitter));
+    context.lastNumbers.set(context.currentSubmitter, entry.id().number());
     out.writeNumber(change.formatVersion());
     if (change instanceof PurgeChange purge) {
       out.writeNumber(purge.requestedAtMs() - context.requestedAtMs);
@@ -86,26 +86,27 @@
     }
   }
 
-  /** Writes an origin by its name the first time, and from then on by its position among those written. */
-  private static void writeOrigin(JsonGenerator out, String origin, Context context) throws IOException {
-    int index = context.origins.indexOf(origin);
+  /** Writes a submitter by its name the first time, and from then on by its position among those written. */
+  private static void writeSubmitter(JsonGenerator out, String submitter, Context context)
+      throws IOException {
+    int index = context.submitters.indexOf(submitter);
     if (index >= 0) {
       out.writeNumber(index);
-      context.currentOrigin = index;
+      context.currentSubmitter = index;
     } else {
-      out.writeString(origin);
-      context.addOrigin(origin);
+      out.writeString(submitter);
+      context.addSubmitter(submitter);
     }
   }
 
-  private static void readOrigin(MessageReader in, Context context)
+  private static void readSubmitter(MessageReader in, Context context)
       throws IOException, MalformedMessageException {
     if (in.next() == JsonToken.VALUE_STRING) {
-      context.addOrigin(in.currentName());
+      context.addSubmitter(in.currentName());
     } else {
-      context.currentOrigin = (int) Math.min(in.currentNonNegative(), context.origins.size());
+      context.currentSubmitter = (int) Math.min(in.currentNonNegative(), context.submitters.size());
     }
-    if (context.currentOrigin >= context.origins.size()) {
+    if (context.currentSubmitter >= context.submitters.size()) {
       throw new MalformedMessageException("reference to an unknown submitter");
     }
   }
@@ -132,14 +133,14 @@
       throws IOException, MalformedMessageException {
     long code = in.currentNonNegative();
     int kind = (int) code % NEW_EPOCH;
-    if (code >= 2 * NEW_ORIGIN) {
+    if (code >= 2 * NEW_SUBMITTER) {
       throw new MalformedMessageException("unknown kind of change: " + code);
     }
     if ((code & NEW_EPOCH) != 0) {
       context.epoch = new Epoch(in.readNonNegative(), in.readName(), in.readLong());
     }
-    if ((code & NEW_ORIGIN) != 0) {
-      readOrigin(in, context);
+    if ((code & NEW_SUBMITTER) != 0) {
+      readSubmitter(in, context);
     }
     ChangeId id = readId(in, context);
     int version = in.readInt(MAX_VERSION);
@@ -155,11 +156,11 @@
 
   private static ChangeId readId(MessageReader in, Context context)
       throws IOException, MalformedMessageException {
-    if (context.currentOrigin < 0) {
+    if (context.currentSubmitter < 0) {
       throw new MalformedMessageException("entry without a submitter");
     }
-    long number = context.lastNumbers.get(context.currentOrigin) + in.readLong();
-    context.lastNumbers.set(context.currentOrigin, number);
-    return new ChangeId(context.origins.get(context.currentOrigin), number);
+    long number = context.lastNumbers.get(context.currentSubmitter) + in.readLong();
+    context.lastNumbers.set(context.currentSubmitter, number);
+    return new ChangeId(context.submitters.get(context.currentSubmitter), number);
   }
 }
--- a/src/test/java/beampoint/fleet/changes/ChangeCodecTest.java
+++ b/src/test/java/beampoint/fleet/changes/ChangeCodecTest.java
@@ -7,12 +7,12 @@
 
 import beampoint.fleet.changes.LogMessage.Accepted;
 import beampoint.fleet.changes.LogMessage.Append;
-import beampoint.fleet.changes.LogMessage.Committed;
+import beampoint.fleet.changes.LogMessage.CommittedEntries;
+import beampoint.fleet.changes.LogMessage.EpochRejected;
 import beampoint.fleet.changes.LogMessage.Fetch;
 import beampoint.fleet.changes.LogMessage.LeaseEnvelope;
-import beampoint.fleet.changes.LogMessage.Recover;
-import beampoint.fleet.changes.LogMessage.Recovered;
-import beampoint.fleet.changes.LogMessage.Refused;
+import beampoint.fleet.changes.LogMessage.LogReply;
+import beampoint.fleet.changes.LogMessage.LogRequest;
 import beampoint.fleet.changes.LogMessage.Rejoin;
 import beampoint.fleet.changes.LogMessage.RejoinAnswer;
 import beampoint.fleet.changes.LogMessage.SnapshotPart;
@@ -63,16 +63,16 @@
     List<ChangeEntry> entries = new ArrayList<>(purges(5, 3, "org/é/\uD83D\uDE00"));
     entries.add(entry(8, new ConfigurationChange(2, "{\n}")));
     return List.of(new LeaseEnvelope(new Request(EPOCH, 3)), new LeaseEnvelope(new Promise(EPOCH, 4)),
-        new LeaseEnvelope(new Denial(5)), new LeaseEnvelope(new Release(EPOCH)), new Recover(EPOCH),
-        new Recovered(EPOCH, EPOCH, 9, true, Epoch.NONE, 4, entries),
+        new LeaseEnvelope(new Denial(5)), new LeaseEnvelope(new Release(EPOCH)), new LogRequest(EPOCH),
+        new LogReply(EPOCH, EPOCH, 9, true, Epoch.NONE, 4, entries),
         new Append(EPOCH, EPOCH, 9, false, 3, 4, 8, entries), new Accepted(EPOCH, -1, true, false, 8, 4),
-        new Refused(EPOCH), new Fetch(EPOCH, 1, 2, 3), new Committed(EPOCH, entries),
+        new EpochRejected(EPOCH), new Fetch(EPOCH, 1, 2, 3), new CommittedEntries(EPOCH, entries),
         new SnapshotPart(EPOCH, 8, 2, 1, 3, entries, new TreeMap<>(Map.of("a", 1L, "b", 2L))),
         new Rejoin(Long.MIN_VALUE), new RejoinAnswer(3, Epoch.NONE, false, EPOCH));
   }
 
   @Test
-  void eachMessageIsReadAsItWasWritten() throws MalformedChangeException {
+  void eachMessageIsReadAsItWasWritten() throws MalformedLogMessageException {
     for (LogMessage message : oneOfEach()) {
       assertEquals(message, CODEC.read(CODEC.write(message)));
     }
@@ -81,19 +81,19 @@
   @Property(tries = 300, seed = "17")
   void entriesAreReadAsTheyWereWritten(@ForAll @Size(max = 20) List<PurgeScope> scopes,
       @ForAll @LongRange(min = 0, max = 1L << 52) long commit, @ForAll long number,
-      @ForAll String text) throws MalformedChangeException {
+      @ForAll String text) throws MalformedLogMessageException {
     String value = TextLimits.utf8Length(text) < 1
         || TextLimits.utf8Length(text) > PurgeChange.MAX_VALUE_BYTES ? "k" : text;
     List<ChangeEntry> entries = new ArrayList<>();
     for (PurgeScope scope : scopes) {
       entries.add(entry(commit + 1 + entries.size(), new PurgeChange(1, scope, value, number)));
     }
-    Recovered message = new Recovered(EPOCH, EPOCH, number, true, EPOCH, commit, entries);
+    LogReply message = new LogReply(EPOCH, EPOCH, number, true, EPOCH, commit, entries);
     assertEquals(message, CODEC.read(CODEC.write(message)));
   }
 
   private static void assertRejected(byte[] bytes, String description) {
-    assertThrows(MalformedChangeException.class, () -> CODEC.read(bytes), description);
+    assertThrows(MalformedLogMessageException.class, () -> CODEC.read(bytes), description);
   }
 
   @Test
@@ -104,7 +104,7 @@
         assertRejected(Arrays.copyOf(bytes, length), "cut to " + length);
       }
       assertRejected(Arrays.copyOf(bytes, bytes.length + 1), "with a byte more");
-      assertThrows(MalformedChangeException.class, () -> new ChangeCodec("south").read(bytes));
+      assertThrows(MalformedLogMessageException.class, () -> new ChangeCodec("south").read(bytes));
     }
   }
 
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void onlyKnownVersionsAndKindsAreRead() throws MalformedChangeException {
+  void onlyKnownVersionsAndKindsAreRead() throws MalformedLogMessageException {
     Body rejoin = out -> {
       out.writeNumber(12);
       out.writeNumber(5);
@@ -140,7 +140,7 @@
     assertRejected(encode(1, out -> out.writeNumber(14)), "kind 14");
   }
 
-  private static void assertRead(LogMessage message) throws MalformedChangeException {
+  private static void assertRead(LogMessage message) throws MalformedLogMessageException {
     assertEquals(message, CODEC.read(CODEC.write(message)));
   }
 
@@ -149,9 +149,9 @@
   }
 
   @Test
-  void textLengthLimitsAreEnforced() throws MalformedChangeException {
+  void textLengthLimitsAreEnforced() throws MalformedLogMessageException {
     for (int bytes : new int[] {1, PurgeChange.MAX_VALUE_BYTES - 1, PurgeChange.MAX_VALUE_BYTES}) {
-      assertRead(new Committed(EPOCH, purges(1, 1, "x".repeat(bytes))));
+      assertRead(new CommittedEntries(EPOCH, purges(1, 1, "x".repeat(bytes))));
     }
     assertThrows(IllegalArgumentException.class, () -> purges(1, 1, ""));
     assertThrows(IllegalArgumentException.class, () -> purges(1, 1, "x".repeat(1_025)));
@@ -159,15 +159,16 @@
     assertThrows(IllegalArgumentException.class, () -> purges(1, 1, "\uD83D"));
     int most = ConfigurationChange.MAX_DOCUMENT_BYTES;
     for (int bytes : new int[] {0, most - 1, most}) {
-      assertRead(new Committed(EPOCH, List.of(entry(1, new ConfigurationChange(1, "y".repeat(bytes))))));
+      assertRead(
+          new CommittedEntries(EPOCH, List.of(entry(1, new ConfigurationChange(1, "y".repeat(bytes))))));
     }
     assertThrows(IllegalArgumentException.class, () -> new ConfigurationChange(1, "y".repeat(most + 1)));
     assertThrows(IllegalArgumentException.class, () -> new ConfigurationChange(0, ""));
     assertThrows(IllegalArgumentException.class, () -> new ChangeId("", 1));
     assertThrows(IllegalArgumentException.class, () -> new ChangeId("o".repeat(101), 1));
     assertThrows(IllegalArgumentException.class, () -> new ChangeId("o", -1));
-    assertRead(new Recover(new Epoch(1, "n".repeat(200), 0)));
-    assertRejected(new Recover(new Epoch(1, "n".repeat(201), 0)), "a name of 201");
+    assertRead(new LogRequest(new Epoch(1, "n".repeat(200), 0)));
+    assertRejected(new LogRequest(new Epoch(1, "n".repeat(201), 0)), "a name of 201");
   }
 
   /** An encoded purge or configuration that may violate the limits. */
@@ -196,8 +197,9 @@
   }
 
   @Test
-  void textLengthLimitsAreEnforcedWhenDecoding() throws MalformedChangeException {
-    assertEquals(1, ((Committed) CODEC.read(encodedEntry(2, 1, 0, "x".repeat(1_024)))).entries().size());
+  void textLengthLimitsAreEnforcedWhenDecoding() throws MalformedLogMessageException {
+    assertEquals(1,
+        ((CommittedEntries) CODEC.read(encodedEntry(2, 1, 0, "x".repeat(1_024)))).entries().size());
     assertRejected(encodedEntry(2, 1, 0, "x".repeat(1_025)), "a long value");
     assertRejected(encodedEntry(2, 1, 0, ""), "no value");
     assertRejected(encodedEntry(2, 0, 0, "x"), "version 0");
@@ -208,16 +210,16 @@
   }
 
   @Test
-  void numberRangesAreEnforced() throws MalformedChangeException {
+  void numberRangesAreEnforced() throws MalformedLogMessageException {
     long most = 1L << 53;
     for (long number : new long[] {1, most - 1, most}) {
-      assertRead(new Recover(new Epoch(number, "a", 0)));
+      assertRead(new LogRequest(new Epoch(number, "a", 0)));
       assertRead(new Accepted(EPOCH, 0, true, true, number, number));
     }
-    assertRejected(new Recover(new Epoch(most + 1, "a", 0)), "an epoch");
-    assertRejected(new Recover(new Epoch(-1, "a", 0)), "an epoch");
-    assertRejected(new Recover(new Epoch(0, "a", 0)), "nobody's epoch with a name");
-    assertRejected(new Recover(new Epoch(1, "", 0)), "an epoch without a name");
+    assertRejected(new LogRequest(new Epoch(most + 1, "a", 0)), "an epoch");
+    assertRejected(new LogRequest(new Epoch(-1, "a", 0)), "an epoch");
+    assertRejected(new LogRequest(new Epoch(0, "a", 0)), "nobody's epoch with a name");
+    assertRejected(new LogRequest(new Epoch(1, "", 0)), "an epoch without a name");
     assertRejected(new Accepted(EPOCH, 0, true, true, most + 1, 0), "an index");
     assertRejected(new Accepted(EPOCH, 0, true, true, -1, 0), "an index");
     assertRead(new Fetch(EPOCH, 1, 1, ChangeCodec.MAX_PARTS - 1));
@@ -232,53 +234,53 @@
   }
 
   @Test
-  void listLimitsAndOrderAreEnforced() throws MalformedChangeException {
+  void listLimitsAndOrderAreEnforced() throws MalformedLogMessageException {
     for (int count : new int[] {0, EntryCodec.MAX_ENTRIES - 1, EntryCodec.MAX_ENTRIES}) {
-      assertRead(new Committed(EPOCH, purges(1, count, "x")));
+      assertRead(new CommittedEntries(EPOCH, purges(1, count, "x")));
     }
-    assertRejected(new Committed(EPOCH, purges(1, EntryCodec.MAX_ENTRIES + 1, "x")), "many entries");
+    assertRejected(new CommittedEntries(EPOCH, purges(1, EntryCodec.MAX_ENTRIES + 1, "x")), "many entries");
     List<ChangeEntry> gap = new ArrayList<>(purges(1, 2, "x"));
     gap.addAll(purges(4, 1, "x"));
-    assertRejected(new Committed(EPOCH, gap), "a gap");
-    assertRejected(new Recovered(EPOCH, EPOCH, 1, true, EPOCH, 3, purges(5, 1, "x")), "a tail further on");
+    assertRejected(new CommittedEntries(EPOCH, gap), "a gap");
+    assertRejected(new LogReply(EPOCH, EPOCH, 1, true, EPOCH, 3, purges(5, 1, "x")), "a tail further on");
     Collections.reverse(gap);
     assertRejected(new SnapshotPart(EPOCH, 9, 0, 0, 1, gap, NO_FLOORS), "out of order");
-    SortedMap<String, Long> floors = new TreeMap<>();
-    for (int i = 0; i < ChangeCodec.MAX_ORIGINS; i++) {
-      floors.put("o" + i, (long) i);
+    SortedMap<String, Long> droppedNumbers = new TreeMap<>();
+    for (int i = 0; i < ChangeCodec.MAX_SUBMITTERS; i++) {
+      droppedNumbers.put("o" + i, (long) i);
     }
-    assertRead(new SnapshotPart(EPOCH, 9, 0, 0, 1, List.of(), floors));
-    floors.put("one more", 1L);
-    assertRejected(new SnapshotPart(EPOCH, 9, 0, 0, 1, List.of(), floors), "many submitters");
+    assertRead(new SnapshotPart(EPOCH, 9, 0, 0, 1, List.of(), droppedNumbers));
+    droppedNumbers.put("one more", 1L);
+    assertRejected(new SnapshotPart(EPOCH, 9, 0, 0, 1, List.of(), droppedNumbers), "many submitters");
   }
 
   /** The longest messages that the limits of a log allow are encoded; longer ones are not parsed. */
   @Test
-  void theLongestMessagesFit() throws MalformedChangeException {
+  void theLongestMessagesFit() throws MalformedLogMessageException {
     String longest = "v".repeat(PurgeChange.MAX_VALUE_BYTES);
     List<ChangeEntry> entries = Batches.first(purges(1, 2_000, longest),
         new LogLimits(1_024, 512 << 10, 0, 0, 0, 0, 0, 1));
-    SortedMap<String, Long> floors = new TreeMap<>();
-    for (int i = 0; i < ChangeCodec.MAX_ORIGINS; i++) {
-      floors.put(String.valueOf(10_000 + i).repeat(20), Long.MAX_VALUE);
+    SortedMap<String, Long> droppedNumbers = new TreeMap<>();
+    for (int i = 0; i < ChangeCodec.MAX_SUBMITTERS; i++) {
+      droppedNumbers.put(String.valueOf(10_000 + i).repeat(20), Long.MAX_VALUE);
     }
-    byte[] bytes = CODEC.write(new SnapshotPart(EPOCH, 9_000, 0, 0, 1, entries, floors));
+    byte[] bytes = CODEC.write(new SnapshotPart(EPOCH, 9_000, 0, 0, 1, entries, droppedNumbers));
     assertTrue(bytes.length > 500_000 && bytes.length <= ChangeCodec.MAX_BYTES, "bytes: " + bytes.length);
     CODEC.read(bytes);
     assertRejected(new byte[ChangeCodec.MAX_BYTES], "zeros of the maximum length");
     assertRejected(new byte[ChangeCodec.MAX_BYTES + 1], "too long");
     assertThrows(IllegalArgumentException.class,
-        () -> CODEC.write(new Committed(EPOCH, purges(1, 1_024, longest))));
+        () -> CODEC.write(new CommittedEntries(EPOCH, purges(1, 1_024, longest))));
   }
 
   @Test
   void anEntryTakesNoMoreBytesThanItsWeight() {
-    int empty = CODEC.write(new Committed(EPOCH, List.of())).length;
+    int empty = CODEC.write(new CommittedEntries(EPOCH, List.of())).length;
     Change shortest = new PurgeChange(1_000_000, PurgeScope.KEY, "v", -1L << 60);
     Change longer = new PurgeChange(1, PurgeScope.TENANT, "é".repeat(500), Long.MAX_VALUE);
     for (ChangeEntry entry : List.of(entry(1L << 53, shortest), entry(1L << 53, longer))) {
-      int bytes = CODEC.write(new Committed(EPOCH, List.of(entry))).length - empty;
-      assertTrue(bytes <= entry.weight(), bytes + " bytes, weight " + entry.weight());
+      int bytes = CODEC.write(new CommittedEntries(EPOCH, List.of(entry))).length - empty;
+      assertTrue(bytes <= entry.approximateBytes(), bytes + " bytes, weight " + entry.approximateBytes());
     }
   }
 
@@ -302,7 +304,7 @@
             .read(Arrays.copyOf(mutated, mutated.length - random.nextInt(2) * (mutated.length / 3)));
         byte[] again = CODEC.write(read);
         assertArrayEquals(again, CODEC.write(CODEC.read(again)));
-      } catch (MalformedChangeException e) {
+      } catch (MalformedLogMessageException e) {
         rejected++;
       }
     }
--- a/src/test/java/beampoint/fleet/changes/LogModel.java
+++ b/src/test/java/beampoint/fleet/changes/LogModel.java
@@ -255,7 +255,7 @@
   }
 
   private boolean knowsNoLog(int replica) {
-    return states.get(replica).log().identity().equals(Epoch.NONE);
+    return states.get(replica).log().foundingEpoch().equals(Epoch.NONE);
   }
 
   private boolean allVote() {
--- a/src/test/java/beampoint/fleet/changes/LogSearchTest.java
+++ b/src/test/java/beampoint/fleet/changes/LogSearchTest.java
@@ -10,7 +10,7 @@
 import beampoint.fleet.changes.LogEvent.Submit;
 import beampoint.fleet.changes.LogMessage.Accepted;
 import beampoint.fleet.changes.LogMessage.Append;
-import beampoint.fleet.changes.LogMessage.Recovered;
+import beampoint.fleet.changes.LogMessage.LogReply;
 import beampoint.fleet.changes.LogMessage.RejoinAnswer;
 import beampoint.fleet.changes.LogModel.Budget;
 import beampoint.fleet.changes.LogModel.Rules;
@@ -203,8 +203,8 @@
         if (!(event instanceof Elected elected) || !elected.epoch().holder().equals("c")) {
           return step;
         }
-        return inSequence(step, replica.step(step.state(), 0, new Received("b", new Recovered(elected.epoch(),
-            step.state().log().identity(), 1, true, Epoch.NONE, 0, List.of()))));
+        return inSequence(step, replica.step(step.state(), 0, new Received("b", new LogReply(elected.epoch(),
+            step.state().log().foundingEpoch(), 1, true, Epoch.NONE, 0, List.of()))));
       }
     };
     assertViolationFound(foundedLog(faulty), new Budget(1, 1, 0, 0), 5);
@@ -221,7 +221,7 @@
 
       private ReplicaState withoutFence(ReplicaState s) {
         LogState log = s.log();
-        return with(s, new LogState(log.identity(), log.life(), log.voter(), Epoch.NONE, log.accepted(),
+        return with(s, new LogState(log.foundingEpoch(), log.life(), log.voter(), Epoch.NONE, log.accepted(),
             log.snapshot(), log.entries(), log.commit()));
       }
     };
@@ -234,7 +234,7 @@
       @Override
       public ReplicaState withMemoryLost(ReplicaState before, long life) {
         LogState log = before.log();
-        return new ReplicaState(new LogState(log.identity(), life, true, Epoch.NONE, log.identity(),
+        return new ReplicaState(new LogState(log.foundingEpoch(), life, true, Epoch.NONE, log.foundingEpoch(),
             Snapshot.EMPTY, List.of(), 0), null, null, null, Epoch.NONE, false);
       }
     };
@@ -246,13 +246,13 @@
     Rules faulty = new Rules() {
       @Override
       public Replica.Step step(Replica replica, ReplicaState state, LogEvent event) {
-        if (state.rejoining() == null || state.log().identity().equals(Epoch.NONE)) {
+        if (state.rejoining() == null || state.log().foundingEpoch().equals(Epoch.NONE)) {
           return replica.step(state, 0, event);
         }
         ReplicaState informed = state;
         for (String voter : List.of("a", "c")) {
           informed = replica.step(informed, 0, new Received(voter, new RejoinAnswer(state.log().life(),
-              state.log().identity(), true, Epoch.NONE))).state();
+              state.log().foundingEpoch(), true, Epoch.NONE))).state();
         }
         return replica.step(informed, 0, event);
       }
--- a/src/test/java/beampoint/fleet/changes/LogSimulationTest.java
+++ b/src/test/java/beampoint/fleet/changes/LogSimulationTest.java
@@ -208,7 +208,7 @@
     cluster.runTo(WARM_UP_MS);
     submit(cluster, 10, cluster.now + 2 * SECOND_MS);
     cluster.runTo(cluster.now + SECOND_MS);
-    Epoch identity = cluster.logIdentity;
+    Epoch foundingEpoch = cluster.logIdentity;
     long committed = cluster.committedLog.size();
     cluster.names.subList(0, 3).forEach(n -> cluster.restart(n, true));
     cluster.submit(purge(1_000));
@@ -220,7 +220,7 @@
         "the problem is reported to operators");
     cluster.allowNewLog(cluster.names.get(4));
     cluster.runTo(cluster.now + 30 * SECOND_MS);
-    assertNotEquals(identity, cluster.logIdentity);
+    assertNotEquals(foundingEpoch, cluster.logIdentity);
     assertEquals(committed + 1, cluster.committedLog.size(), "the new log begins with what its founder held");
     assertEquals(0, cluster.nonVoters());
   }
@@ -230,7 +230,7 @@
     SimulatedCluster cluster = new SimulatedCluster(3, SMALL, 9);
     cluster.runTo(WARM_UP_MS);
     submit(cluster, 10, cluster.now + 2 * SECOND_MS);
-    Epoch identity = cluster.logIdentity;
+    Epoch foundingEpoch = cluster.logIdentity;
     assertFalse(cluster.committedLog.isEmpty());
     cluster.runTo(cluster.now + SECOND_MS);
     cluster.names.forEach(n -> cluster.restart(n, true));
@@ -238,7 +238,7 @@
     cluster.runTo(cluster.now + WARM_UP_MS);
     submit(cluster, 10, cluster.now + 2 * SECOND_MS);
     cluster.runTo(cluster.now + SECOND_MS);
-    assertNotEquals(identity, cluster.state("c00").log().identity());
+    assertNotEquals(foundingEpoch, cluster.state("c00").log().foundingEpoch());
     assertEquals(cluster.committedLog.size(), cluster.minDelivered());
     assertEquals(0, cluster.pendingCount());
   }
--- a/src/test/java/beampoint/fleet/changes/SimulatedCluster.java
+++ b/src/test/java/beampoint/fleet/changes/SimulatedCluster.java
@@ -52,7 +52,7 @@
     private boolean up = true;
     private double pausedUntil;
     private double clockRate;
-    private Epoch identity = Epoch.NONE;
+    private Epoch foundingEpoch = Epoch.NONE;
     private long delivered;
   }
 
@@ -149,7 +149,7 @@
       } else if (action instanceof Answer answer) {
         answered(answer);
       } else if (action instanceof Install install) {
-        machine.identity = install.identity();
+        machine.foundingEpoch = install.foundingEpoch();
         machine.delivered = install.snapshot().index();
         install.snapshot().entries().forEach(this::assertMatchesCommitted);
       } else if (action instanceof Deliver deliver) {
@@ -167,15 +167,15 @@
 
   private void deliver(Machine machine, Deliver deliver) {
     boolean leads = machine.node.state().leads();
-    machine.identity = deliver.identity();
-    logIdentity = leads ? deliver.identity() : logIdentity;
+    machine.foundingEpoch = deliver.foundingEpoch();
+    logIdentity = leads ? deliver.foundingEpoch() : logIdentity;
     for (ChangeEntry entry : deliver.entries()) {
       assertEquals(machine.delivered + 1, entry.index(), "delivered without a gap");
       machine.delivered = entry.index();
       if (leads && committedLog.putIfAbsent(entry.index(), entry) == null) {
         assertNull(committedIds.put(entry.id(), entry.index()), "committed twice: " + entry.id());
       }
-      if (deliver.identity().equals(logIdentity)) {
+      if (deliver.foundingEpoch().equals(logIdentity)) {
         assertMatchesCommitted(entry);
       }
     }
@@ -190,7 +190,7 @@
     byte[] encoded = CODEC.write(send.message());
     try {
       assertEquals(send.message(), CODEC.read(encoded));
-    } catch (MalformedChangeException e) {
+    } catch (MalformedLogMessageException e) {
       throw new AssertionError("a message that can't be decoded: " + send.message(), e);
     }
     messages++;
@@ -306,7 +306,7 @@
     ReplicaState initialState = machine.node.state().restartedWithLog();
     if (losesMemory) {
       machine.delivered = 0;
-      machine.identity = Epoch.NONE;
+      machine.foundingEpoch = Epoch.NONE;
       initialState = ReplicaState.started(machine.starts + 1);
     }
     start(name, initialState);
--- a/src/test/java/beampoint/fleet/changes/SnapshotTest.java
+++ b/src/test/java/beampoint/fleet/changes/SnapshotTest.java
@@ -41,12 +41,12 @@
   void theLastConfigurationIsKeptRegardlessOfItsAge() {
     Snapshot first = Snapshot.EMPTY.extendedBy(List.of(configuration(1), configuration(2)), limits(3, 1_000));
     assertEquals(configuration(2), first.configuration().orElseThrow());
-    assertEquals(Map.of("s", 1L), first.floors());
+    assertEquals(Map.of("s", 1L), first.droppedNumbers());
     Snapshot later = first.extendedBy(purges(3, 12), limits(3, 1_000));
     assertEquals(List.of(configuration(2), purge(10), purge(11), purge(12)), later.entries());
     assertEquals(12, later.index());
     assertEquals(9, later.completeFrom());
-    assertEquals(Map.of("s", 1L, "p", 9L), later.floors());
+    assertEquals(Map.of("s", 1L, "p", 9L), later.droppedNumbers());
   }
 
   @Test
@@ -55,7 +55,7 @@
       Snapshot snapshot = Snapshot.EMPTY.extendedBy(purges(1, count), limits(3, 1_000));
       assertEquals(count, snapshot.entries().size());
       assertEquals(0, snapshot.completeFrom());
-      assertTrue(snapshot.floors().isEmpty());
+      assertTrue(snapshot.droppedNumbers().isEmpty());
     }
     Snapshot more = Snapshot.EMPTY.extendedBy(purges(1, 4), limits(3, 1_000));
     assertEquals(purges(2, 4), more.entries());
@@ -64,7 +64,7 @@
 
   @Test
   void purgesAreKeptUpToTheMaximumSize() {
-    int bytes = purge(1).weight() + purge(2).weight();
+    int bytes = purge(1).approximateBytes() + purge(2).approximateBytes();
     assertEquals(2, Snapshot.EMPTY.extendedBy(purges(1, 2), limits(9, bytes + 1)).entries().size());
     assertEquals(2, Snapshot.EMPTY.extendedBy(purges(1, 2), limits(9, bytes)).entries().size());
     assertEquals(List.of(purge(2)), Snapshot.EMPTY.extendedBy(purges(1, 2), limits(9, bytes - 1)).entries());
--- a/src/test/java/beampoint/fleet/changes/SubmissionsTest.java
+++ b/src/test/java/beampoint/fleet/changes/SubmissionsTest.java
@@ -48,8 +48,8 @@
     return step.actions().stream().filter(Answer.class::isInstance).map(Answer.class::cast).toList();
   }
 
-  private List<Answer> submit(String origin, long number, String value) {
-    return step(new Submit(new ChangeId(origin, number), new PurgeChange(1, PurgeScope.KEY, value, 0)));
+  private List<Answer> submit(String submitter, long number, String value) {
+    return step(new Submit(new ChangeId(submitter, number), new PurgeChange(1, PurgeScope.KEY, value, 0)));
   }
 
   private List<Answer> submit(long number) {
@@ -115,7 +115,7 @@
   @Test
   void bytesInFlightAndInTheQueueAreLimited() {
     String value = "v".repeat(1_000);
-    int one = 1_000 + 64 + ChangeId.MAX_ORIGIN_BYTES;
+    int one = 1_000 + 64 + ChangeId.MAX_SUBMITTER_BYTES;
     limits(new LogLimits(IN_FLIGHT, 2 * one, 1, one, 2, 5, 100_000, 3));
     submit("s", 1, value);
     submit("s", 2, value);
@@ -142,10 +142,11 @@
       submit(i);
       acknowledge();
     }
-    long floor = state.log().snapshot().floors().get("s");
-    assertTrue(floor > 5 && floor < 18, "floor: " + floor);
-    assertEquals(List.of(refused(floor, Reason.TOO_OLD)), submit(floor));
-    assertEquals(List.of(answer(floor + 1, new Committed(floor + 1))), submit(floor + 1));
+    long droppedNumber = state.log().snapshot().droppedNumbers().get("s");
+    assertTrue(droppedNumber > 5 && droppedNumber < 18, "floor: " + droppedNumber);
+    assertEquals(List.of(refused(droppedNumber, Reason.TOO_OLD)), submit(droppedNumber));
+    assertEquals(List.of(answer(droppedNumber + 1, new Committed(droppedNumber + 1))),
+        submit(droppedNumber + 1));
     assertEquals(20, state.log().last());
   }
 
@@ -154,10 +155,10 @@
     submit("s", 1, "k");
     submit("t", 1, "k");
     assertEquals(List.of(), submit("u", 1, "k"));
-    assertEquals(new Refused(Reason.TOO_MANY_ORIGINS), submit("v", 1, "k").get(0).outcome());
+    assertEquals(new Refused(Reason.TOO_MANY_SUBMITTERS), submit("v", 1, "k").get(0).outcome());
     acknowledge();
     assertEquals(List.of(), submit("u", 2, "k"), "a known submitter is accepted");
-    assertEquals(new Refused(Reason.TOO_MANY_ORIGINS), submit("v", 1, "k").get(0).outcome());
+    assertEquals(new Refused(Reason.TOO_MANY_SUBMITTERS), submit("v", 1, "k").get(0).outcome());
   }
 
   @Test
