--- a/src/main/java/beampoint/fleet/distribution/ChildSubscriptions.java
+++ b/src/main/java/beampoint/fleet/distribution/ChildSubscriptions.java
@@ -16,7 +16,8 @@
  */
 final class ChildSubscriptions {
 
-  private static final int MAX_ECHOES = 16;
+  /** The maximum number of echoes that wait to be sent to one child. */
+  private static final int MAX_PENDING_ECHOES = 16;
 
   private static final class Child {
     private final long session;
@@ -47,7 +48,7 @@
   }
 
   /** Records a child's report; returns false if the report comes from a new child and there is no room. */
-  boolean accept(double now, String name, Report report, long log) {
+  boolean accept(double now, String name, Report report, long logId) {
     Child child = children.get(name);
     if (child != null && report.session() < child.session) {
       return true; // a late report of an earlier subscription
@@ -60,7 +61,7 @@
       children.put(name, child);
     }
     child.lastHeardAt = now;
-    if (report.log() == log) {
+    if (report.logId() == logId) {
       child.appliedUpTo = Math.max(child.appliedUpTo, report.appliedUpTo());
     }
     child.sentUpTo = Math.max(child.sentUpTo, child.appliedUpTo);
@@ -71,7 +72,7 @@
   void echo(String name, long session, long token) {
     Child child = children.get(name);
     if (child != null && child.session == session) {
-      if (child.echoes.size() >= MAX_ECHOES) {
+      if (child.echoes.size() >= MAX_PENDING_ECHOES) {
         child.echoes.remove(0);
       }
       child.echoes.add(token);
@@ -95,7 +96,7 @@
   }
 
   /** Returns the batches that are due, and marks their entries and echoes as sent. */
-  List<Send> dueBatches(double now, long log, long sourceAge, ChangeTail tail) {
+  List<Send> dueBatches(double now, long logId, long sourceAge, ChangeTail tail) {
     List<Send> sends = new ArrayList<>();
     children.forEach((name, child) -> {
       double sinceLast = now - child.lastSentAt;
@@ -106,7 +107,7 @@
         skipToSnapshot(child, tail);
         int batches = 0;
         do {
-          sends.add(new Send(name, nextBatch(now, child, log, sourceAge, tail)));
+          sends.add(new Send(name, nextBatch(now, child, logId, sourceAge, tail)));
         } while (++batches < settings.burst() && child.sentUpTo < tail.last() && availableWindow(child) > 0);
       }
     });
@@ -128,13 +129,13 @@
     return (int) Math.max(0, child.appliedUpTo + settings.window() - child.sentUpTo);
   }
 
-  private Batch nextBatch(double now, Child child, long log, long sourceAge, ChangeTail tail) {
+  private Batch nextBatch(double now, Child child, long logId, long sourceAge, ChangeTail tail) {
     List<ChangeEntry> entries =
         tail.entriesFrom(child.sentUpTo + 1, availableWindow(child), settings.batchBytes());
     child.sentUpTo += entries.size();
     child.lastSentAt = now;
     List<Long> echoes = List.copyOf(child.echoes);
     child.echoes.clear();
-    return new Batch(log, child.session, sourceAge, tail.last(), child.sentUpTo, echoes, entries);
+    return new Batch(logId, child.session, sourceAge, tail.last(), child.sentUpTo, echoes, entries);
   }
 }
--- a/src/main/java/beampoint/fleet/distribution/EntryCodec.java
+++ b/src/main/java/beampoint/fleet/distribution/CompactEntryCodec.java
@@ -18,7 +18,7 @@
  * its submitter are written only if they differ from those of the previous entry. Times and numbers are
  * written as differences.
  */
-final class EntryCodec {
+final class CompactEntryCodec {
 
   static final int MAX_ENTRIES = 4_096;
   private static final int CONFIGURATION = PurgeScope.values().length; // lower kinds are purges of a scope
@@ -26,7 +26,7 @@
   private static final int NEW_SUBMITTER = 8;
   private static final int MAX_VERSION = 1_000_000;
 
-  private EntryCodec() {}
+  private CompactEntryCodec() {}
 
   /** The values of the preceding entries to which the next entry refers. */
   private static final class Context {
--- a/src/main/java/beampoint/fleet/distribution/DistributionCodec.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionCodec.java
@@ -91,7 +91,7 @@
   private static void writeHeader(JsonGenerator out, int kind, DistributionMessage message)
       throws IOException {
     out.writeNumber(kind);
-    out.writeNumber(message.log());
+    out.writeNumber(message.logId());
   }
 
   private static void write(JsonGenerator out, Report report) throws IOException {
@@ -101,7 +101,7 @@
     out.writeStartArray();
     for (MemberProgress each : report.progress()) {
       out.writeString(each.member());
-      out.writeNumber(each.life());
+      out.writeNumber(each.processNumber());
       out.writeNumber(each.appliedUpTo() - report.appliedUpTo());
       out.writeNumber(each.refused());
     }
@@ -118,7 +118,7 @@
       out.writeNumber(echo);
     }
     out.writeEndArray();
-    EntryCodec.write(out, batch.entries());
+    CompactEntryCodec.write(out, batch.entries());
   }
 
   private static void write(JsonGenerator out, ConfigurationSnapshot snapshot) throws IOException {
@@ -126,7 +126,8 @@
     out.writeNumber(snapshot.epoch().number());
     out.writeString(snapshot.epoch().holder());
     out.writeNumber(snapshot.epoch().life());
-    EntryCodec.write(out, snapshot.configuration() == null ? List.of() : List.of(snapshot.configuration()));
+    CompactEntryCodec.write(out,
+        snapshot.configuration() == null ? List.of() : List.of(snapshot.configuration()));
   }
 
   /**
@@ -157,20 +158,21 @@
     }
   }
 
-  private static DistributionMessage readBody(MessageReader in, int kind, long log)
+  private static DistributionMessage readBody(MessageReader in, int kind, long logId)
       throws IOException, MalformedMessageException {
     return switch (kind) {
-      case REPORT -> readReport(in, log);
-      case BATCH -> readBatch(in, log);
-      case FETCH -> new Fetch(log, in.readNonNegative());
-      case SNAPSHOT -> new SnapshotReply(log, readSnapshot(in));
-      case REFUSAL -> new Refusal(log, in.readNonNegative());
-      case UNSUBSCRIBE -> new Unsubscribe(log, in.readNonNegative());
+      case REPORT -> readReport(in, logId);
+      case BATCH -> readBatch(in, logId);
+      case FETCH -> new Fetch(logId, in.readNonNegative());
+      case SNAPSHOT -> new SnapshotReply(logId, readSnapshot(in));
+      case REFUSAL -> new Refusal(logId, in.readNonNegative());
+      case UNSUBSCRIBE -> new Unsubscribe(logId, in.readNonNegative());
       default -> throw new MalformedMessageException("unknown kind of message: " + kind);
     };
   }
 
-  private static Report readReport(MessageReader in, long log) throws IOException, MalformedMessageException {
+  private static Report readReport(MessageReader in, long logId)
+      throws IOException, MalformedMessageException {
     long session = in.readNonNegative();
     long token = in.readNonNegative();
     long applied = in.readNonNegative();
@@ -181,7 +183,7 @@
           checkNotNegative(applied + in.readLong()), in.readNonNegative()));
     }
     in.expectCurrent(JsonToken.END_ARRAY);
-    return new Report(log, session, token, applied, List.copyOf(progress));
+    return new Report(logId, session, token, applied, List.copyOf(progress));
   }
 
   private static long checkNotNegative(long index) throws MalformedMessageException {
@@ -191,7 +193,7 @@
     return index;
   }
 
-  private static Batch readBatch(MessageReader in, long log) throws IOException, MalformedMessageException {
+  private static Batch readBatch(MessageReader in, long logId) throws IOException, MalformedMessageException {
     long session = in.readNonNegative();
     long sourceAge = in.readNonNegative();
     long head = in.readNonNegative();
@@ -202,14 +204,15 @@
       echoes.add(in.currentNonNegative());
     }
     in.expectCurrent(JsonToken.END_ARRAY);
-    return new Batch(log, session, sourceAge, head, sentUpTo, List.copyOf(echoes), EntryCodec.read(in));
+    return new Batch(logId, session, sourceAge, head, sentUpTo, List.copyOf(echoes),
+        CompactEntryCodec.read(in));
   }
 
   private static ConfigurationSnapshot readSnapshot(MessageReader in)
       throws IOException, MalformedMessageException {
     long index = in.readNonNegative();
     Epoch epoch = new Epoch(in.readNonNegative(), in.readName(), in.readLong());
-    List<ChangeEntry> entries = EntryCodec.read(in);
+    List<ChangeEntry> entries = CompactEntryCodec.read(in);
     if (entries.size() > 1 || !entries.isEmpty() && entries.get(0).index() > index) {
       throw new MalformedMessageException(
           "snapshot with several entries, or with an entry after its index " + index);
--- a/src/main/java/beampoint/fleet/distribution/DistributionEvent.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionEvent.java
@@ -17,17 +17,17 @@
   record ParentsChanged(List<Parent> parents) implements DistributionEvent {}
 
   /** Entries have been committed in this member's own replica of a log. */
-  record Committed(long log, List<ChangeEntry> entries) implements DistributionEvent {}
+  record Committed(long logId, List<ChangeEntry> entries) implements DistributionEvent {}
 
   /** This member's own replica of a log has been replaced by a snapshot. */
-  record Installed(long log, ConfigurationSnapshot snapshot) implements DistributionEvent {}
+  record Installed(long logId, ConfigurationSnapshot snapshot) implements DistributionEvent {}
 
   /**
    * This member has become the leader of a log.
    *
    * @param expected the proxies that are expected to apply every change
    */
-  record BecameLeader(long log, Set<String> expected) implements DistributionEvent {}
+  record BecameLeader(long logId, Set<String> expected) implements DistributionEvent {}
 
   /** This member is no longer the leader. */
   record LostLeadership() implements DistributionEvent {}
--- a/src/main/java/beampoint/fleet/distribution/DistributionMessage.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionMessage.java
@@ -10,7 +10,7 @@
 public sealed interface DistributionMessage {
 
   /** The id of the log; a log that replaces another has a higher one. */
-  long log();
+  long logId();
 
   /**
    * Creates or renews a child's subscription and reports the progress of the proxies below it.
@@ -21,7 +21,7 @@
    * @param progress the progress of the child and of those members below it that have reported since its last
    *     report
    */
-  record Report(long log, long session, long token, long appliedUpTo, List<MemberProgress> progress)
+  record Report(long logId, long session, long token, long appliedUpTo, List<MemberProgress> progress)
       implements DistributionMessage {}
 
   /**
@@ -34,18 +34,18 @@
    * @param echoes tokens of the child's reports that the leader has received
    * @param entries consecutive entries
    */
-  record Batch(long log, long session, long sourceAge, long head, long sentUpTo, List<Long> echoes,
+  record Batch(long logId, long session, long sourceAge, long head, long sentUpTo, List<Long> echoes,
       List<ChangeEntry> entries) implements DistributionMessage {}
 
   /** Requests entries from an index on. */
-  record Fetch(long log, long from) implements DistributionMessage {}
+  record Fetch(long logId, long from) implements DistributionMessage {}
 
   /** The reply to a fetch of entries that the sender no longer has. */
-  record SnapshotReply(long log, ConfigurationSnapshot snapshot) implements DistributionMessage {}
+  record SnapshotReply(long logId, ConfigurationSnapshot snapshot) implements DistributionMessage {}
 
   /** The parent does not accept, or no longer has, the child of a session. */
-  record Refusal(long log, long session) implements DistributionMessage {}
+  record Refusal(long logId, long session) implements DistributionMessage {}
 
   /** The child has subscribed to another parent. */
-  record Unsubscribe(long log, long session) implements DistributionMessage {}
+  record Unsubscribe(long logId, long session) implements DistributionMessage {}
 }
--- a/src/main/java/beampoint/fleet/distribution/DistributionNode.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionNode.java
@@ -29,7 +29,7 @@
 public final class DistributionNode {
 
   /** The number of low bits of a log id, which distinguish logs whose epochs have the same number. */
-  private static final int LOG_BITS = 16;
+  private static final int LOG_HASH_BITS = 16;
 
   /** The number of low bits of a session, its number among the subscriptions of one process. */
   private static final int SESSION_BITS = 20;
@@ -45,7 +45,7 @@
   private final List<DistributionAction> actions = new ArrayList<>();
   private ProgressTracker tracker; // null while this member is not the leader
   private double now;
-  private long log;
+  private long logId;
   private long head; // the index of the last entry known to this member, applied or not
   private long sentUpTo; // the index of the last entry sent by the current parent
   private double nextReportAt;
@@ -56,17 +56,17 @@
   /**
    * Creates a member that has applied nothing.
    *
-   * @param life the number of its process; a later one has a higher number
-   * @param log the id of the log; 0 if it is not known yet
+   * @param processNumber the number of its process; a later one has a higher number
+   * @param logId the id of the log; 0 if it is not known yet
    */
-  public DistributionNode(DistributionSettings settings, TreeMember self, long life, long log,
+  public DistributionNode(DistributionSettings settings, TreeMember self, long processNumber, long logId,
       ChangeApplier applier, double now) {
     this.settings = settings;
     this.self = self;
-    this.log = log;
+    this.logId = logId;
     this.now = now;
     this.applied = new AppliedChanges(settings, applier);
-    this.parent = new ParentSubscription(settings, life << SESSION_BITS, now);
+    this.parent = new ParentSubscription(settings, processNumber << SESSION_BITS, now);
     this.children = new ChildSubscriptions(settings);
     this.snapshots = new SnapshotQueue(settings.snapshotInterval());
     this.freshness = new FreshnessLease(settings);
@@ -77,7 +77,7 @@
    * founded under epochs with the same number.
    */
   public static long logId(Epoch foundingEpoch) {
-    return foundingEpoch.number() << LOG_BITS | foundingEpoch.hashCode() & (1 << LOG_BITS) - 1;
+    return foundingEpoch.number() << LOG_HASH_BITS | foundingEpoch.hashCode() & (1 << LOG_HASH_BITS) - 1;
   }
 
   /** Handles one event and returns the resulting actions. The time must not go back. */
@@ -92,13 +92,13 @@
       parent.setCandidates(e.parents());
       chooseParent();
     } else if (event instanceof Committed e) {
-      adoptNewerLog(e.log());
+      adoptNewerLog(e.logId());
       accept(e.entries());
     } else if (event instanceof Installed e) {
-      adoptNewerLog(e.log());
+      adoptNewerLog(e.logId());
       restore(e.snapshot());
     } else if (event instanceof BecameLeader e) {
-      adoptNewerLog(e.log());
+      adoptNewerLog(e.logId());
       tracker = new ProgressTracker(settings, e.expected(), now);
     } else if (event instanceof LostLeadership) {
       tracker = null;
@@ -148,7 +148,7 @@
     chooseParent();
     children.removeTimedOut(now);
     long sourceAge = tracker != null ? 0 : (long) Math.ceil(parent.sourceAge(now));
-    actions.addAll(children.dueBatches(now, log, sourceAge, applied.tail()));
+    actions.addAll(children.dueBatches(now, logId, sourceAge, applied.tail()));
     sendSnapshots();
     if (now >= nextReportAt) {
       report();
@@ -165,7 +165,7 @@
       reports.restart();
       sentUpTo = 0;
       if (!previous.isEmpty()) {
-        send(previous, new Unsubscribe(log, session));
+        send(previous, new Unsubscribe(logId, session));
       }
       report();
     }
@@ -185,7 +185,7 @@
         progress.add(MemberProgress.ofSender(appliedUpTo(), applied.refusedIndex()));
       }
       progress.addAll(report.progress());
-      send(parent.name(), new Report(log, parent.session(), report.token(), appliedUpTo(), progress));
+      send(parent.name(), new Report(logId, parent.session(), report.token(), appliedUpTo(), progress));
       isFirst = false;
     } while (reports.hasPending());
   }
@@ -200,15 +200,15 @@
     } else if (message instanceof Refusal m && parent.isCurrent(from, m.session())) {
       parent.markFailed(now);
     } else if (isCandidate(from)) {
-      adoptNewerLog(message.log());
+      adoptNewerLog(message.logId());
     }
-    if (message.log() != log) {
+    if (message.logId() != logId) {
       return;
     }
     if (message instanceof Batch m) {
       receiveBatch(from, m);
     } else if (message instanceof Fetch m) {
-      answer(from, m);
+      replyToFetch(from, m);
     } else if (message instanceof SnapshotReply m) {
       restore(m.snapshot());
     }
@@ -217,7 +217,7 @@
   private void restore(ConfigurationSnapshot snapshot) {
     if (applied.restore(snapshot)) {
       head = Math.max(head, appliedUpTo());
-      fetchAnswered();
+      allowNextFetch();
     }
   }
 
@@ -227,10 +227,10 @@
 
   /** Discards all state of the present log if the control machines have started a newer one. */
   private void adoptNewerLog(long other) {
-    if (other <= log) {
+    if (other <= logId) {
       return;
     }
-    log = other;
+    logId = other;
     head = 0;
     sentUpTo = 0;
     applied.reset();
@@ -241,11 +241,11 @@
 
   private void receiveReport(String from, Report report) {
     boolean mayHaveChildren = self.isControl() || parent.isControl();
-    if (!mayHaveChildren || !children.accept(now, from, report, log)) {
-      send(from, new Refusal(log, report.session()));
+    if (!mayHaveChildren || !children.accept(now, from, report, logId)) {
+      send(from, new Refusal(logId, report.session()));
       return;
     }
-    if (report.log() != log || log == 0) {
+    if (report.logId() != logId || logId == 0) {
       return; // progress in another log does not apply here, and without a log nothing has been applied
     }
     List<MemberProgress> progress = report.progress().stream()
@@ -271,12 +271,12 @@
     if (isFromParent) {
       parent.heard(now, batch.sourceAge());
       sentUpTo = Math.max(sentUpTo, batch.sentUpTo());
-      batch.echoes().forEach(this::confirm);
+      batch.echoes().forEach(this::handleEcho);
     }
     long before = appliedUpTo();
     accept(batch.entries());
     if (batch.session() == 0 && appliedUpTo() > before) {
-      fetchAnswered();
+      allowNextFetch();
     }
     if (isMissingEntries() && now >= nextFetchAt) {
       fetch();
@@ -302,16 +302,16 @@
         : candidates.get(unansweredFetches % candidates.size()).name();
     unansweredFetches++;
     nextFetchAt = now + settings.fetchTimeout();
-    send(source, new Fetch(log, appliedUpTo() + 1));
+    send(source, new Fetch(logId, appliedUpTo() + 1));
   }
 
   /** Allows the next fetch at once; there is one outstanding fetch at a time. */
-  private void fetchAnswered() {
+  private void allowNextFetch() {
     unansweredFetches = 0;
     nextFetchAt = now;
   }
 
-  private void answer(String to, Fetch fetch) {
+  private void replyToFetch(String to, Fetch fetch) {
     ChangeTail tail = applied.tail();
     boolean startsFromNothing = fetch.from() == 1 && tail.last() > settings.window();
     if (startsFromNothing || fetch.from() <= tail.base().index()) {
@@ -321,12 +321,12 @@
     }
     List<ChangeEntry> entries = tail.entriesFrom(fetch.from(), settings.window(), settings.batchBytes());
     if (!entries.isEmpty()) {
-      send(to, new Batch(log, 0, 0, tail.last(), 0, List.of(), entries));
+      send(to, new Batch(logId, 0, 0, tail.last(), 0, List.of(), entries));
     }
   }
 
   private void sendSnapshots() {
-    snapshots.takeDue(now).forEach(to -> send(to, new SnapshotReply(log, applied.tail().latest())));
+    snapshots.takeDue(now).forEach(to -> send(to, new SnapshotReply(logId, applied.tail().latest())));
   }
 
   private void send(String to, DistributionMessage message) {
@@ -341,7 +341,7 @@
   }
 
   /** Handles an echo: the leader has received one of this member's reports and the child reports in it. */
-  private void confirm(long token) {
+  private void handleEcho(long token) {
     OutgoingReport report = reports.confirm(token);
     if (report == null) {
       return;
--- a/src/main/java/beampoint/fleet/distribution/DistributionSettings.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionSettings.java
@@ -13,7 +13,7 @@
  * @param parentRetryDelay how long a parent that failed is not tried again
  * @param childTimeout a child that has sent no report for this time is removed
  * @param fetchTimeout how long to wait for the answer to a fetch
- * @param lease how long a proxy counts as fresh after it sent a report that reached the leader
+ * @param freshnessLease how long a proxy counts as fresh after it sent a report that reached the leader
  * @param drift the fraction by which one clock may run faster than another, from 0 to below 1
  * @param burst the number of batches sent at once to a child that lacks more than one
  * @param window the maximum number of entries that are in flight to one child
@@ -27,7 +27,7 @@
  */
 public record DistributionSettings(double minBatchInterval, double heartbeatInterval, double reportInterval,
     double parentTimeout, double sourceTimeout, double parentRetryDelay, double childTimeout,
-    double fetchTimeout, double lease, double drift, int burst, int window, int batchBytes,
+    double fetchTimeout, double freshnessLease, double drift, int burst, int window, int batchBytes,
     int tailEntries, int tailBytes, int maxOutOfOrderEntries, int maxChildren, double snapshotInterval) {
 
   private static final int MAX_CHILDREN_OF_CONTROL_MACHINE = 512;
@@ -35,7 +35,7 @@
   public DistributionSettings {
     boolean isValid = minBatchInterval > 0 && heartbeatInterval >= minBatchInterval
         && parentTimeout > heartbeatInterval && reportInterval > 0 && childTimeout > reportInterval
-        && fetchTimeout > 0 && lease > 0 && drift >= 0 && drift < 1 && burst > 0 && window > 0
+        && fetchTimeout > 0 && freshnessLease > 0 && drift >= 0 && drift < 1 && burst > 0 && window > 0
         && batchBytes > 0 && tailEntries > 0 && tailBytes > 0 && maxOutOfOrderEntries > 0 && maxChildren >= 0
         && snapshotInterval >= 0;
     if (!isValid) {
@@ -52,18 +52,19 @@
   /** The same parameters for a control machine, which has more children, a longer tail and more snapshots. */
   public DistributionSettings forControlMachine() {
     return new DistributionSettings(minBatchInterval, heartbeatInterval, reportInterval, parentTimeout,
-        sourceTimeout, parentRetryDelay, childTimeout, fetchTimeout, lease, drift, burst, window, batchBytes,
+        sourceTimeout, parentRetryDelay, childTimeout, fetchTimeout, freshnessLease, drift, burst, window,
+        batchBytes,
         8 * tailEntries, 16 * tailBytes, maxOutOfOrderEntries, MAX_CHILDREN_OF_CONTROL_MACHINE,
         snapshotInterval / 10);
   }
 
   /** How long a proxy considers itself fresh, by its own clock. */
   double proxyLease() {
-    return lease * (1 - drift);
+    return freshnessLease * (1 - drift);
   }
 
   /** The time without a report after which the leader considers a proxy fenced, by the leader's clock. */
   double fencingTimeout() {
-    return lease * (1 + drift);
+    return freshnessLease * (1 + drift);
   }
 }
--- a/src/main/java/beampoint/fleet/distribution/DistributionTree.java
+++ b/src/main/java/beampoint/fleet/distribution/DistributionTree.java
@@ -51,12 +51,13 @@
     if (relay != null) {
       parents.add(new Parent(relay, false));
     }
-    parents.addAll(controls(self, live, true));
-    parents.addAll(controls(self, live, false));
+    parents.addAll(controlMachines(self, live, true));
+    parents.addAll(controlMachines(self, live, false));
     return List.copyOf(parents.subList(0, Math.min(parents.size(), MAX_PARENTS)));
   }
 
-  private static List<Parent> controls(TreeMember self, Collection<TreeMember> live, boolean ofOwnRegion) {
+  private static List<Parent> controlMachines(TreeMember self, Collection<TreeMember> live,
+      boolean ofOwnRegion) {
     return RendezvousHash.ranked(self.name(), live.stream()
         .filter(p -> p.isControl() && p.region().equals(self.region()) == ofOwnRegion).map(TreeMember::name)
         .toList()).stream().map(name -> new Parent(name, true)).toList();
--- a/src/main/java/beampoint/fleet/distribution/ProgressTracker.java
+++ b/src/main/java/beampoint/fleet/distribution/ProgressTracker.java
@@ -52,8 +52,8 @@
       return;
     }
     proxy.lastHeardAt = now;
-    boolean isNewerProcess = progress.life() > proxy.progress.life();
-    boolean isNotOlder = progress.life() == proxy.progress.life()
+    boolean isNewerProcess = progress.processNumber() > proxy.progress.processNumber();
+    boolean isNotOlder = progress.processNumber() == proxy.progress.processNumber()
         && progress.appliedUpTo() >= proxy.progress.appliedUpTo();
     if (isNewerProcess || isNotOlder) { // otherwise a newer report has arrived before this one
       proxy.progress = progress;
--- a/src/test/java/beampoint/emulator/ControlFleetTest.java
+++ b/src/test/java/beampoint/emulator/ControlFleetTest.java
@@ -34,7 +34,8 @@
     DistributionSettings defaults = DistributionSettings.defaults();
     return new DistributionSettings(defaults.minBatchInterval(), defaults.heartbeatInterval(),
         defaults.reportInterval(), defaults.parentTimeout(), defaults.sourceTimeout(),
-        defaults.parentRetryDelay(), defaults.childTimeout(), defaults.fetchTimeout(), defaults.lease(),
+        defaults.parentRetryDelay(), defaults.childTimeout(), defaults.fetchTimeout(),
+        defaults.freshnessLease(),
         defaults.drift(), defaults.burst(), defaults.window(), defaults.batchBytes(), 64,
         defaults.tailBytes(), defaults.maxOutOfOrderEntries(), defaults.maxChildren(),
         defaults.snapshotInterval());
