--- a/src/main/java/beampoint/emulator/CacheNode.java
+++ b/src/main/java/beampoint/emulator/CacheNode.java
@@ -110,7 +110,7 @@
       attempt.answer(Result.ERROR);
       return;
     }
-    double work = attempt.request.work * attempt.request.kind.work();
+    double work = attempt.request.work * attempt.request.loadClass.work();
     recordColdLoad(work, attempt.instance);
     if (dead) {
       return;
@@ -151,13 +151,13 @@
     double loadMultiple = coldWindowWork / capacity;
     double meanWork = coldWindowWork / coldLoadWindow.size();
     double allowedRequests = world.scenario.rules().fallMultiple() * capacity / meanWork;
-    world.report.coldLoad(loadMultiple);
+    world.report.recordColdLoad(loadMultiple);
     if (coldLoadWindow.size() > allowedRequests + 2 * Math.sqrt(allowedRequests) + 2) {
       double notifiedWork = coldLoadWindow.stream().filter(ReceivedWork::senderNotified)
           .mapToDouble(ReceivedWork::work).sum();
-      world.report.coldFall();
+      world.report.recordColdDeath();
       if (notifiedWork > NOTIFIED_WORK_FRACTION * coldWindowWork) {
-        world.report.ruleBroken(now, "a cold cache was pushed over: " + id);
+        world.report.recordBrokenRule(now, "a cold cache was pushed over: " + id);
       }
       die();
     }
--- a/src/main/java/beampoint/emulator/ChangeChecks.java
+++ b/src/main/java/beampoint/emulator/ChangeChecks.java
@@ -12,13 +12,13 @@
 
   private final List<ChangeEntry> log = new ArrayList<>();
   private final List<Double> committedAt = new ArrayList<>();
-  private double countFrom;
-  private double purgeMax;
-  private double configurationMax;
-  private double healedMax;
-  private long twice;
+  private double countedSince;
+  private double maxPurgeDelayMs;
+  private double maxConfigurationDelayMs;
+  private double maxDelayAfterReconnectMs;
+  private long duplicateApplications;
   private long outOfOrder;
-  private long foreign;
+  private long uncommittedApplied;
   private long snapshots;
   private long applied;
 
@@ -50,12 +50,12 @@
     @Override
     public Outcome apply(ChangeEntry entry) {
       if (entry.index() <= last) {
-        twice++;
+        duplicateApplications++;
       } else if (entry.index() != last + 1) {
         outOfOrder++;
       }
       if (entry.index() > log.size() || !log.get((int) entry.index() - 1).equals(entry)) {
-        foreign++;
+        uncommittedApplied++;
       }
       applied++;
       last = entry.index();
@@ -67,7 +67,7 @@
     public Outcome restore(ConfigurationSnapshot snapshot) {
       snapshots++;
       if (snapshot.index() <= last) {
-        twice++;
+        duplicateApplications++;
       }
       for (long index = last + 1; index <= snapshot.index(); index++) {
         recordDelay(index);
@@ -78,22 +78,23 @@
 
     private void recordDelay(long index) {
       double committed = committedAt((int) index);
-      if (committed < countFrom) {
+      if (committed < countedSince) {
         return;
       }
       if (reachableSince > committed) {
-        healedMax = Math.max(healedMax, Math.max(0, clock.now() - reachableSince));
+        maxDelayAfterReconnectMs =
+            Math.max(maxDelayAfterReconnectMs, Math.max(0, clock.now() - reachableSince));
       } else if (log.get((int) index - 1).change() instanceof ConfigurationChange) {
-        configurationMax = Math.max(configurationMax, clock.now() - committed);
+        maxConfigurationDelayMs = Math.max(maxConfigurationDelayMs, clock.now() - committed);
       } else {
-        purgeMax = Math.max(purgeMax, clock.now() - committed);
+        maxPurgeDelayMs = Math.max(maxPurgeDelayMs, clock.now() - committed);
       }
     }
   }
 
   /** Counts only entries in the measured times that are committed from a time on. */
   void countFrom(double time) {
-    countFrom = time;
+    countedSince = time;
   }
 
   void committed(ChangeEntry entry, double now) {
@@ -119,23 +120,23 @@
   }
 
   /** The longest time in ms from the commit of a purge until a reachable proxy had applied it. */
-  double purgeMax() {
-    return purgeMax;
+  double maxPurgeDelayMs() {
+    return maxPurgeDelayMs;
   }
 
   /** The longest time in ms from the commit of a configuration until a reachable proxy had applied it. */
-  double configurationMax() {
-    return configurationMax;
+  double maxConfigurationDelayMs() {
+    return maxConfigurationDelayMs;
   }
 
   /** The longest time in ms from when a proxy became reachable until it had applied an earlier commit. */
-  double healedMax() {
-    return healedMax;
+  double maxDelayAfterReconnectMs() {
+    return maxDelayAfterReconnectMs;
   }
 
   /** The number of entries and snapshots that were applied although the proxy already had them. */
-  long twice() {
-    return twice;
+  long duplicateApplications() {
+    return duplicateApplications;
   }
 
   /** The number of entries that were applied before a predecessor. */
@@ -144,8 +145,8 @@
   }
 
   /** The number of applied entries that were never committed, or were committed with other contents. */
-  long foreign() {
-    return foreign;
+  long uncommittedApplied() {
+    return uncommittedApplied;
   }
 
   /** The number of applied snapshots. */
--- a/src/main/java/beampoint/emulator/ClientCall.java
+++ b/src/main/java/beampoint/emulator/ClientCall.java
@@ -32,13 +32,13 @@
     ClientRequest request = clientTry.request;
     long timeout = Math.max(1, (long) (clientTry.deadline - now));
     String tenant = scenario.tenants().get(request.tenant).name();
-    String attributes = " Pc=" + request.kind.name() + ",t=" + tenant + ",d=" + timeout;
+    String attributes = " Pc=" + request.loadClass.name() + ",t=" + tenant + ",d=" + timeout;
     String key = String.format(Locale.ROOT, "%016x", request.key);
-    if (!request.kind.write()) {
+    if (!request.loadClass.write()) {
       return "mg " + key + " v " + id + attributes + "\r\n";
     }
     String idempotencyKey =
-        request.kind.rules().idempotency() == Idempotency.KEYED ? ",k=" + id.substring(1) : "";
+        request.loadClass.requestClass().idempotency() == Idempotency.KEYED ? ",k=" + id.substring(1) : "";
     return "ms " + key + " 5 " + id + attributes + idempotencyKey + "\r\nvalue\r\n";
   }
 
--- a/src/main/java/beampoint/emulator/ClientRequest.java
+++ b/src/main/java/beampoint/emulator/ClientRequest.java
@@ -7,19 +7,19 @@
 final class ClientRequest {
 
   final long id;
-  final Scenario.Kind kind;
-  final int kindNumber;
+  final Scenario.LoadClass loadClass;
+  final int classNumber;
   final int tenant;
   final long key;
   final double work; // multiplies the mean work of its class; the same at every server
   final double dueAt;
   int tries;
 
-  ClientRequest(long id, Scenario.Kind kind, int kindNumber, int tenant, long key, double work,
+  ClientRequest(long id, Scenario.LoadClass loadClass, int classNumber, int tenant, long key, double work,
       double dueAt) {
     this.id = id;
-    this.kind = kind;
-    this.kindNumber = kindNumber;
+    this.loadClass = loadClass;
+    this.classNumber = classNumber;
     this.tenant = tenant;
     this.key = key;
     this.work = work;
@@ -27,7 +27,7 @@
   }
 
   double deadline() {
-    return dueAt + kind.rules().deadline();
+    return dueAt + loadClass.requestClass().deadline();
   }
 
   /** One sending of the request, to one instance. */
--- a/src/main/java/beampoint/emulator/ControlEmulation.java
+++ b/src/main/java/beampoint/emulator/ControlEmulation.java
@@ -37,11 +37,11 @@
     Size size = scenario.size();
     Network network = scenario.network();
     this.fleet = new ControlFleet(
-        new FleetLayout(size.proxies(), size.sites(), size.zones(), size.regions(), size.controls()),
+        new FleetLayout(size.proxies(), size.sites(), size.zones(), size.regions(), size.controlMachines()),
         DistributionSettings.defaults(), scenario.fanOut(),
         new ControlNetwork.Delays(network.site(), network.region(), network.far(), network.jitter()),
         false, scenario.seed());
-    fleet.network().setMessageFaults(network.loss(), network.repeats(), 0, 0);
+    fleet.network().setMessageFaults(network.loss(), network.duplicated(), 0, 0);
   }
 
   /** Runs a scenario and returns its figures. */
@@ -117,7 +117,7 @@
     ControlReport report = new ControlReport();
     report.figure("fleet.proxies", scenario.size().proxies());
     report.figure("fleet.sites", scenario.size().sites());
-    report.figure("fleet.control_machines", scenario.size().controls());
+    report.figure("fleet.control_machines", scenario.size().controlMachines());
     report.figure("control.cpu_part", cpuFraction, limits.cpuFraction());
     report.figure("control.heap_mb", heapMb, limits.heapMb());
     reportTraffic(report, limits);
@@ -125,16 +125,16 @@
     ProgressChecks progress = fleet.progressChecks();
     report.figure("changes.purges", purges);
     report.figure("changes.configurations", configurations);
-    report.figure("changes.commit_max_ms", fleet.log().commitMax());
-    report.figure("changes.purge_max_ms", checks.purgeMax(), limits.purgeMs());
-    report.figure("changes.config_max_ms", checks.configurationMax(), limits.configurationMs());
-    report.figure("changes.healed_max_ms", checks.healedMax());
+    report.figure("changes.commit_max_ms", fleet.log().maxCommitDelayMs());
+    report.figure("changes.purge_max_ms", checks.maxPurgeDelayMs(), limits.purgeMs());
+    report.figure("changes.config_max_ms", checks.maxConfigurationDelayMs(), limits.configurationMs());
+    report.figure("changes.healed_max_ms", checks.maxDelayAfterReconnectMs());
     report.figure("changes.known_max_ms", progress.knownMax());
     report.figure("changes.snapshots", checks.snapshots());
     report.mustBeZero("changes.lost", lostEntries());
-    report.mustBeZero("changes.twice", checks.twice());
+    report.mustBeZero("changes.twice", checks.duplicateApplications());
     report.mustBeZero("changes.out_of_order", checks.outOfOrder());
-    report.mustBeZero("changes.foreign", checks.foreign());
+    report.mustBeZero("changes.foreign", checks.uncommittedApplied());
     report.mustBeZero("changes.false_done", progress.falseDone());
     report.mustBeZero("changes.fenced_fresh", progress.fencedFresh());
     if (scenario.membership().members() > 0) {
@@ -145,25 +145,27 @@
 
   private void reportTraffic(ControlReport report, Limits limits) {
     double now = fleet.now();
-    int controlCount = scenario.size().controls();
+    int controlCount = scenario.size().controlMachines();
     List<ControlHost> proxies = fleet.hosts().subList(controlCount, fleet.hosts().size());
     List<ControlHost> controlMachines = fleet.hosts().subList(0, controlCount);
     double membershipBytes = scenario.membership().bytesPerSecond();
     report.figure("control.bytes_s_membership_taken", membershipBytes);
     report.figure("control.bytes_s_distribution_mean",
-        proxies.stream().mapToDouble(h -> h.traffic.meanOfSecond(now)).average().orElse(0));
+        proxies.stream().mapToDouble(h -> h.traffic.meanBytesPerSecond(now)).average().orElse(0));
     report.figure("control.bytes_s_mean",
-        membershipBytes + proxies.stream().mapToDouble(h -> h.traffic.meanOfSecond(now)).average().orElse(0),
+        membershipBytes
+            + proxies.stream().mapToDouble(h -> h.traffic.meanBytesPerSecond(now)).average().orElse(0),
         limits.bytesPerSecond());
     report.figure("control.bytes_s_highest_mean",
-        membershipBytes + proxies.stream().mapToDouble(h -> h.traffic.meanOfSecond(now)).max().orElse(0),
+        membershipBytes
+            + proxies.stream().mapToDouble(h -> h.traffic.meanBytesPerSecond(now)).max().orElse(0),
         limits.bytesPerSecond());
     report.figure("control.bytes_s_worst",
-        membershipBytes + proxies.stream().mapToDouble(h -> h.traffic.worstSecond()).max().orElse(0));
+        membershipBytes + proxies.stream().mapToDouble(h -> h.traffic.maxBytesPerSecond()).max().orElse(0));
     report.figure("control.machine_bytes_s_mean",
-        controlMachines.stream().mapToDouble(h -> h.traffic.meanOfSecond(now)).average().orElse(0));
+        controlMachines.stream().mapToDouble(h -> h.traffic.meanBytesPerSecond(now)).average().orElse(0));
     report.figure("control.machine_bytes_s_worst",
-        controlMachines.stream().mapToDouble(h -> h.traffic.worstSecond()).max().orElse(0));
+        controlMachines.stream().mapToDouble(h -> h.traffic.maxBytesPerSecond()).max().orElse(0));
   }
 
   /** The number of entries that hosts lack at the end although they have been reachable for long enough. */
--- a/src/main/java/beampoint/emulator/ControlFleet.java
+++ b/src/main/java/beampoint/emulator/ControlFleet.java
@@ -82,7 +82,7 @@
     host.life++;
     double since = isReachable(number) ? clock.now() : Double.POSITIVE_INFINITY;
     ChangeChecks.Record record = checks.new Record(clock, since);
-    boolean isControl = number < layout.controls();
+    boolean isControl = number < layout.controlMachines();
     host.start(new DistributionNode(isControl ? settings.forControlMachine() : settings, host.member,
         FIRST_LIFE + host.life, 0, record, host.localTime(clock.now())), record);
     if (isControl) {
@@ -102,7 +102,7 @@
   }
 
   /** Lets the other hosts detect that hosts were killed, started, cut off or reconnected. */
-  public void changed(List<Integer> numbers) {
+  public void detectChanges(List<Integer> numbers) {
     views.changed(numbers);
   }
 
@@ -187,7 +187,7 @@
   private void updateParents(ControlHost host) {
     if (host.isUp()) {
       List<TreeMember> live = new ArrayList<>();
-      for (int other : views.ofInterest(host)) {
+      for (int other : views.possiblePeers(host)) {
         if (!host.dead.contains(layout.member(other).name())) {
           live.add(layout.member(other));
         }
@@ -204,7 +204,7 @@
       }
       host.node.handle(host.localTime(clock.now()), event).forEach(action -> {
         if (action instanceof Send send) {
-          send(host, hosts.get(layout.number(send.to())), send.message());
+          send(host, hosts.get(layout.hostNumber(send.to())), send.message());
         }
       });
     }
--- a/src/main/java/beampoint/emulator/ControlLog.java
+++ b/src/main/java/beampoint/emulator/ControlLog.java
@@ -5,11 +5,11 @@
 import beampoint.fleet.changes.ChangeEntry;
 import beampoint.fleet.changes.ChangeId;
 import beampoint.fleet.changes.ControlNode;
+import beampoint.fleet.changes.LogAction;
 import beampoint.fleet.changes.LogAction.Answer;
 import beampoint.fleet.changes.LogAction.Deliver;
 import beampoint.fleet.changes.LogAction.Install;
 import beampoint.fleet.changes.LogAction.Send;
-import beampoint.fleet.changes.LogAction;
 import beampoint.fleet.changes.LogLimits;
 import beampoint.fleet.changes.LogMessage;
 import beampoint.fleet.changes.LogSettings;
@@ -18,8 +18,8 @@
 import beampoint.fleet.changes.Snapshot;
 import beampoint.fleet.changes.SubmitOutcome.Committed;
 import beampoint.fleet.distribution.ConfigurationSnapshot;
-import beampoint.fleet.distribution.DistributionEvent.Installed;
 import beampoint.fleet.distribution.DistributionEvent;
+import beampoint.fleet.distribution.DistributionEvent.Installed;
 import beampoint.fleet.distribution.DistributionNode;
 import beampoint.fleet.facts.Epoch;
 import beampoint.fleet.lease.LeaseSettings;
@@ -62,7 +62,7 @@
   private final LeaseSettings leaseSettings;
   private final Map<ChangeId, Pending> pending = new HashMap<>();
   private long submitted;
-  private double commitMax;
+  private double maxCommitDelayMs;
 
   ControlLog(Clock clock, FleetLayout layout, List<ControlHost> hosts, ControlNetwork network,
       ChangeChecks checks, UniformRandomProvider random,
@@ -76,7 +76,7 @@
     this.deliverEvent = deliverEvent;
     this.leaderChanged = leaderChanged;
     SortedSet<String> voters = new TreeSet<>();
-    for (int i = 0; i < layout.controls(); i++) {
+    for (int i = 0; i < layout.controlMachines(); i++) {
       voters.add(layout.member(i).name());
     }
     this.logSettings = new LogSettings(voters, RETRY_MS, LogLimits.DEFAULTS);
@@ -105,7 +105,7 @@
 
   /** Submits a change, and retries until it is committed. */
   void submit(Change change) {
-    String submitter = layout.member(random.nextInt(layout.controls())).name();
+    String submitter = layout.member(random.nextInt(layout.controlMachines())).name();
     ChangeId id = new ChangeId(submitter, ++submitted);
     pending.put(id, new Pending(change, clock.now()));
     trySubmit(id);
@@ -126,7 +126,7 @@
   private void committed(ChangeId id) {
     Pending change = pending.remove(id);
     if (change != null) {
-      commitMax = Math.max(commitMax, clock.now() - change.submittedAt());
+      maxCommitDelayMs = Math.max(maxCommitDelayMs, clock.now() - change.submittedAt());
     }
   }
 
@@ -136,15 +136,15 @@
   }
 
   /** The longest time in ms from a change's first submission to the answer that it is committed. */
-  double commitMax() {
-    return commitMax;
+  double maxCommitDelayMs() {
+    return maxCommitDelayMs;
   }
 
   // ---- Control machines -----------------------------------------------------------------------------------
 
   /** Returns the number of the control machine that leads; -1 if there is none. */
   int leader() {
-    for (ControlHost host : hosts.subList(0, layout.controls())) {
+    for (ControlHost host : hosts.subList(0, layout.controlMachines())) {
       if (host.isUp() && !host.isPaused() && host.controlNode.leads(host.localTime(clock.now()))) {
         return host.number;
       }
@@ -175,7 +175,7 @@
   private void execute(ControlHost host, List<LogAction> actions) {
     for (LogAction action : actions) {
       if (action instanceof Send send) {
-        send(host, hosts.get(layout.number(send.to())), send.message());
+        send(host, hosts.get(layout.hostNumber(send.to())), send.message());
       } else if (action instanceof Answer answer && answer.outcome() instanceof Committed) {
         committed(answer.id());
       } else if (action instanceof Deliver entries) {
--- a/src/main/java/beampoint/emulator/ControlScenario.java
+++ b/src/main/java/beampoint/emulator/ControlScenario.java
@@ -19,7 +19,7 @@
   private static final double SECONDS_PER_DAY = 24 * 3_600;
 
   /** The numbers of proxies, sites, zones, regions and control machines. */
-  public record Size(int proxies, int sites, int zones, int regions, int controls) {}
+  public record Size(int proxies, int sites, int zones, int regions, int controlMachines) {}
 
   /**
    * Membership. The protocol is not run at the size of the fleet, where the views follow a model.
@@ -33,7 +33,8 @@
    * One-way delays in ms by distance, and the fractions of messages that are lost and duplicated ({@code
    * repeats}).
    */
-  public record Network(double site, double region, double far, double jitter, double loss, double repeats) {}
+  public record Network(double site, double region, double far, double jitter, double loss,
+      double duplicated) {}
 
   /** Purges per second, configuration changes per second, and the length of a configuration document. */
   public record Changes(double purges, double configurations, int documentBytes) {}
--- a/src/main/java/beampoint/emulator/FaultPlan.java
+++ b/src/main/java/beampoint/emulator/FaultPlan.java
@@ -20,7 +20,7 @@
       } else {
         fleet.isolate(hosts, 1 + fault.place());
       }
-      fleet.changed(hosts);
+      fleet.detectChanges(hosts);
     });
     fleet.at(fault.at() + fault.length(), () -> {
       if (isZone) {
@@ -28,7 +28,7 @@
       } else {
         fleet.isolate(hosts, 0);
       }
-      fleet.changed(hosts);
+      fleet.detectChanges(hosts);
     });
   }
 }
--- a/src/main/java/beampoint/emulator/Faults.java
+++ b/src/main/java/beampoint/emulator/Faults.java
@@ -71,7 +71,7 @@
         world.clock.after(fault.length(), world.discovery::recover);
       }
       case SURGE -> {
-        int tenant = world.scenario.tenants().stream().map(Scenario.Client::name).toList()
+        int tenant = world.scenario.tenants().stream().map(Scenario.TenantLoad::name).toList()
             .indexOf(fault.tenant());
         world.loadGenerator.setSurge(tenant, fault.factor());
         world.clock.after(fault.length(), () -> world.loadGenerator.setSurge(tenant, 1));
--- a/src/main/java/beampoint/emulator/FleetLayout.java
+++ b/src/main/java/beampoint/emulator/FleetLayout.java
@@ -16,16 +16,16 @@
  */
 public final class FleetLayout {
 
-  private final int controls;
+  private final int controlMachines;
   private final List<TreeMember> members = new ArrayList<>();
   private final List<Integer> zones = new ArrayList<>();
   private final List<Integer> regions = new ArrayList<>();
   private final Map<String, Integer> numbers = new HashMap<>();
 
   /** Creates a layout with these numbers of proxies, sites, zones, regions and control machines. */
-  public FleetLayout(int proxies, int sites, int zoneCount, int regionCount, int controls) {
-    this.controls = controls;
-    for (int i = 0; i < controls; i++) {
+  public FleetLayout(int proxies, int sites, int zoneCount, int regionCount, int controlMachines) {
+    this.controlMachines = controlMachines;
+    for (int i = 0; i < controlMachines; i++) {
       add(TreeMember.control(String.format("control-%02d", i), regionName(i % regionCount)), i % zoneCount,
           i % regionCount);
     }
@@ -56,8 +56,8 @@
   }
 
   /** The number of control machines. */
-  public int controls() {
-    return controls;
+  public int controlMachines() {
+    return controlMachines;
   }
 
   /** The member at a host, by the number of the host from 0. */
@@ -92,7 +92,7 @@
   }
 
   /** The number of the host of this name. */
-  public int number(String name) {
+  public int hostNumber(String name) {
     return numbers.get(name);
   }
 }
--- a/src/main/java/beampoint/emulator/Instance.java
+++ b/src/main/java/beampoint/emulator/Instance.java
@@ -85,7 +85,7 @@
     double now = world.clock.now();
     Double deadline = drainDeadlines.get(endpoint);
     if (deadline != null && now > deadline) {
-      world.report.ruleBroken(now, "sent past a drain's grace: " + endpoint);
+      world.report.recordBrokenRule(now, "sent past a drain's grace: " + endpoint);
     }
   }
 
--- a/src/main/java/beampoint/emulator/LoadGenerator.java
+++ b/src/main/java/beampoint/emulator/LoadGenerator.java
@@ -41,7 +41,7 @@
         -WORK_LOG_STDDEV * WORK_LOG_STDDEV / 2, WORK_LOG_STDDEV);
     this.keys = RejectionInversionZipfSampler.of(arrivals, world.scenario.keys().count(),
         world.scenario.keys().exponent());
-    this.totalShare = world.scenario.kinds().stream().mapToDouble(Scenario.Kind::share).sum();
+    this.totalShare = world.scenario.loadClasses().stream().mapToDouble(Scenario.LoadClass::share).sum();
     this.surgeFactors = new double[world.scenario.tenants().size()];
     Arrays.fill(surgeFactors, 1);
   }
@@ -69,16 +69,17 @@
   }
 
   private void arrive(int tenant, double due) {
-    int kind = 0;
+    int classNumber = 0;
     double point = arrivals.nextDouble() * totalShare;
-    List<Scenario.Kind> kinds = world.scenario.kinds();
-    while (kind < kinds.size() - 1 && point >= kinds.get(kind).share()) {
-      point -= kinds.get(kind++).share();
+    List<Scenario.LoadClass> loadClasses = world.scenario.loadClasses();
+    while (classNumber < loadClasses.size() - 1 && point >= loadClasses.get(classNumber).share()) {
+      point -= loadClasses.get(classNumber++).share();
     }
     long drift = (long) (world.scenario.keys().drift() * (due - world.start) / 1000);
     long key = keys.sample() + drift;
     ClientRequest request =
-        new ClientRequest(++lastId, kinds.get(kind), kind, tenant, key, work.sample(), due);
+        new ClientRequest(++lastId, loadClasses.get(classNumber), classNumber, tenant, key, work.sample(),
+            due);
     world.report.requestArrived(request);
     send(request);
   }
@@ -86,7 +87,7 @@
   private void send(ClientRequest request) {
     double now = world.clock.now();
     request.tries++;
-    double maxTryTime = request.kind.rules().deadline() * world.scenario.clients().tryPart();
+    double maxTryTime = request.loadClass.requestClass().deadline() * world.scenario.clients().tryPart();
     double tryTime = Math.min(request.deadline() - now, maxTryTime);
     ClientRequest.Try clientTry = new ClientRequest.Try(request, now + tryTime);
     List<Instance> available = world.proxies().stream().filter(Instance::isBelievedUp).toList();
@@ -122,10 +123,10 @@
   }
 
   private void retryOrGiveUp(ClientRequest request, Outcome outcome, double wait) {
-    boolean mayRepeat = outcome == Outcome.REFUSED || !request.kind.write();
+    boolean mayRepeat = outcome == Outcome.REFUSED || !request.loadClass.write();
     boolean beforeDeadline = world.clock.now() + wait < request.deadline();
     if (mayRepeat && beforeDeadline && request.tries <= world.scenario.clients().retries()) {
-      world.report.retry();
+      world.report.recordRetry();
       world.clock.after(wait, () -> send(request));
     } else {
       world.report.notServed(request, outcome);
--- a/src/main/java/beampoint/emulator/MemberFleet.java
+++ b/src/main/java/beampoint/emulator/MemberFleet.java
@@ -211,7 +211,7 @@
   }
 
   /** Sets the minimum delay and the maximum random delay in ms, and the fraction of duplicated messages. */
-  public void delay(double minimum, double maxJitter, double duplication) {
+  public void setDelayAndDuplication(double minimum, double maxJitter, double duplication) {
     delay = minimum;
     jitter = maxJitter;
     duplicationRate = duplication;
--- a/src/main/java/beampoint/emulator/MembershipEmulation.java
+++ b/src/main/java/beampoint/emulator/MembershipEmulation.java
@@ -18,7 +18,7 @@
     int members = scenario.membership().members();
     ControlFleet fleet = new ControlFleet(
         new FleetLayout(members, Math.min(size.sites(), members), size.zones(), size.regions(),
-            size.controls()),
+            size.controlMachines()),
         DistributionSettings.defaults(), scenario.fanOut(),
         new ControlNetwork.Delays(network.site(), network.region(), network.far(), network.jitter()), true,
         scenario.seed());
--- a/src/main/java/beampoint/emulator/MembershipViews.java
+++ b/src/main/java/beampoint/emulator/MembershipViews.java
@@ -41,7 +41,7 @@
   private final MembershipSettings settings = MembershipSettings.defaults();
   private final Codec codec = new Codec("emulated");
   private final List<MemberState> initialStates = new ArrayList<>();
-  private final SiteNeighbours neighbours;
+  private final PossiblePeers possiblePeers;
   private final double[] changedAt; // when each host was last killed, started, cut off or reconnected
   private final Histogram detection = new Histogram(MAX_DETECTION_MS, 3);
   private long wronglyDead;
@@ -56,7 +56,7 @@
     this.network = network;
     this.random = random;
     this.viewChanged = viewChanged;
-    this.neighbours = new SiteNeighbours(layout);
+    this.possiblePeers = new PossiblePeers(layout);
     this.changedAt = new double[layout.hosts()];
     for (int i = 0; i < layout.hosts(); i++) {
       String name = layout.member(i).name();
@@ -66,8 +66,8 @@
   }
 
   @Override
-  public List<Integer> ofInterest(ControlHost host) {
-    return neighbours.of(host.member);
+  public List<Integer> possiblePeers(ControlHost host) {
+    return possiblePeers.of(host.member);
   }
 
   @Override
@@ -109,16 +109,16 @@
 
   private void execute(ControlHost host, MemberAction action) {
     if (action instanceof Send send) {
-      send(host, hosts.get(layout.number(send.to().member())), send.message());
+      send(host, hosts.get(layout.hostNumber(send.to().member())), send.message());
     } else if (action instanceof Exchange exchange) {
-      exchange(host, hosts.get(layout.number(exchange.peer().member())));
+      exchange(host, hosts.get(layout.hostNumber(exchange.peer().member())));
     } else if (action instanceof Changed changed) {
       recordChange(host, changed.state());
     }
   }
 
   private void recordChange(ControlHost host, MemberState state) {
-    int other = layout.number(state.member());
+    int other = layout.hostNumber(state.member());
     boolean isDead = state.status() == Status.DEAD || state.status() == Status.LEFT;
     if (isDead) {
       boolean isOwnVerdict = state.reporter().equals(host.member.name());
@@ -131,7 +131,7 @@
       }
     }
     boolean isViewChanged = isDead ? host.dead.add(state.member()) : host.dead.remove(state.member());
-    if (isViewChanged && neighbours.of(host.member).contains(other)) {
+    if (isViewChanged && possiblePeers.of(host.member).contains(other)) {
       viewChanged.accept(host);
     }
   }
--- a/src/main/java/beampoint/emulator/ModelledViews.java
+++ b/src/main/java/beampoint/emulator/ModelledViews.java
@@ -23,7 +23,7 @@
   private final ControlNetwork network;
   private final UniformRandomProvider random;
   private final Consumer<ControlHost> viewChanged;
-  private final SiteNeighbours neighbours;
+  private final PossiblePeers possiblePeers;
 
   ModelledViews(Clock clock, FleetLayout layout, List<ControlHost> hosts, ControlNetwork network,
       UniformRandomProvider random, Consumer<ControlHost> viewChanged) {
@@ -33,12 +33,12 @@
     this.network = network;
     this.random = random;
     this.viewChanged = viewChanged;
-    this.neighbours = new SiteNeighbours(layout);
+    this.possiblePeers = new PossiblePeers(layout);
   }
 
   @Override
-  public List<Integer> ofInterest(ControlHost host) {
-    return neighbours.of(host.member);
+  public List<Integer> possiblePeers(ControlHost host) {
+    return possiblePeers.of(host.member);
   }
 
   @Override
@@ -66,7 +66,7 @@
       return;
     }
     boolean isViewChanged = false;
-    for (int number : ofInterest(host)) {
+    for (int number : possiblePeers(host)) {
       ControlHost other = hosts.get(number);
       boolean isUnreachable = !other.isUp() || network.partition(number) != network.partition(host.number);
       String name = layout.member(number).name();
--- a/src/main/java/beampoint/emulator/ModuleInstance.java
+++ b/src/main/java/beampoint/emulator/ModuleInstance.java
@@ -104,13 +104,13 @@
     requestsByTry.put(clientTry, open);
     scheduleWhileUp(clientTry.deadline + ANSWER_TOLERANCE_MS - world.clock.now(), () -> {
       if (!clientTry.finished) {
-        world.report.ruleBroken(world.clock.now(), "a request was lost: no answer in time");
+        world.report.recordBrokenRule(world.clock.now(), "a request was lost: no answer in time");
         answerClient(id, ClientRequest.Outcome.LOST, 0);
       }
     });
     ClientRequest request = clientTry.request;
-    handle(new RequestReceived(id, clientTry.deadline, request.tenant, request.kindNumber, request.key,
-        request.kind.write()));
+    handle(new RequestReceived(id, clientTry.deadline, request.tenant, request.classNumber, request.key,
+        request.loadClass.write()));
   }
 
   @Override
@@ -124,7 +124,7 @@
   }
 
   private void handle(Event event) {
-    world.report.decision();
+    world.report.recordDecision();
     for (Action action : balancer.handle(world.clock.now(), event)) {
       carryOut(action);
     }
@@ -200,7 +200,7 @@
     CacheNode node = world.cache(a.endpoint());
     Attempt attempt = new Attempt(this, open.clientTry, open.attempts++, node, now);
     open.inFlight = attempt;
-    world.report.attempt(attempt.number);
+    world.report.recordAttempt(attempt.number);
     checkDrainGrace(a.endpoint());
     double deadline = open.clientTry.deadline;
     double attemptDeadline = a.timeout() > 0 ? Math.min(deadline, now + a.timeout()) : deadline;
@@ -241,7 +241,7 @@
       if (connectResult == Result.OK) {
         attempt.nodeIncarnation = node.incarnation;
         attempt.connected = true;
-        world.report.handshake();
+        world.report.recordHandshake();
         scheduleWhileUp(2 * oneWayDelay(node),
             () -> unlessFinished(attempt, () -> node.receive(attempt, true)));
       } else {
@@ -313,7 +313,7 @@
     } else {
       close(attempt);
     }
-    world.report.ended(result);
+    world.report.recordResult(result);
     if (result == Result.MISS) {
       open.missedNodes.add(attempt.node);
     }
@@ -327,7 +327,7 @@
   }
 
   private void probe(String endpoint) {
-    world.report.probe();
+    world.report.recordProbe();
     CacheNode node = world.cache(endpoint);
     double connectTimeout = world.scenario.limits().connectTimeout();
     boolean silent = node != null && node.silent;
--- a/src/main/java/beampoint/emulator/OriginServer.java
+++ b/src/main/java/beampoint/emulator/OriginServer.java
@@ -35,7 +35,7 @@
   }
 
   void receive(Attempt attempt) {
-    world.report.fetch();
+    world.report.recordFetch();
     recordArrival(attempt);
     attempt.server = server;
     attempt.job = server.submit(() -> attempt.request.work * origin.work() * slowness, () -> done(attempt));
@@ -55,9 +55,9 @@
     double maxArrivals = origin.stopMultiple() * origin.servers() * origin.stopWindow() / origin.work();
     if (!server.isPaused() && window.size() > maxArrivals) {
       server.pause(origin.stopped());
-      world.report.originStopped();
+      world.report.recordOriginStop();
       if (coldArrivals > window.size() / 2) {
-        world.report.ruleBroken(now, "the origin was stopped by misses of cold caches");
+        world.report.recordBrokenRule(now, "the origin was stopped by misses of cold caches");
       }
     }
   }
@@ -65,7 +65,7 @@
   private void done(Attempt attempt) {
     ClientRequest.Try clientTry = attempt.clientTry;
     ClientRequest request = attempt.request;
-    if (!request.kind.write()) {
+    if (!request.loadClass.write()) {
       attempt.instance.missedNodes(clientTry).forEach(node -> node.store(request.key));
     } else {
       world.caches().forEach(node -> node.invalidate(request.key));
@@ -80,15 +80,16 @@
    */
   private void runEffect(ClientRequest.Try clientTry, ClientRequest request) {
     double now = world.clock.now();
-    boolean deduplicated = request.kind.rules().idempotency() == Idempotency.KEYED && clientTry.effectRuns > 0
-        && now - clientTry.effectRanAt <= request.kind.rules().dedupWindow();
-    if (deduplicated || request.kind.rules().idempotency() == Idempotency.SAFE) {
+    boolean deduplicated =
+        request.loadClass.requestClass().idempotency() == Idempotency.KEYED && clientTry.effectRuns > 0
+            && now - clientTry.effectRanAt <= request.loadClass.requestClass().dedupWindow();
+    if (deduplicated || request.loadClass.requestClass().idempotency() == Idempotency.SAFE) {
       return;
     }
     clientTry.effectRuns++;
     clientTry.effectRanAt = now;
     if (clientTry.effectRuns > 1) {
-      world.report.ruleBroken(now, "an effect ran twice: class " + request.kind.name());
+      world.report.recordBrokenRule(now, "an effect ran twice: class " + request.loadClass.name());
     }
   }
 }
--- a/src/main/java/beampoint/emulator/SiteNeighbours.java
+++ b/src/main/java/beampoint/emulator/PossiblePeers.java
@@ -7,20 +7,20 @@
 import java.util.Map;
 
 /** The hosts that each host may be connected to in the distribution tree. */
-final class SiteNeighbours {
+final class PossiblePeers {
 
   private final Map<String, List<Integer>> ofSite = new HashMap<>();
 
-  SiteNeighbours(FleetLayout layout) {
-    List<Integer> controls = new ArrayList<>();
+  PossiblePeers(FleetLayout layout) {
+    List<Integer> controlMachines = new ArrayList<>();
     for (int i = 0; i < layout.hosts(); i++) {
-      if (i < layout.controls()) {
-        controls.add(i);
+      if (i < layout.controlMachines()) {
+        controlMachines.add(i);
       } else {
-        ofSite.computeIfAbsent(layout.member(i).site(), site -> new ArrayList<>(controls)).add(i);
+        ofSite.computeIfAbsent(layout.member(i).site(), site -> new ArrayList<>(controlMachines)).add(i);
       }
     }
-    ofSite.put("", controls);
+    ofSite.put("", controlMachines);
   }
 
   /** The control machines and the hosts of this member's site. */
--- a/src/main/java/beampoint/emulator/ProcessFleet.java
+++ b/src/main/java/beampoint/emulator/ProcessFleet.java
@@ -104,7 +104,7 @@
         listenerOf(node).setListening(!node.dead && !node.refusesConnections);
       }
       if (hasUnexpectedExit()) {
-        world.report.ruleBroken(clock.now(), "a proxy has ended by itself");
+        world.report.recordBrokenRule(clock.now(), "a proxy has ended by itself");
       }
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -157,7 +157,7 @@
   private void serveNode(CacheNode node, Socket socket, InputStream in) throws IOException {
     ConnectionState connection = new ConnectionState();
     boolean firstRequest = true;
-    clock.post(world.report::handshake);
+    clock.post(world.report::recordHandshake);
     try {
       for (String line = Listener.readLine(in); line != null; line = Listener.readLine(in)) {
         String[] fields = line.split(" ");
@@ -177,7 +177,7 @@
   }
 
   private void handleProbe(CacheNode node, Socket socket) {
-    world.report.probe();
+    world.report.recordProbe();
     if (!node.silent) {
       clock.after(world.scenario.delay() * 2, () -> Listener.write(socket, "MN\r\n"));
     }
--- a/src/main/java/beampoint/emulator/ProcessInstance.java
+++ b/src/main/java/beampoint/emulator/ProcessInstance.java
@@ -130,7 +130,7 @@
         (outcome, advice) -> fleet.clock().post(() -> callEnded(clientTry, outcome, advice, ofIncarnation)));
     world.clock.at(clientTry.deadline + ANSWER_TOLERANCE_MS, () -> {
       if (!clientTry.finished && ofIncarnation == incarnation && isUp()) {
-        world.report.ruleBroken(world.clock.now(), "a request was lost: no answer in time");
+        world.report.recordBrokenRule(world.clock.now(), "a request was lost: no answer in time");
       }
     });
   }
@@ -144,7 +144,7 @@
     forget(clientTry);
     if (!clientTry.finished) {
       if (outcome == ClientRequest.Outcome.LOST && ofIncarnation == incarnation && isUp()) {
-        world.report.ruleBroken(world.clock.now(),
+        world.report.recordBrokenRule(world.clock.now(),
             "a request was lost: its connection ended without an answer");
       }
       world.loadGenerator.answered(clientTry, outcome, advice);
@@ -179,7 +179,7 @@
     OpenRequest request = openRequests.get(clientTry);
     double now = world.clock.now();
     Attempt attempt = new Attempt(this, clientTry, request == null ? 0 : request.attempts++, node, now);
-    world.report.attempt(attempt.number);
+    world.report.recordAttempt(attempt.number);
     if (node != null) {
       checkDrainGrace(node.id);
     }
@@ -190,7 +190,7 @@
   @Override
   void attemptAnswered(Attempt attempt, Result result) {
     inFlight.remove(attempt);
-    world.report.ended(result);
+    world.report.recordResult(result);
     OpenRequest request = openRequests.get(attempt.clientTry);
     if (result == Result.MISS && request != null) {
       request.missedNodes.add(attempt.node);
@@ -202,7 +202,7 @@
   void connectionLost(Attempt attempt) {
     if (!attempt.finished && inFlight.remove(attempt)) {
       attempt.cancel();
-      world.report.ended(Result.TIMEOUT);
+      world.report.recordResult(Result.TIMEOUT);
     }
   }
 
@@ -212,7 +212,7 @@
     List.copyOf(inFlight).stream().filter(attempt -> attempt.node == node).forEach(attempt -> {
       inFlight.remove(attempt);
       attempt.cancel();
-      world.report.ended(Result.RESET);
+      world.report.recordResult(Result.RESET);
     });
   }
 
--- a/src/main/java/beampoint/emulator/Report.java
+++ b/src/main/java/beampoint/emulator/Report.java
@@ -31,7 +31,7 @@
 
   private final Scenario scenario;
   private final Tally all = new Tally();
-  private final List<Tally> kinds = new ArrayList<>();
+  private final List<Tally> loadClasses = new ArrayList<>();
   private final List<Tally> tenants = new ArrayList<>();
   private final Map<Result, Long> results = new EnumMap<>(Result.class);
   private final List<String> brokenRules = new ArrayList<>();
@@ -43,7 +43,7 @@
 
   Report(Scenario scenario) {
     this.scenario = scenario;
-    scenario.kinds().forEach(kind -> kinds.add(new Tally()));
+    scenario.loadClasses().forEach(loadClass -> loadClasses.add(new Tally()));
     scenario.tenants().forEach(tenant -> tenants.add(new Tally()));
     for (String name : List.of("attempts", "second_attempts", "retries", "probes", "handshakes", "fetches",
         "origin_stopped", "decisions", "cold_falls")) {
@@ -51,7 +51,7 @@
     }
   }
 
-  void start(double at) {
+  void recordStart(double at) {
     start = at;
   }
 
@@ -64,50 +64,50 @@
     counts.merge(name, 1L, Long::sum);
   }
 
-  void attempt(int number) {
+  void recordAttempt(int number) {
     count("attempts");
     if (number > 0) {
       count("second_attempts");
     }
   }
 
-  void ended(Result result) {
+  void recordResult(Result result) {
     results.merge(result, 1L, Long::sum);
   }
 
-  void retry() {
+  void recordRetry() {
     count("retries");
   }
 
-  void probe() {
+  void recordProbe() {
     count("probes");
   }
 
-  void handshake() {
+  void recordHandshake() {
     count("handshakes");
   }
 
-  void fetch() {
+  void recordFetch() {
     count("fetches");
   }
 
-  void originStopped() {
+  void recordOriginStop() {
     count("origin_stopped");
   }
 
-  void decision() {
+  void recordDecision() {
     count("decisions");
   }
 
-  void coldLoad(double multiple) {
+  void recordColdLoad(double multiple) {
     maxColdMultiple = Math.max(maxColdMultiple, multiple);
   }
 
-  void coldFall() {
+  void recordColdDeath() {
     count("cold_falls");
   }
 
-  void ruleBroken(double at, String rule) {
+  void recordBrokenRule(double at, String rule) {
     brokenRuleCount++;
     if (brokenRules.size() < MAX_LISTED_RULES) {
       brokenRules.add(String.format(Locale.ROOT, "%.3f s, seed %d: %s", (at - start) / 1000, scenario.seed(),
@@ -117,25 +117,29 @@
 
   private List<Tally> tallies(ClientRequest request) {
     boolean counted = request.dueAt >= start + scenario.warmUp();
-    return counted ? List.of(all, kinds.get(request.kindNumber), tenants.get(request.tenant)) : List.of();
+    return counted ? List.of(all, loadClasses.get(request.classNumber), tenants.get(request.tenant))
+        : List.of();
   }
 
   void requestArrived(ClientRequest request) {
     for (Tally tally : tallies(request)) {
       tally.arrived++;
       // A request whose deadline is after the end of the run does not count for the service.
-      tally.worth += request.deadline() <= start + scenario.length() ? request.kind.rules().worth() : 0;
+      tally.worth +=
+          request.deadline() <= start + scenario.length() ? request.loadClass.requestClass().worth() : 0;
     }
   }
 
   void served(ClientRequest request, double time) {
-    boolean inTime = time <= request.kind.rules().aim();
+    boolean inTime = time <= request.loadClass.requestClass().aim();
     for (Tally tally : tallies(request)) {
       tally.inTime += inTime ? 1 : 0;
       tally.late += inTime ? 0 : 1;
       tally.micros.recordValue((long) Math.min(MAX_MICROS, time * 1000));
       if (request.deadline() <= start + scenario.length()) {
-        tally.earned += request.kind.rules().worth() * (inTime ? 1 : request.kind.rules().lateWorth());
+        tally.earned +=
+            request.loadClass.requestClass().worth()
+                * (inTime ? 1 : request.loadClass.requestClass().lateWorth());
       }
     }
   }
@@ -147,7 +151,7 @@
     }
   }
 
-  void end(long tasks) {
+  void recordEnd(long tasks) {
     executedTasks = tasks;
   }
 
@@ -176,8 +180,8 @@
     Map<String, Double> figures = new LinkedHashMap<>();
     figures.put("service", service());
     tally(figures, "all", all);
-    for (int i = 0; i < kinds.size(); i++) {
-      tally(figures, "class." + scenario.kinds().get(i).name(), kinds.get(i));
+    for (int i = 0; i < loadClasses.size(); i++) {
+      tally(figures, "class." + scenario.loadClasses().get(i).name(), loadClasses.get(i));
     }
     for (int i = 0; i < tenants.size(); i++) {
       tally(figures, "tenant." + scenario.tenants().get(i).name(), tenants.get(i));
--- a/src/main/java/beampoint/emulator/Scenario.java
+++ b/src/main/java/beampoint/emulator/Scenario.java
@@ -16,10 +16,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** A scenario of a fleet: its clients, caches, origin and faults, read from a YAML file. Times are in ms. */
+/**
+ * A scenario of a fleet: its clients, caches, origin and faults, read from a YAML file. Times are in ms;
+ * {@code delay} is the one-way network delay, to which an attempt that crosses zones adds {@code zoneDelay}.
+ */
 public record Scenario(String name, long seed, double length, double warmUp, int proxies, int zones,
     double zoneDelay, double delay, Limits limits, Rules rules, Prices prices, double overShareWorth,
-    List<Kind> kinds, List<Client> tenants, Keys keys, Caches caches, Origin origin, Clients clients,
+    List<LoadClass> loadClasses, List<TenantLoad> tenants, Keys keys, Caches caches, Origin origin,
+    Clients clients,
     double discoveryDelay, List<Fault> faults) {
 
   private static final int VERSION = 1;
@@ -27,11 +31,11 @@
   private static final int MAX_PROCESSES = 4_096; // of a kind; nearly twice the planned fleet
   private static final int MAX_ZONES = 1_024;
 
-  /** A class of requests: its share of all requests, its mean work at a cache in ms, and its rules. */
-  public record Kind(String name, double share, double work, boolean write, RequestClass rules) {}
+  /** A class of requests: its share of all requests, its mean work at a cache in ms, and its settings. */
+  public record LoadClass(String name, double share, double work, boolean write, RequestClass requestClass) {}
 
   /** A tenant: its quota and the rate that it sends, in requests a second. */
-  public record Client(String name, double quota, double rate) {}
+  public record TenantLoad(String name, double quota, double rate) {}
 
   /** Keys with Zipf-distributed popularity; the popularity shifts by {@code drift} keys a second. */
   public record Keys(int count, double exponent, double drift) {}
@@ -113,14 +117,14 @@
     }
     double length = 1000 * top.number("seconds", Double.NaN, 1, MAX_LENGTH_S);
     int zones = top.whole("zones", 1, 1, MAX_ZONES);
-    List<Kind> kinds = new ArrayList<>();
-    for (Yaml kind : top.list("classes", 1)) {
-      kinds.add(kind(kind));
+    List<LoadClass> loadClasses = new ArrayList<>();
+    for (Yaml loadClass : top.list("classes", 1)) {
+      loadClasses.add(loadClass(loadClass));
     }
-    List<Client> tenants = new ArrayList<>();
+    List<TenantLoad> tenants = new ArrayList<>();
     for (Yaml tenant : top.list("tenants", 1)) {
       double quota = tenant.number("quota_per_s", Double.NaN, 0.001, 1e6);
-      tenants.add(new Client(tenant.text("name", null), quota,
+      tenants.add(new TenantLoad(tenant.text("name", null), quota,
           tenant.number("sends_per_s", quota, 0.001, 1e6)));
       tenant.rejectUnknownFields();
     }
@@ -132,7 +136,7 @@
         length, 1000 * top.number("warm_up_seconds", 0, 0, length / 1000),
         top.whole("proxies", Double.NaN, 1, MAX_PROCESSES), zones, top.number("zone_ms", 1, 0, 1000),
         top.number("network_ms", 0.2, 0, 1000), limits(top.fields("settings")), rules(top.fields("rules")),
-        prices(top.fields("prices")), top.number("over_share_worth", 1, 0, 1), List.copyOf(kinds),
+        prices(top.fields("prices")), top.number("over_share_worth", 1, 0, 1), List.copyOf(loadClasses),
         List.copyOf(tenants), keys(top.fields("keys")), caches(top.fields("caches")),
         origin(top.fields("origin")), clients(top.fields("clients")),
         top.number("discovery_ms", 1000, 0, 60_000), List.copyOf(faults));
@@ -140,17 +144,17 @@
     return scenario;
   }
 
-  private static Kind kind(Yaml fields) throws InputException {
+  private static LoadClass loadClass(Yaml fields) throws InputException {
     double deadline = fields.number("deadline_ms", Double.NaN, 1, 600_000);
     RequestClass rules = new RequestClass(fields.enumValue("effect", Idempotency.SAFE, Idempotency.class),
         fields.enumValue("dedup", DedupGroup.ALL, DedupGroup.class),
         fields.number("dedup_ms", 2000, 0, 600_000), fields.number("aim_ms", deadline, 1, deadline), deadline,
         fields.number("worth", 1, 0, 1000),
         fields.number("late_worth", 0, 0, 1));
-    Kind kind = new Kind(fields.text("name", null), fields.number("share", 1, 0, 1e6),
+    LoadClass loadClass = new LoadClass(fields.text("name", null), fields.number("share", 1, 0, 1e6),
         fields.number("work_ms", Double.NaN, 0.001, 60_000), fields.flag("write", false), rules);
     fields.rejectUnknownFields();
-    return kind;
+    return loadClass;
   }
 
   private static Limits limits(Yaml fields) throws InputException {
@@ -211,7 +215,7 @@
     return clients;
   }
 
-  private static Fault fault(Yaml fields, int zones, List<Client> tenants) throws InputException {
+  private static Fault fault(Yaml fields, int zones, List<TenantLoad> tenants) throws InputException {
     What what = fields.enumValue("what", null, What.class);
     String tenant = fields.text("tenant", "");
     if (what == What.SURGE && tenants.stream().noneMatch(t -> t.name().equals(tenant))) {
@@ -229,13 +233,13 @@
   /** The settings of an instance, with a seed of its own. */
   Settings settings(long instanceSeed, int zone) {
     return new Settings(instanceSeed, proxies, zone, true, WeightSource.NOMINAL, World.ORIGIN, overShareWorth,
-        limits, rules, prices, kinds.stream().map(Kind::rules).toList(),
+        limits, rules, prices, loadClasses.stream().map(LoadClass::requestClass).toList(),
         tenants.stream().map(t -> new Tenant(t.quota())).toList());
   }
 
   /** The same scenario with another seed. */
   public Scenario withSeed(long newSeed) {
     return new Scenario(name, newSeed, length, warmUp, proxies, zones, zoneDelay, delay, limits, rules,
-        prices, overShareWorth, kinds, tenants, keys, caches, origin, clients, discoveryDelay, faults);
+        prices, overShareWorth, loadClasses, tenants, keys, caches, origin, clients, discoveryDelay, faults);
   }
 }
--- a/src/main/java/beampoint/emulator/Traffic.java
+++ b/src/main/java/beampoint/emulator/Traffic.java
@@ -3,38 +3,38 @@
 /** Counts the bytes that one host sends and receives: the mean per second and the largest second. */
 final class Traffic {
 
-  private static final double SECOND = 1_000;
+  private static final double MS_PER_SECOND = 1_000;
 
-  private double from;
-  private double secondEnds;
-  private long inSecond;
-  private long worst;
-  private long all;
+  private double measuredSince;
+  private double currentSecondEnd;
+  private long bytesInCurrentSecond;
+  private long maxBytesPerSecond;
+  private long totalBytes;
 
   /** Discards the counts and starts again at this time. */
   void restart(double now) {
-    from = now;
-    secondEnds = now + SECOND;
-    inSecond = 0;
-    worst = 0;
-    all = 0;
+    measuredSince = now;
+    currentSecondEnd = now + MS_PER_SECOND;
+    bytesInCurrentSecond = 0;
+    maxBytesPerSecond = 0;
+    totalBytes = 0;
   }
 
   void add(double now, int bytes) {
-    while (now >= secondEnds) {
-      inSecond = 0;
-      secondEnds += SECOND;
+    while (now >= currentSecondEnd) {
+      bytesInCurrentSecond = 0;
+      currentSecondEnd += MS_PER_SECOND;
     }
-    inSecond += bytes;
-    worst = Math.max(worst, inSecond);
-    all += bytes;
+    bytesInCurrentSecond += bytes;
+    maxBytesPerSecond = Math.max(maxBytesPerSecond, bytesInCurrentSecond);
+    totalBytes += bytes;
   }
 
-  double meanOfSecond(double now) {
-    return now <= from ? 0 : all / (now - from) * SECOND;
+  double meanBytesPerSecond(double now) {
+    return now <= measuredSince ? 0 : totalBytes / (now - measuredSince) * MS_PER_SECOND;
   }
 
-  long worstSecond() {
-    return worst;
+  long maxBytesPerSecond() {
+    return maxBytesPerSecond;
   }
 }
--- a/src/main/java/beampoint/emulator/Views.java
+++ b/src/main/java/beampoint/emulator/Views.java
@@ -8,7 +8,7 @@
   /**
    * The hosts that a host may be connected to: those of its site, including itself, and the control machines.
    */
-  List<Integer> ofInterest(ControlHost host);
+  List<Integer> possiblePeers(ControlHost host);
 
   /** Is called when a host has started. */
   void started(ControlHost host);
--- a/src/main/java/beampoint/emulator/WireSettings.java
+++ b/src/main/java/beampoint/emulator/WireSettings.java
@@ -53,10 +53,10 @@
     prices.addProperty("probe", settings.prices().probe());
     json.add("prices", prices);
     JsonArray lanes = new JsonArray();
-    scenario.kinds().forEach(kind -> lanes.add(lane(kind.name(), kind.rules())));
+    scenario.loadClasses().forEach(loadClass -> lanes.add(lane(loadClass.name(), loadClass.requestClass())));
     json.add("lanes", lanes);
     JsonArray accounts = new JsonArray();
-    for (Scenario.Client tenant : scenario.tenants()) {
+    for (Scenario.TenantLoad tenant : scenario.tenants()) {
       JsonObject account = new JsonObject();
       account.addProperty("name", tenant.name());
       account.addProperty("quota-per-s", tenant.quota());
--- a/src/main/java/beampoint/emulator/World.java
+++ b/src/main/java/beampoint/emulator/World.java
@@ -113,11 +113,11 @@
   /** Runs the scenario with proxies that have been started. */
   Report runStarted() {
     start = clock.now();
-    report.start(start);
+    report.recordStart(start);
     new Faults(this, stream(5)).schedule();
     loadGenerator.start();
     long tasks = clock.runTo(start + scenario.length());
-    report.end(tasks);
+    report.recordEnd(tasks);
     return report;
   }
 }
--- a/src/main/java/beampoint/experiment/Charts.java
+++ b/src/main/java/beampoint/experiment/Charts.java
@@ -32,7 +32,7 @@
         halfWidths.add(interval.halfWidth());
       }
       CategoryChart chart = new CategoryChartBuilder().width(WIDTH).height(HEIGHT).title(figure)
-          .yAxisTitle("mean and 95% interval, " + results.complete() + " seeds").build();
+          .yAxisTitle("mean and 95% interval, " + results.completedSeeds() + " seeds").build();
       chart.getStyler().setLegendVisible(false);
       chart.getStyler().setDefaultSeriesRenderStyle(CategorySeriesRenderStyle.Scatter);
       chart.addSeries(figure, names, means, halfWidths);
--- a/src/main/java/beampoint/experiment/Experiment.java
+++ b/src/main/java/beampoint/experiment/Experiment.java
@@ -56,7 +56,7 @@
       pool.shutdownNow();
     }
     Summary.write(plan, results, directory);
-    if (results.complete() > 1) {
+    if (results.completedSeeds() > 1) {
       Charts.write(plan, results, directory);
     }
     return results;
--- a/src/main/java/beampoint/experiment/Plan.java
+++ b/src/main/java/beampoint/experiment/Plan.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The plan of an experiment: variants of a scenario that are compared by some figures over several seeds. */
+/**
+ * The plan of an experiment: variants of a scenario that are compared by some figures over several seeds;
+ * {@code repeats} is the number of seeds on which each variant is run.
+ */
 public record Plan(Path file, Path scenario, int repeats, long firstSeed, List<String> figures,
     List<Variant> variants) {
 
--- a/src/main/java/beampoint/experiment/Results.java
+++ b/src/main/java/beampoint/experiment/Results.java
@@ -31,13 +31,13 @@
   }
 
   /** The number of seeds that all variants have been run on. */
-  public int complete() {
+  public int completedSeeds() {
     return figures.values().stream().mapToInt(List::size).min().orElse(0);
   }
 
   /** True if not all planned runs have been completed. */
   public boolean isPartial() {
-    return complete() < plan.repeats() || !failures.isEmpty();
+    return completedSeeds() < plan.repeats() || !failures.isEmpty();
   }
 
   /** The failures of runs, as opposed to broken rules. */
@@ -57,7 +57,7 @@
 
   /** A figure of a variant on the seeds that all variants have been run on. */
   public double[] values(Plan.Variant variant, String figure) {
-    return figures.get(variant.name()).stream().limit(complete()).mapToDouble(run -> run.get(figure))
+    return figures.get(variant.name()).stream().limit(completedSeeds()).mapToDouble(run -> run.get(figure))
         .toArray();
   }
 
--- a/src/main/java/beampoint/experiment/Summary.java
+++ b/src/main/java/beampoint/experiment/Summary.java
@@ -30,7 +30,7 @@
       text.append('\n');
     }
     if (results.isPartial()) {
-      text.append("**Partial: ").append(results.complete()).append(" of ").append(plan.repeats())
+      text.append("**Partial: ").append(results.completedSeeds()).append(" of ").append(plan.repeats())
           .append(" repeats.**\n\n");
       results.failures().forEach(failure -> text.append("- ").append(failure).append('\n'));
       text.append(results.failures().isEmpty() ? "" : "\n");
@@ -48,7 +48,7 @@
     }
     text.append("\n| figure | variant | mean | 95% interval | difference to ")
         .append(plan.variants().get(0).name()).append(" | |\n| --- | --- | --- | --- | --- | --- |\n");
-    boolean hasInterval = results.complete() >= Plan.MIN_REPEATS;
+    boolean hasInterval = results.completedSeeds() >= Plan.MIN_REPEATS;
     for (String figure : plan.figures()) {
       for (Plan.Variant variant : plan.variants()) {
         row(text, results, figure, variant, hasInterval, variant == plan.variants().get(0));
--- a/src/test/java/beampoint/emulator/ControlFleetTest.java
+++ b/src/test/java/beampoint/emulator/ControlFleetTest.java
@@ -57,9 +57,9 @@
 
   private static void assertNoRuleBroken(ControlFleet fleet) {
     ChangeChecks checks = fleet.checks();
-    assertEquals(0, checks.twice(), "twice");
+    assertEquals(0, checks.duplicateApplications(), "twice");
     assertEquals(0, checks.outOfOrder(), "out of order");
-    assertEquals(0, checks.foreign(), "foreign");
+    assertEquals(0, checks.uncommittedApplied(), "foreign");
     assertEquals(0, fleet.progressChecks().falseDone(), "false done");
     assertEquals(0, fleet.progressChecks().fencedFresh(), "fenced and fresh");
   }
@@ -80,14 +80,14 @@
     fleet.runTo(fleet.now() + 3_000);
     assertNoRuleBroken(fleet);
     assertAllReached(fleet);
-    assertTrue(fleet.checks().purgeMax() < 1_200, "longest: " + fleet.checks().purgeMax());
+    assertTrue(fleet.checks().maxPurgeDelayMs() < 1_200, "longest: " + fleet.checks().maxPurgeDelayMs());
     long last = fleet.checks().log().size();
     assertEquals(last, fleet.node(fleet.leader()).tracker().doneEverywhereUpTo());
     assertTrue(fleet.node(fleet.leader()).tracker().completion(last, fleet.now()).isDoneEverywhere());
     for (ControlHost host : fleet.hosts().subList(5, 45)) {
       assertTrue(host.node.isFresh(host.localTime(fleet.now())), host.member.name());
       assertEquals(0, host.node.lapses());
-      double bytes = host.traffic.meanOfSecond(fleet.now());
+      double bytes = host.traffic.meanBytesPerSecond(fleet.now());
       assertTrue(bytes < 1_000 + 1_000 * host.node.children().size(), host.member.name() + ": " + bytes);
     }
   }
@@ -98,7 +98,7 @@
    */
   private static void injectFault(ControlFleet fleet, Random random) {
     int host = random.nextInt(fleet.layout().hosts());
-    int proxy = fleet.layout().controls() + random.nextInt(40);
+    int proxy = fleet.layout().controlMachines() + random.nextInt(40);
     switch (random.nextInt(7)) {
       case 0 -> restart(fleet, proxy, 500 + 8_000 * random.nextDouble());
       case 1 -> pauseFor(fleet, proxy, 500 + 4_000 * random.nextDouble());
@@ -109,7 +109,7 @@
       default -> fleet.network().setMessageFaults(0.05 * random.nextDouble(), 0.05 * random.nextDouble(),
           0.1 * random.nextDouble(), 3_000);
     }
-    fleet.changed(List.of());
+    fleet.detectChanges(List.of());
   }
 
   /** Pauses or restarts the leader, so that another is elected. */
@@ -122,7 +122,7 @@
   }
 
   private static boolean allControlsRun(ControlFleet fleet) {
-    return fleet.hosts().subList(0, fleet.layout().controls()).stream()
+    return fleet.hosts().subList(0, fleet.layout().controlMachines()).stream()
         .allMatch(h -> h.isUp() && h.controlNode.state().log().voter());
   }
 
@@ -131,7 +131,7 @@
       fleet.kill(proxy);
       fleet.at(fleet.now() + downFor, () -> {
         fleet.start(proxy);
-        fleet.changed(List.of());
+        fleet.detectChanges(List.of());
       });
     }
   }
@@ -145,7 +145,7 @@
     fleet.isolate(hosts, hosts.size() == 1 ? 100 + hosts.get(0) : 1);
     fleet.at(fleet.now() + time, () -> {
       fleet.isolate(hosts, 0);
-      fleet.changed(List.of());
+      fleet.detectChanges(List.of());
     });
   }
 
@@ -171,7 +171,7 @@
     }
     fleet.runTo(fleet.now() + 30_000); // until all faults have ended
     fleet.healNetwork();
-    fleet.changed(List.of());
+    fleet.detectChanges(List.of());
     fleet.runTo(fleet.now() + 20_000);
     assertNoRuleBroken(fleet);
     assertAllReached(fleet);
--- a/src/test/java/beampoint/emulator/MemberFleetTest.java
+++ b/src/test/java/beampoint/emulator/MemberFleetTest.java
@@ -58,7 +58,7 @@
       MemberFleet fleet = fleet(members, seed);
       Random random = new Random(seed);
       fleet.setLossEverywhere(0.05);
-      fleet.delay(1, 60, 0.1); // delayed, reordered and duplicated messages
+      fleet.setDelayAndDuplication(1, 60, 0.1); // delayed, reordered and duplicated messages
       for (int i = 0; i < 60; i++) {
         int one = random.nextInt(members);
         int other = (one + 1 + random.nextInt(members - 1)) % members;
--- a/src/test/java/beampoint/emulator/ScenarioTest.java
+++ b/src/test/java/beampoint/emulator/ScenarioTest.java
@@ -35,7 +35,7 @@
   void omittedFieldsHaveDefaults() throws Exception {
     Scenario scenario = Scenario.parse("day.yaml", DAY);
     assertEquals(10_000, scenario.length());
-    assertEquals(1200, scenario.kinds().get(0).rules().aim());
+    assertEquals(1200, scenario.loadClasses().get(0).requestClass().aim());
     assertEquals(100, scenario.tenants().get(0).rate());
   }
 
--- a/src/test/java/beampoint/experiment/ExperimentTest.java
+++ b/src/test/java/beampoint/experiment/ExperimentTest.java
@@ -8,9 +8,9 @@
 
 import beampoint.Balancer;
 import beampoint.Balancer.Settings;
-import beampoint.policy.BalancerPolicy;
 import beampoint.emulator.Emulation;
 import beampoint.emulator.Scenario;
+import beampoint.policy.BalancerPolicy;
 import beampoint.settings.InputException;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -132,7 +132,7 @@
       return new BalancerPolicy(settings);
     });
     assertTrue(results.isPartial());
-    assertEquals(3, results.complete());
+    assertEquals(3, results.completedSeeds());
     assertTrue(summary().contains("Partial: 3 of 10 repeats"), summary());
     assertTrue(summary().contains("other, seed 4: failed: java.lang.IllegalStateException"), summary());
     assertEquals(8, Files.readAllLines(directory.resolve("out/runs.csv")).size());
@@ -150,7 +150,7 @@
       return new BalancerPolicy(settings);
     }, 2, 0.2);
     Results results = experiment.run(directory.resolve("out"));
-    assertEquals(0, results.complete());
+    assertEquals(0, results.completedSeeds());
     assertTrue(results.failures().get(0).contains("not ended after 0.2 s"), results.failures().get(0));
   }
 
@@ -187,7 +187,7 @@
     Plan plan = plan(PLAN.replace("settings.attempts: 1",
         "\"classes[0].aim_ms\": 250, clients.retries: 0, prices.probe: 0.5"));
     Scenario changed = plan.variants().get(1).scenario();
-    assertEquals(250, changed.kinds().get(0).rules().aim());
+    assertEquals(250, changed.loadClasses().get(0).requestClass().aim());
     assertEquals(0, changed.clients().retries());
     assertEquals(0.5, changed.prices().probe());
     assertEquals(plan.variants().get(0).scenario().limits(), changed.limits());
