--- a/src/main/java/beampoint/emulator/ControlScenario.java
+++ b/src/main/java/beampoint/emulator/ControlScenario.java
@@ -29,10 +29,7 @@
    */
   public record Membership(int members, double bytesPerSecond) {}
 
-  /**
-   * One-way delays in ms by distance, and the fractions of messages that are lost and duplicated ({@code
-   * repeats}).
-   */
+  /** One-way delays in ms by distance, and the fractions of messages that are lost and duplicated. */
   public record Network(double site, double region, double far, double jitter, double loss,
       double duplicated) {}
 
--- a/src/main/java/beampoint/emulator/MembershipEmulation.java
+++ b/src/main/java/beampoint/emulator/MembershipEmulation.java
@@ -22,7 +22,7 @@
         DistributionSettings.defaults(), scenario.fanOut(),
         new ControlNetwork.Delays(network.site(), network.region(), network.far(), network.jitter()), true,
         scenario.seed());
-    fleet.network().setMessageFaults(network.loss(), network.repeats(), 0, 0);
+    fleet.network().setMessageFaults(network.loss(), network.duplicated(), 0, 0);
     fleet.at(scenario.warmUp(), fleet::countFromNow);
     scenario.faults().forEach(fault -> FaultPlan.plan(fleet, fault));
     fleet.runTo(scenario.length());
