--- a/src/main/java/beampoint/fleet/changes/ChangeCodec.java
+++ b/src/main/java/beampoint/fleet/changes/ChangeCodec.java
@@ -192,7 +192,7 @@
   /**
    * Decodes a message of this cluster.
    *
-   * @throws MalformedChangeException if the bytes are not a message of this cluster and version
+   * @throws MalformedLogMessageException if the bytes are not a message of this cluster and version
    */
   public LogMessage read(byte[] bytes) throws MalformedLogMessageException {
     if (bytes.length > MAX_BYTES) {
--- a/src/test/java/beampoint/fleet/changes/ChangeCodecTest.java
+++ b/src/test/java/beampoint/fleet/changes/ChangeCodecTest.java
@@ -284,7 +284,7 @@
     }
   }
 
-  /** Decoding malformed bytes throws no exception other than MalformedChangeException. */
+  /** Decoding malformed bytes throws no exception other than MalformedLogMessageException. */
   @Test
   void twoHundredThousandMutatedMessagesAreDecodedOrRejected() {
     Random random = new Random(17);
