--- a/src/main/java/beampoint/emulator/ControlLog.java
+++ b/src/main/java/beampoint/emulator/ControlLog.java
@@ -13,7 +13,7 @@
 import beampoint.fleet.changes.LogLimits;
 import beampoint.fleet.changes.LogMessage;
 import beampoint.fleet.changes.LogSettings;
-import beampoint.fleet.changes.MalformedChangeException;
+import beampoint.fleet.changes.MalformedLogMessageException;
 import beampoint.fleet.changes.ReplicaState;
 import beampoint.fleet.changes.Snapshot;
 import beampoint.fleet.changes.SubmitOutcome.Committed;
@@ -42,7 +42,7 @@
 
   private static final double LEASE_MS = 600;
   private static final double DRIFT = 0.02;
-  private static final double RETRY = 400; // ms, for messages between replicas
+  private static final double RETRY_MS = 400; // for messages between replicas
   private static final double SUBMIT_RETRY_MS = 300;
   private static final double TICK_MS = 10;
 
@@ -58,11 +58,11 @@
   private final BiConsumer<ControlHost, DistributionEvent> deliverEvent;
   private final Consumer<ControlHost> leaderChanged;
   private final ChangeCodec codec = new ChangeCodec("emulated");
-  private final LogSettings terms;
-  private final LeaseSettings leaseTerms;
+  private final LogSettings logSettings;
+  private final LeaseSettings leaseSettings;
   private final Map<ChangeId, Pending> pending = new HashMap<>();
   private long submitted;
-  private double commitMax;
+  private double maxCommitDelayMs;
 
   ControlLog(Clock clock, FleetLayout layout, List<ControlHost> hosts, ControlNetwork network,
       ChangeChecks checks, UniformRandomProvider random,
@@ -76,15 +76,15 @@
     this.deliverEvent = deliverEvent;
     this.leaderChanged = leaderChanged;
     SortedSet<String> voters = new TreeSet<>();
-    for (int i = 0; i < layout.controls(); i++) {
+    for (int i = 0; i < layout.controlMachines(); i++) {
       voters.add(layout.member(i).name());
     }
-    this.terms = new LogSettings(voters, RETRY, LogLimits.DEFAULTS);
-    this.leaseTerms = new LeaseSettings(voters, LEASE_MS, DRIFT);
+    this.logSettings = new LogSettings(voters, RETRY_MS, LogLimits.DEFAULTS);
+    this.leaseSettings = new LeaseSettings(voters, LEASE_MS, DRIFT);
   }
 
   void started(ControlHost host) {
-    host.controlNode = new ControlNode(terms, leaseTerms, host.member.name(), host.life,
+    host.controlNode = new ControlNode(logSettings, leaseSettings, host.member.name(), host.life,
         ReplicaState.started(host.life), host.localTime(clock.now()), new Random(random.nextLong()));
     host.knownLeader = "";
     host.leads = false;
@@ -105,8 +105,8 @@
 
   /** Submits a change, and retries until it is committed. */
   void submit(Change change) {
-    String origin = layout.member(random.nextInt(layout.controls())).name();
-    ChangeId id = new ChangeId(origin, ++submitted);
+    String submitter = layout.member(random.nextInt(layout.controlMachines())).name();
+    ChangeId id = new ChangeId(submitter, ++submitted);
     pending.put(id, new Pending(change, clock.now()));
     trySubmit(id);
   }
@@ -126,7 +126,7 @@
   private void committed(ChangeId id) {
     Pending change = pending.remove(id);
     if (change != null) {
-      commitMax = Math.max(commitMax, clock.now() - change.submittedAt());
+      maxCommitDelayMs = Math.max(maxCommitDelayMs, clock.now() - change.submittedAt());
     }
   }
 
@@ -136,15 +136,15 @@
   }
 
   /** The longest time in ms from a change's first submission to the answer that it is committed. */
-  double commitMax() {
-    return commitMax;
+  double maxCommitDelayMs() {
+    return maxCommitDelayMs;
   }
 
   // ---- Control machines -----------------------------------------------------------------------------------
 
   /** Returns the number of the control machine that leads; -1 if there is none. */
   int leader() {
-    for (ControlHost host : hosts.subList(0, layout.controls())) {
+    for (ControlHost host : hosts.subList(0, layout.controlMachines())) {
       if (host.isUp() && !host.isPaused() && host.controlNode.leads(host.localTime(clock.now()))) {
         return host.number;
       }
@@ -162,7 +162,7 @@
       host.leads = leads;
       deliverEvent.accept(host, leads
           ? new DistributionEvent.BecameLeader(
-              DistributionNode.logId(host.controlNode.state().log().identity()), layout.proxies())
+              DistributionNode.logId(host.controlNode.state().log().foundingEpoch()), layout.proxies())
           : new DistributionEvent.LostLeadership());
     }
     String leader = leads ? host.member.name() : host.controlNode.state().leader().holder();
@@ -175,13 +175,13 @@
   private void execute(ControlHost host, List<LogAction> actions) {
     for (LogAction action : actions) {
       if (action instanceof Send send) {
-        send(host, hosts.get(layout.number(send.to())), send.message());
+        send(host, hosts.get(layout.hostNumber(send.to())), send.message());
       } else if (action instanceof Answer answer && answer.outcome() instanceof Committed) {
         committed(answer.id());
       } else if (action instanceof Deliver entries) {
         deliverEntries(host, entries);
       } else if (action instanceof Install install) {
-        deliverEvent.accept(host, new Installed(DistributionNode.logId(install.identity()),
+        deliverEvent.accept(host, new Installed(DistributionNode.logId(install.foundingEpoch()),
             toConfigurationSnapshot(install.snapshot())));
       }
     }
@@ -194,8 +194,9 @@
         checks.committed(entry, clock.now());
       }
     }
-    deliverEvent.accept(host, new DistributionEvent.Committed(DistributionNode.logId(delivered.identity()),
-        delivered.entries()));
+    deliverEvent.accept(host,
+        new DistributionEvent.Committed(DistributionNode.logId(delivered.foundingEpoch()),
+            delivered.entries()));
   }
 
   private static ConfigurationSnapshot toConfigurationSnapshot(Snapshot snapshot) {
@@ -227,7 +228,7 @@
   private LogMessage read(byte[] bytes) {
     try {
       return codec.read(bytes);
-    } catch (MalformedChangeException e) {
+    } catch (MalformedLogMessageException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/src/main/java/beampoint/emulator/ControlScenario.java
+++ b/src/main/java/beampoint/emulator/ControlScenario.java
@@ -6,7 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A scenario for the control plane of a fleet: its layout, the changes and the faults. */
+/**
+ * A scenario for the control plane of a fleet: its layout, the changes and the faults. {@code length} and
+ * {@code warmUp} are in ms.
+ */
 public record ControlScenario(String name, long seed, double length, double warmUp, Size size,
     Membership membership, int fanOut, Network network, Changes changes, Limits limits, List<Fault> faults) {
 
@@ -16,7 +19,7 @@
   private static final double SECONDS_PER_DAY = 24 * 3_600;
 
   /** The numbers of proxies, sites, zones, regions and control machines. */
-  public record Size(int proxies, int sites, int zones, int regions, int controls) {}
+  public record Size(int proxies, int sites, int zones, int regions, int controlMachines) {}
 
   /**
    * Membership. The protocol is not run at the size of the fleet, where the views follow a model.
@@ -27,7 +30,8 @@
   public record Membership(int members, double bytesPerSecond) {}
 
   /** One-way delays in ms by distance, and the fractions of messages that are lost and duplicated. */
-  public record Network(double site, double region, double far, double jitter, double loss, double repeats) {}
+  public record Network(double site, double region, double far, double jitter, double loss,
+      double duplicated) {}
 
   /** Purges per second, configuration changes per second, and the length of a configuration document. */
   public record Changes(double purges, double configurations, int documentBytes) {}
--- a/src/main/java/beampoint/emulator/FaultPlan.java
+++ b/src/main/java/beampoint/emulator/FaultPlan.java
@@ -9,7 +9,7 @@
 
   private FaultPlan() {}
 
-  /** Schedules the begin and the end of a fault: a zone's hosts are killed, or a region is cut off. */
+  /** Schedules the beginning and the end of a fault: a zone's hosts are killed, or a region is cut off. */
   static void plan(ControlFleet fleet, Fault fault) {
     boolean isZone = fault.what() == What.ZONE_LOST;
     List<Integer> hosts = isZone ? fleet.layout().ofZone(fault.place())
@@ -20,7 +20,7 @@
       } else {
         fleet.isolate(hosts, 1 + fault.place());
       }
-      fleet.changed(hosts);
+      fleet.detectChanges(hosts);
     });
     fleet.at(fault.at() + fault.length(), () -> {
       if (isZone) {
@@ -28,7 +28,7 @@
       } else {
         fleet.isolate(hosts, 0);
       }
-      fleet.changed(hosts);
+      fleet.detectChanges(hosts);
     });
   }
 }
--- a/src/main/java/beampoint/emulator/MembershipEmulation.java
+++ b/src/main/java/beampoint/emulator/MembershipEmulation.java
@@ -18,11 +18,11 @@
     int members = scenario.membership().members();
     ControlFleet fleet = new ControlFleet(
         new FleetLayout(members, Math.min(size.sites(), members), size.zones(), size.regions(),
-            size.controls()),
+            size.controlMachines()),
         DistributionSettings.defaults(), scenario.fanOut(),
         new ControlNetwork.Delays(network.site(), network.region(), network.far(), network.jitter()), true,
         scenario.seed());
-    fleet.network().setMessageFaults(network.loss(), network.repeats(), 0, 0);
+    fleet.network().setMessageFaults(network.loss(), network.duplicated(), 0, 0);
     fleet.at(scenario.warmUp(), fleet::countFromNow);
     scenario.faults().forEach(fault -> FaultPlan.plan(fleet, fault));
     fleet.runTo(scenario.length());
--- a/src/main/java/beampoint/emulator/ModelledViews.java
+++ b/src/main/java/beampoint/emulator/ModelledViews.java
@@ -6,8 +6,9 @@
 
 /**
  * The hosts' views of each other by a model in place of the membership protocol: a host that is down or cut
- * off is considered dead after the detection times of a fleet of 400 members, and one that is back is seen
- * soon. Views cover only the hosts that a host may be connected to: its site and the control machines.
+ * off is considered dead after 4.0 to 4.4 s, the detection times of a fleet of 400 members, and one that is
+ * reachable again is considered live after 100 to 500 ms. Views cover only the hosts that a host may be
+ * connected to: its site and the control machines.
  */
 final class ModelledViews implements Views {
 
@@ -22,7 +23,7 @@
   private final ControlNetwork network;
   private final UniformRandomProvider random;
   private final Consumer<ControlHost> viewChanged;
-  private final SiteNeighbours neighbours;
+  private final PossiblePeers possiblePeers;
 
   ModelledViews(Clock clock, FleetLayout layout, List<ControlHost> hosts, ControlNetwork network,
       UniformRandomProvider random, Consumer<ControlHost> viewChanged) {
@@ -32,12 +33,12 @@
     this.network = network;
     this.random = random;
     this.viewChanged = viewChanged;
-    this.neighbours = new SiteNeighbours(layout);
+    this.possiblePeers = new PossiblePeers(layout);
   }
 
   @Override
-  public List<Integer> ofInterest(ControlHost host) {
-    return neighbours.of(host.member);
+  public List<Integer> possiblePeers(ControlHost host) {
+    return possiblePeers.of(host.member);
   }
 
   @Override
@@ -65,7 +66,7 @@
       return;
     }
     boolean isViewChanged = false;
-    for (int number : ofInterest(host)) {
+    for (int number : possiblePeers(host)) {
       ControlHost other = hosts.get(number);
       boolean isUnreachable = !other.isUp() || network.partition(number) != network.partition(host.number);
       String name = layout.member(number).name();
--- a/src/main/java/beampoint/emulator/World.java
+++ b/src/main/java/beampoint/emulator/World.java
@@ -59,7 +59,8 @@
   }
 
   /**
-   * Fills the nodes with popular keys regardless of their placement; each soon gets the keys placed on it.
+   * Fills each node with random popular keys, not those that the proxies will request from it; it soon holds
+   * the latter.
    */
   private void prefill(UniformRandomProvider random) {
     int popularKeys =
@@ -112,11 +113,11 @@
   /** Runs the scenario with proxies that have been started. */
   Report runStarted() {
     start = clock.now();
-    report.start(start);
+    report.recordStart(start);
     new Faults(this, stream(5)).schedule();
     loadGenerator.start();
     long tasks = clock.runTo(start + scenario.length());
-    report.end(tasks);
+    report.recordEnd(tasks);
     return report;
   }
 }
--- a/src/main/java/beampoint/fleet/changes/Leader.java
+++ b/src/main/java/beampoint/fleet/changes/Leader.java
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Resets the progress of a follower with a new life: what it holds now is not known. */
+  /** Resets the progress of a follower whose process has restarted, because its log may have been lost. */
   static void resetIfRestarted(StepContext step, String follower, long life) {
     if (isLeading(step) && step.leadership.followers().get(follower).life() != life) {
       step.leadership = step.leadership.withFollower(follower, Progress.initial(life, step.now));
@@ -130,7 +130,7 @@
     Progress progress = leadership.followers().get(follower);
     List<ChangeEntry> entries = isUnresponsive(step, progress) ? List.of() : entriesToSend(step, progress);
     boolean founder = Long.valueOf(progress.life()).equals(leadership.founderLives().get(follower));
-    step.send(follower, new Append(leadership.epoch(), log.identity(), progress.life(), founder,
+    step.send(follower, new Append(leadership.epoch(), log.foundingEpoch(), progress.life(), founder,
         leadership.start(), log.commit(), log.last(), entries));
     long sent = entries.isEmpty() ? progress.sent() : entries.get(entries.size() - 1).index();
     step.leadership = leadership.withFollower(follower, progress.withSent(sent, log.commit(), step.now));
--- a/src/main/java/beampoint/fleet/changes/Leadership.java
+++ b/src/main/java/beampoint/fleet/changes/Leadership.java
@@ -1,7 +1,7 @@
 package beampoint.fleet.changes;
 
 import beampoint.fleet.changes.LogEvent.Submit;
-import beampoint.fleet.changes.LogMessage.Recovered;
+import beampoint.fleet.changes.LogMessage.LogReply;
 import beampoint.fleet.facts.Epoch;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -10,16 +10,19 @@
 import java.util.TreeMap;
 
 /**
- * The state of an elected leader apart from its log.
+ * The state of an elected replica apart from its log, while it collects logs and while it leads.
  *
+ * @param epoch the epoch of its lease
+ * @param phase the present phase
  * @param answers the answers to its requests for logs, by replica, including its own
  * @param chosen the answer whose log it adopts, or null
  * @param start the last index of its log when it began to lead
  * @param founderLives if it founded the log, the lives of the replicas that took part, by their names
+ * @param followers the replication progress of the other voters, by their names
  * @param queue the changes that wait to be appended
  * @param requestedAt when it last requested logs
  */
-record Leadership(Epoch epoch, Phase phase, SortedMap<String, Recovered> answers, Recovered chosen,
+record Leadership(Epoch epoch, Phase phase, SortedMap<String, LogReply> answers, LogReply chosen,
     long start, SortedMap<String, Long> founderLives, SortedMap<String, Progress> followers,
     List<Submit> queue, double requestedAt) {
 
@@ -79,8 +82,8 @@
         Collections.emptySortedMap(), followers, List.of(), now);
   }
 
-  Leadership withAnswer(String from, Recovered answer) {
-    SortedMap<String, Recovered> all = new TreeMap<>(answers);
+  Leadership withAnswer(String from, LogReply answer) {
+    SortedMap<String, LogReply> all = new TreeMap<>(answers);
     all.put(from, answer);
     return new Leadership(epoch, phase, all, chosen, start, founderLives, followers, queue, requestedAt);
   }
@@ -89,7 +92,7 @@
     return new Leadership(epoch, phase, answers, chosen, start, founderLives, followers, queue, now);
   }
 
-  Leadership fetchingFrom(Recovered best) {
+  Leadership fetchingFrom(LogReply best) {
     return new Leadership(epoch, Phase.FETCHING, Collections.emptySortedMap(), best, start, founderLives,
         followers, queue, requestedAt);
   }
