--- a/src/main/java/beampoint/cli/Main.java
+++ b/src/main/java/beampoint/cli/Main.java
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Polls the file, in place of a signal that is never received. A file that was read while it was being
-     * written is read again after the rest has been written.
+     * Polls the configuration file; used if SIGHUP is ignored, so that it can't request a reload. A file that
+     * was read while it was being written is read again after the rest has been written.
      */
     private void reloadOnChange(Proxy proxy, FileChanges changes) {
       try {
@@ -133,7 +133,7 @@
 
     private static int start(Proxy proxy) {
       // Registered before clients can connect, so that an early SIGTERM leads to a graceful shutdown too.
-      Thread hook = new Thread(() -> shutDown(proxy), "end");
+      Thread hook = new Thread(() -> shutDownGracefully(proxy), "end");
       Runtime.getRuntime().addShutdownHook(hook);
       try {
         proxy.startWithWarmUp();
@@ -145,9 +145,9 @@
       }
     }
 
-    private static void shutDown(Proxy proxy) {
+    private static void shutDownGracefully(Proxy proxy) {
       try {
-        proxy.drain();
+        proxy.shutDownGracefully();
       } catch (InterruptedException e) {
         LOG.error("the shutdown was interrupted", e);
       }
--- a/src/main/java/beampoint/emulator/ControlFleet.java
+++ b/src/main/java/beampoint/emulator/ControlFleet.java
@@ -82,7 +82,7 @@
     host.life++;
     double since = isReachable(number) ? clock.now() : Double.POSITIVE_INFINITY;
     ChangeChecks.Record record = checks.new Record(clock, since);
-    boolean isControl = number < layout.controls();
+    boolean isControl = number < layout.controlMachines();
     host.start(new DistributionNode(isControl ? settings.forControlMachine() : settings, host.member,
         FIRST_LIFE + host.life, 0, record, host.localTime(clock.now())), record);
     if (isControl) {
@@ -102,15 +102,17 @@
   }
 
   /** Lets the other hosts detect that hosts were killed, started, cut off or reconnected. */
-  public void changed(List<Integer> numbers) {
+  public void detectChanges(List<Integer> numbers) {
     views.changed(numbers);
   }
 
+  /** Pauses a host; its events are deferred until it is resumed. */
   public void pause(int number) {
     hosts.get(number).pause();
     hosts.get(number).record.reachableSince(Double.POSITIVE_INFINITY);
   }
 
+  /** Resumes a paused host, which then handles its deferred events. */
   public void resume(int number) {
     hosts.get(number).resume();
     updateReachability(hosts.get(number));
@@ -138,7 +140,10 @@
     }
   }
 
-  /** Whether a host is in the main partition, in which faults leave a majority of the control machines. */
+  /**
+   * Whether a host is in partition 0, the main one. Callers must keep a majority of the control machines
+   * there.
+   */
   private boolean isReachable(int number) {
     return network.partition(number) == 0;
   }
@@ -182,7 +187,7 @@
   private void updateParents(ControlHost host) {
     if (host.isUp()) {
       List<TreeMember> live = new ArrayList<>();
-      for (int other : views.ofInterest(host)) {
+      for (int other : views.possiblePeers(host)) {
         if (!host.dead.contains(layout.member(other).name())) {
           live.add(layout.member(other));
         }
@@ -199,7 +204,7 @@
       }
       host.node.handle(host.localTime(clock.now()), event).forEach(action -> {
         if (action instanceof Send send) {
-          send(host, hosts.get(layout.number(send.to())), send.message());
+          send(host, hosts.get(layout.hostNumber(send.to())), send.message());
         }
       });
     }
--- a/src/main/java/beampoint/emulator/FleetLayout.java
+++ b/src/main/java/beampoint/emulator/FleetLayout.java
@@ -16,15 +16,16 @@
  */
 public final class FleetLayout {
 
-  private final int controls;
+  private final int controlMachines;
   private final List<TreeMember> members = new ArrayList<>();
   private final List<Integer> zones = new ArrayList<>();
   private final List<Integer> regions = new ArrayList<>();
   private final Map<String, Integer> numbers = new HashMap<>();
 
-  public FleetLayout(int proxies, int sites, int zoneCount, int regionCount, int controls) {
-    this.controls = controls;
-    for (int i = 0; i < controls; i++) {
+  /** Creates a layout with these numbers of proxies, sites, zones, regions and control machines. */
+  public FleetLayout(int proxies, int sites, int zoneCount, int regionCount, int controlMachines) {
+    this.controlMachines = controlMachines;
+    for (int i = 0; i < controlMachines; i++) {
       add(TreeMember.control(String.format("control-%02d", i), regionName(i % regionCount)), i % zoneCount,
           i % regionCount);
     }
@@ -55,18 +56,21 @@
   }
 
   /** The number of control machines. */
-  public int controls() {
-    return controls;
+  public int controlMachines() {
+    return controlMachines;
   }
 
+  /** The member at a host, by the number of the host from 0. */
   public TreeMember member(int host) {
     return members.get(host);
   }
 
+  /** The zone of a host, by the number of the host from 0. */
   public int zone(int host) {
     return zones.get(host);
   }
 
+  /** The region of a host, by the number of the host from 0. */
   public int region(int host) {
     return regions.get(host);
   }
@@ -87,7 +91,8 @@
         .collect(Collectors.toCollection(TreeSet::new));
   }
 
-  public int number(String name) {
+  /** The number of the host of this name. */
+  public int hostNumber(String name) {
     return numbers.get(name);
   }
 }
--- a/src/main/java/beampoint/emulator/MembershipViews.java
+++ b/src/main/java/beampoint/emulator/MembershipViews.java
@@ -1,7 +1,7 @@
 package beampoint.emulator;
 
 import beampoint.fleet.membership.MemberAction;
-import beampoint.fleet.membership.MemberAction.Changed;
+import beampoint.fleet.membership.MemberAction.ReportChange;
 import beampoint.fleet.membership.MemberAction.Exchange;
 import beampoint.fleet.membership.MemberAction.Send;
 import beampoint.fleet.membership.MemberEvent;
@@ -41,7 +41,7 @@
   private final MembershipSettings settings = MembershipSettings.defaults();
   private final Codec codec = new Codec("emulated");
   private final List<MemberState> initialStates = new ArrayList<>();
-  private final SiteNeighbours neighbours;
+  private final PossiblePeers possiblePeers;
   private final double[] changedAt; // when each host was last killed, started, cut off or reconnected
   private final Histogram detection = new Histogram(MAX_DETECTION_MS, 3);
   private long wronglyDead;
@@ -56,7 +56,7 @@
     this.network = network;
     this.random = random;
     this.viewChanged = viewChanged;
-    this.neighbours = new SiteNeighbours(layout);
+    this.possiblePeers = new PossiblePeers(layout);
     this.changedAt = new double[layout.hosts()];
     for (int i = 0; i < layout.hosts(); i++) {
       String name = layout.member(i).name();
@@ -66,8 +66,8 @@
   }
 
   @Override
-  public List<Integer> ofInterest(ControlHost host) {
-    return neighbours.of(host.member);
+  public List<Integer> possiblePeers(ControlHost host) {
+    return possiblePeers.of(host.member);
   }
 
   @Override
@@ -109,16 +109,16 @@
 
   private void execute(ControlHost host, MemberAction action) {
     if (action instanceof Send send) {
-      send(host, hosts.get(layout.number(send.to().member())), send.message());
+      send(host, hosts.get(layout.hostNumber(send.to().member())), send.message());
     } else if (action instanceof Exchange exchange) {
-      exchange(host, hosts.get(layout.number(exchange.peer().member())));
-    } else if (action instanceof Changed changed) {
+      exchange(host, hosts.get(layout.hostNumber(exchange.peer().member())));
+    } else if (action instanceof ReportChange changed) {
       recordChange(host, changed.state());
     }
   }
 
   private void recordChange(ControlHost host, MemberState state) {
-    int other = layout.number(state.member());
+    int other = layout.hostNumber(state.member());
     boolean isDead = state.status() == Status.DEAD || state.status() == Status.LEFT;
     if (isDead) {
       boolean isOwnVerdict = state.reporter().equals(host.member.name());
@@ -131,7 +131,7 @@
       }
     }
     boolean isViewChanged = isDead ? host.dead.add(state.member()) : host.dead.remove(state.member());
-    if (isViewChanged && neighbours.of(host.member).contains(other)) {
+    if (isViewChanged && possiblePeers.of(host.member).contains(other)) {
       viewChanged.accept(host);
     }
   }
@@ -198,9 +198,10 @@
   }
 
   /**
-   * The 99th percentile of the time from when a host was killed or cut off until a host of the larger part of
-   * the network declared it dead, in ms. Hosts that are cut off with a few others suspect that they are
-   * isolated themselves and declare the rest dead later on purpose; they are not counted.
+   * The 99th percentile of the time in ms from when a host was killed or cut off until a host in partition 0,
+   * the main one, declared it dead. Declarations by hosts in other partitions are not counted: a host that is
+   * cut off with a few others suspects that it is isolated itself, and declares the rest dead later on
+   * purpose.
    */
   double detectP99() {
     return detection.getValueAtPercentile(99);
--- a/src/main/java/beampoint/emulator/ProcessFleet.java
+++ b/src/main/java/beampoint/emulator/ProcessFleet.java
@@ -56,7 +56,8 @@
   }
 
   /**
-   * Runs the scenario once all proxies are ready; null, without a run, if one is not within the limit (ms).
+   * Runs the scenario once all proxies are ready. Returns null, and does not run the scenario, if a proxy is
+   * not ready within {@code maxStartTime} ms.
    */
   Report run(double maxStartTime) throws IOException {
     for (CacheNode node : world.caches()) {
@@ -103,7 +104,7 @@
         listenerOf(node).setListening(!node.dead && !node.refusesConnections);
       }
       if (hasUnexpectedExit()) {
-        world.report.ruleBroken(clock.now(), "a proxy has ended by itself");
+        world.report.recordBrokenRule(clock.now(), "a proxy has ended by itself");
       }
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -156,7 +157,7 @@
   private void serveNode(CacheNode node, Socket socket, InputStream in) throws IOException {
     ConnectionState connection = new ConnectionState();
     boolean firstRequest = true;
-    clock.post(world.report::handshake);
+    clock.post(world.report::recordHandshake);
     try {
       for (String line = Listener.readLine(in); line != null; line = Listener.readLine(in)) {
         String[] fields = line.split(" ");
@@ -176,7 +177,7 @@
   }
 
   private void handleProbe(CacheNode node, Socket socket) {
-    world.report.probe();
+    world.report.recordProbe();
     if (!node.silent) {
       clock.after(world.scenario.delay() * 2, () -> Listener.write(socket, "MN\r\n"));
     }
@@ -236,7 +237,8 @@
           }
         }
         in.readNBytes(length);
-        String wireId = "O" + id; // the origin gets the bare id, a cache node the id behind its flag
+        // A request to the origin has the id alone, one to a cache node has it after the flag letter O.
+        String wireId = "O" + id;
         if (probe) {
           Listener.write(socket, httpResponse("200 OK", "", ""));
         } else {
--- a/src/main/java/beampoint/fleet/distribution/ProgressTracker.java
+++ b/src/main/java/beampoint/fleet/distribution/ProgressTracker.java
@@ -52,8 +52,8 @@
       return;
     }
     proxy.lastHeardAt = now;
-    boolean isNewerProcess = progress.life() > proxy.progress.life();
-    boolean isNotOlder = progress.life() == proxy.progress.life()
+    boolean isNewerProcess = progress.processNumber() > proxy.progress.processNumber();
+    boolean isNotOlder = progress.processNumber() == proxy.progress.processNumber()
         && progress.appliedUpTo() >= proxy.progress.appliedUpTo();
     if (isNewerProcess || isNotOlder) { // otherwise a newer report has arrived before this one
       proxy.progress = progress;
@@ -85,12 +85,12 @@
     return names;
   }
 
-  /** The last entry that every expected proxy has applied, including fenced ones. */
+  /** The index of the last entry that every expected proxy has applied, including fenced ones. */
   public long doneEverywhereUpTo() {
     return proxies.values().stream().mapToLong(p -> p.progress.appliedUpTo()).min().orElse(Long.MAX_VALUE);
   }
 
-  /** The last entry that every expected proxy has applied, except for fenced ones. */
+  /** The index of the last entry that every expected proxy has applied, except for fenced ones. */
   public long doneOrFencedUpTo(double now) {
     return proxies.values().stream().filter(p -> !isFenced(p, now)).mapToLong(p -> p.progress.appliedUpTo())
         .min().orElse(Long.MAX_VALUE);
--- a/src/main/java/beampoint/fleet/node/FleetNode.java
+++ b/src/main/java/beampoint/fleet/node/FleetNode.java
@@ -3,7 +3,7 @@
 import beampoint.count.Counter;
 import beampoint.count.Counters;
 import beampoint.fleet.membership.MemberAction;
-import beampoint.fleet.membership.MemberAction.Changed;
+import beampoint.fleet.membership.MemberAction.ReportChange;
 import beampoint.fleet.membership.MemberAction.Exchange;
 import beampoint.fleet.membership.MemberAction.Send;
 import beampoint.fleet.membership.MemberEvent;
@@ -36,7 +36,8 @@
 public final class FleetNode {
 
   private static final Log LOG = Log.of("fleet");
-  private static final double SIBLING_SETTLE_MS = 5_000; // before a lower number of members is used
+  // how long a lower number of siblings must be observed before it is used
+  private static final double SIBLING_SETTLE_MS = 5_000;
 
   private final FleetSettings settings;
   private final String name;
@@ -87,11 +88,11 @@
     List<MemberState> known = new ArrayList<>();
     settings.peers()
         .forEach((peer, at) -> known
-            .add(new MemberState(peer, Address.text(at), Status.ALIVE, 0, false, peer)));
-    LOG.info(name + " is a member of " + settings.cluster() + " at " + Address.text(address));
+            .add(new MemberState(peer, Address.format(at), Status.ALIVE, 0, false, peer)));
+    LOG.info(name + " is a member of " + settings.cluster() + " at " + Address.format(address));
     long tickMs = (long) membershipSettings.tickInterval();
     loop.execute(() -> {
-      membership = new Membership(membershipSettings, name, Address.text(address), known,
+      membership = new Membership(membershipSettings, name, Address.format(address), known,
           RandomSource.XO_SHI_RO_256_PP.create(seed), clock.getAsDouble());
       loop.scheduleWithFixedDelay(this::tick, 0, tickMs, TimeUnit.MILLISECONDS);
     });
@@ -139,7 +140,7 @@
       if (peer != null) {
         viewExchanger.exchange(peer);
       }
-    } else if (action instanceof Changed a) {
+    } else if (action instanceof ReportChange a) {
       report(a.state());
     }
   }
--- a/src/main/java/beampoint/serve/Reload.java
+++ b/src/main/java/beampoint/serve/Reload.java
@@ -8,11 +8,12 @@
 import beampoint.settings.Transition.NamedSettings;
 import beampoint.upstream.Upstreams;
 
-/** Applies a new configuration while the proxy serves. Belongs to the decision thread. */
+/** Applies a new configuration while the proxy serves. Confined to the decision thread. */
 final class Reload {
 
   private static final Log LOG = Log.of("serve");
-  private static final double OLD_REQUESTS_MS = 2000; // beyond a deadline, for requests under old settings
+  /** How long after the longest deadline the old request classes stay valid. */
+  private static final double TRANSITION_EXTRA_MS = 2000;
 
   private Config config;
   private final NameIndex names;
@@ -51,7 +52,7 @@
     }
     config = next;
     if (addressChanged && !watcher.move(next.discovery()) && decisions.settings().listPushed()) {
-      watcher.follow(); // it was waiting for its next retry
+      watcher.openWatch(); // no watch was open: calls the new address now, and not only at the next retry
     }
     applySettings(next);
   }
@@ -70,11 +71,11 @@
     NamedSettings present = new NamedSettings(decisions.settings(), names.settings());
     NamedSettings taken =
         Transition.keepStartupSettings(present, new NamedSettings(next.settings(), next.socketSettings()));
-    double longest = Math.max(Decisions.longestDeadline(decisions.settings()),
-        Decisions.longestDeadline(taken.settings()));
+    double longest = Math.max(Decisions.longestWaitMs(decisions.settings()),
+        Decisions.longestWaitMs(taken.settings()));
     int thisReload = ++reloads;
     change(Transition.duringTransition(present, taken));
-    loop.after(longest + OLD_REQUESTS_MS, () -> {
+    loop.after(longest + TRANSITION_EXTRA_MS, () -> {
       if (thisReload == reloads) {
         change(taken);
       }
@@ -84,11 +85,12 @@
   private void change(NamedSettings next) {
     NamedSettings present = new NamedSettings(decisions.settings(), names.settings());
     if (!next.equals(present)) {
-      LOG.info("classes: " + next.names().classes() + ", attempts: "
+      LOG.info("classes: " + next.socketSettings().classes() + ", attempts: "
           + next.settings().limits().maxAttempts());
       decisions.setSettings(next.settings());
-      names.update(next.names());
-      upstreams.setTimeouts(next.settings().limits().connectTimeout(), next.names().connectionIdle());
+      names.update(next.socketSettings());
+      upstreams.setTimeouts(next.settings().limits().connectTimeout(),
+          next.socketSettings().peerIdleTimeoutMs());
       decisions.dispatch(Transition.change(present, next));
     }
   }
--- a/src/main/java/beampoint/upstream/PooledConnection.java
+++ b/src/main/java/beampoint/upstream/PooledConnection.java
@@ -16,12 +16,12 @@
 
   final Pool pool;
   Connection<SocketAddress> connection; // null while it is being established
-  InFlight inFlight;
+  UpstreamRequest inFlight;
   Future<?> connectTimer;
   double connectStartedAt;
   double idleSince;
   HttpHead httpHead;
-  Collector bodyCollector; // of an answer that is buffered until it is complete
+  Collector bodyCollector; // of a reply that is buffered until it is complete
   Budget.Claim bodyClaim; // the memory budget for bodyCollector
   Stream valueStream; // a long value that is passed on to the client as it is read
   double lastProgressAt; // when bytes were last read, or reading was paused or resumed
@@ -30,7 +30,7 @@
   /** True once the last byte of the request was written: from then on the server may have executed it. */
   boolean requestWritten;
 
-  PooledConnection(Pool pool, InFlight inFlight) {
+  PooledConnection(Pool pool, UpstreamRequest inFlight) {
     this.pool = pool;
     this.inFlight = inFlight;
   }
--- a/src/main/java/beampoint/upstream/Replies.java
+++ b/src/main/java/beampoint/upstream/Replies.java
@@ -25,16 +25,19 @@
 import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** Handles the answers of endpoints, and determines the results. Confined to the decision thread. */
+/** Handles the replies of endpoints, and determines the results. Confined to the decision thread. */
 final class Replies {
 
   /** Receives the results. */
   interface ResultListener {
 
-    /** An attempt or probe has ended; the answer is null if there is none. */
-    void complete(InFlight inFlight, Result result, Answer answer);
+    /** An attempt or probe has ended; the answer to the client is null if there is none. */
+    void complete(UpstreamRequest inFlight, Result result, Answer answer);
 
-    /** A connection can't be used any more; its request, if written completely, ends with this result. */
+    /**
+     * A connection can't be used any more. Its request ends with this result if it was written completely,
+     * otherwise with CONNECT_FAILED.
+     */
     void end(PooledConnection pooled, Result resultIfWritten);
   }
 
@@ -62,7 +65,7 @@
 
   /** Handles a message that was read on a connection. */
   void handle(PooledConnection pooled, Object message) {
-    InFlight inFlight = pooled.inFlight;
+    UpstreamRequest inFlight = pooled.inFlight;
     if (pooled.closed) {
       return;
     }
@@ -70,14 +73,14 @@
     if (pooled.valueStream != null) {
       continueStream(pooled, message);
     } else if (inFlight == null || !pooled.requestWritten) {
-      protocolError(pooled, "unsolicited answer");
+      protocolError(pooled, "unsolicited reply");
     } else if (message instanceof Reply reply) {
       handleReply(pooled, inFlight, reply);
     } else if (message instanceof HttpFault fault) {
       protocolError(pooled, fault.problem());
     } else if (message instanceof HttpHead head) {
       pooled.httpHead = head;
-      if (head.whole()) {
+      if (head.hasNoBody()) {
         handleContent(pooled, inFlight, new HttpContent(Buffers.EMPTY_BUFFER, true, head.surplus()));
       }
     } else if (message instanceof HttpContent content) {
@@ -85,9 +88,9 @@
     }
   }
 
-  /** The peer has closed the connection with a FIN; returns true if that was the end of an answer on it. */
+  /** The peer has closed the connection with a FIN; returns true if that was the end of a reply on it. */
   boolean completeByClose(PooledConnection pooled) {
-    InFlight inFlight = pooled.inFlight;
+    UpstreamRequest inFlight = pooled.inFlight;
     if (pooled.closed || inFlight == null || pooled.httpHead == null || !pooled.httpHead.untilClose()) {
       return false;
     }
@@ -131,7 +134,7 @@
    * Starts to stream a value. As the client gets its first bytes at once, the attempt counts as successful
    * and is not retried.
    */
-  private void startStream(PooledConnection pooled, InFlight inFlight, long length) {
+  private void startStream(PooledConnection pooled, UpstreamRequest inFlight, long length) {
     counters.add(Counter.VALUES_STREAMED);
     pooled.inFlight = null;
     streaming.add(pooled);
@@ -167,7 +170,7 @@
     }
   }
 
-  private void handleReply(PooledConnection pooled, InFlight inFlight, Reply reply) {
+  private void handleReply(PooledConnection pooled, UpstreamRequest inFlight, Reply reply) {
     Command command = inFlight.isProbe() ? null : inFlight.exchange.command();
     boolean idMatches = command != null && reply.id() != null && reply.id().equals(command.id());
     boolean write = command != null && command.kind() == Command.Kind.WRITE;
@@ -181,10 +184,10 @@
       case BAD -> null;
     };
     if (result == null) {
-      protocolError(pooled, "answer does not match the request: " + reply.kind());
+      protocolError(pooled, "reply does not match the request: " + reply.kind());
       return;
     }
-    inFlight.loadReport = reply.load();
+    inFlight.loadReport = reply.loadReport();
     if (reply.isStreamed()) {
       startStream(pooled, inFlight, reply.length());
       return;
@@ -195,7 +198,7 @@
     listener.complete(inFlight, result, served ? Answer.complete(kind, reply.body()) : null);
   }
 
-  private void handleContent(PooledConnection pooled, InFlight inFlight, HttpContent content) {
+  private void handleContent(PooledConnection pooled, UpstreamRequest inFlight, HttpContent content) {
     boolean read = !inFlight.isProbe() && inFlight.exchange.command().kind() == Command.Kind.READ;
     boolean isLong = read && pooled.httpHead.status() == 200
         && pooled.httpHead.length() > ReplyFilter.MAX_BUFFERED_VALUE;
--- a/src/main/java/beampoint/upstream/Upstreams.java
+++ b/src/main/java/beampoint/upstream/Upstreams.java
@@ -51,7 +51,7 @@
   private final ConnectionPools pools;
   private final Replies replies;
   /** By the request's id, then by the attempt's number. */
-  private final Map<Long, Map<Integer, InFlight>> inFlightAttempts = new HashMap<>();
+  private final Map<Long, Map<Integer, UpstreamRequest>> inFlightAttempts = new HashMap<>();
   private final Future<?> connectionCheck; // closes connections that are idle for too long or stalled
 
   /**
@@ -81,7 +81,7 @@
     }, 1, 1, TimeUnit.SECONDS);
   }
 
-  /** Receives the events of connections and the results of answers. */
+  /** Receives the events of connections and the results of replies. */
   private final class Events implements ConnectionPools.Listener, Replies.ResultListener {
 
     @Override
@@ -102,12 +102,12 @@
     }
 
     @Override
-    public void unreachable(InFlight inFlight) {
+    public void unreachable(UpstreamRequest inFlight) {
       Upstreams.this.complete(inFlight, Result.CONNECT_FAILED, null);
     }
 
     @Override
-    public void complete(InFlight inFlight, Result result, Answer answer) {
+    public void complete(UpstreamRequest inFlight, Result result, Answer answer) {
       Upstreams.this.complete(inFlight, result, answer);
     }
 
@@ -142,7 +142,9 @@
     pools.remove(endpoint);
   }
 
-  /** An endpoint drains: requests that wait for a connection to it fail and are not sent to it. */
+  /**
+   * Fails the requests that wait for a connection to a draining endpoint, so that they are not sent to it.
+   */
   public void drain(String endpoint) {
     pools.failConnecting(endpoint);
   }
@@ -170,7 +172,8 @@
    * @param startBy the latest time at which the request may be written, in ms on the proxy's clock
    */
   public void send(Exchange exchange, int attempt, String endpoint, double timeoutAt, double startBy) {
-    InFlight inFlight = new InFlight(exchange, attempt, endpoint, clock.getAsDouble(), timeoutAt, startBy);
+    UpstreamRequest inFlight =
+        new UpstreamRequest(exchange, attempt, endpoint, clock.getAsDouble(), timeoutAt, startBy);
     inFlightAttempts.computeIfAbsent(exchange.id(), id -> new HashMap<>()).put(attempt, inFlight);
     counters.add(Counter.ATTEMPTS_SENT);
     start(inFlight);
@@ -180,21 +183,24 @@
   public void probe(String endpoint) {
     double now = clock.getAsDouble();
     counters.add(Counter.PROBES_SENT);
-    start(new InFlight(null, 0, endpoint, now, now + 2 * pools.connectTimeoutMs(),
+    start(new UpstreamRequest(null, 0, endpoint, now, now + 2 * pools.connectTimeoutMs(),
         Double.POSITIVE_INFINITY));
   }
 
   /** Cancels one attempt of a request. */
   public void cancel(long id, int attempt) {
-    InFlight inFlight = inFlightAttempts.getOrDefault(id, Map.of()).get(attempt);
+    UpstreamRequest inFlight = inFlightAttempts.getOrDefault(id, Map.of()).get(attempt);
     if (inFlight != null) {
       abort(inFlight, Result.CANCELLED);
     }
   }
 
-  /** The client of a request has disconnected: cancels the attempts that were not written completely. */
+  /**
+   * Cancels the attempts of a request that were not written completely; called when its client has
+   * disconnected.
+   */
   public void abandon(long id) {
-    for (InFlight inFlight : List.copyOf(inFlightAttempts.getOrDefault(id, Map.of()).values())) {
+    for (UpstreamRequest inFlight : List.copyOf(inFlightAttempts.getOrDefault(id, Map.of()).values())) {
       if (!inFlight.pooled.requestWritten) {
         abort(inFlight, Result.CANCELLED);
       }
@@ -203,12 +209,12 @@
 
   /** Times out all attempts of a request. */
   public void expire(long id) {
-    for (InFlight inFlight : List.copyOf(inFlightAttempts.getOrDefault(id, Map.of()).values())) {
+    for (UpstreamRequest inFlight : List.copyOf(inFlightAttempts.getOrDefault(id, Map.of()).values())) {
       abort(inFlight, Result.TIMEOUT);
     }
   }
 
-  private void start(InFlight inFlight) {
+  private void start(UpstreamRequest inFlight) {
     Pool pool = pools.pool(inFlight.endpoint);
     inFlight.timer = schedule(inFlight.timeoutAt, () -> abort(inFlight, Result.TIMEOUT));
     if (pool == null) {
@@ -225,7 +231,8 @@
     } else if (pools.ensureRoom(pool)) {
       pools.connect(new PooledConnection(pool, inFlight));
     } else {
-      // Not a failed connect: the shortage is this proxy's, and the cache node must not be ejected for it.
+      // Reported as NOT_SENT and not as CONNECT_FAILED: this proxy has no free connection, and the cache node
+      // must not be ejected for that.
       LOG.warn("all upstream connections are in use: " + pools.openConnections());
       complete(inFlight, Result.NOT_SENT, null);
     }
@@ -238,7 +245,7 @@
    * still waits.
    */
   private void write(PooledConnection pooled) {
-    InFlight inFlight = pooled.inFlight;
+    UpstreamRequest inFlight = pooled.inFlight;
     Pool pool = pooled.pool;
     double now = clock.getAsDouble();
     long timeLeft = (long) Math.floor(inFlight.timeoutAt - now);
@@ -270,7 +277,7 @@
   }
 
   private void end(PooledConnection pooled, Result resultIfWritten) {
-    InFlight inFlight = pooled.inFlight;
+    UpstreamRequest inFlight = pooled.inFlight;
     Stream stream = pooled.valueStream;
     pooled.valueStream = null;
     boolean written = pooled.requestWritten;
@@ -286,10 +293,10 @@
   }
 
   /**
-   * Ends an attempt or probe without an answer. An attempt that was not written completely was never
-   * executed, and is reported as not sent: the endpoint did not cause a timeout.
+   * Ends an attempt or probe without a reply. An attempt that was not written completely was never executed,
+   * and is reported as not sent: the endpoint did not cause a timeout.
    */
-  private void abort(InFlight inFlight, Result result) {
+  private void abort(UpstreamRequest inFlight, Result result) {
     if (inFlight.finished) {
       return;
     }
@@ -303,7 +310,7 @@
     complete(inFlight, written ? result : inFlight.isProbe() ? Result.TIMEOUT : Result.NOT_SENT, null);
   }
 
-  private void complete(InFlight inFlight, Result result, Answer answer) {
+  private void complete(UpstreamRequest inFlight, Result result, Answer answer) {
     if (inFlight.finished) {
       return;
     }
@@ -315,7 +322,7 @@
       loop.execute(() -> listener.probeEnded(inFlight.endpoint, elapsed, result));
       return;
     }
-    Map<Integer, InFlight> ofRequest = inFlightAttempts.get(inFlight.exchange.id());
+    Map<Integer, UpstreamRequest> ofRequest = inFlightAttempts.get(inFlight.exchange.id());
     ofRequest.remove(inFlight.attempt);
     if (ofRequest.isEmpty()) {
       inFlightAttempts.remove(inFlight.exchange.id());
--- a/src/test/java/beampoint/fleet/membership/RecordedFleet.java
+++ b/src/test/java/beampoint/fleet/membership/RecordedFleet.java
@@ -1,6 +1,6 @@
 package beampoint.fleet.membership;
 
-import beampoint.fleet.membership.MemberAction.Changed;
+import beampoint.fleet.membership.MemberAction.ReportChange;
 import beampoint.fleet.membership.MemberAction.Exchange;
 import beampoint.fleet.membership.MemberAction.Send;
 import beampoint.fleet.message.MemberState;
@@ -19,8 +19,8 @@
 
 /**
  * Runs membership state machines on a simulated network in virtual time and computes a digest over the text
- * of all actions of all events. It depends only on the state machine and not on the emulator, so the digest
- * stays the same as long as the decisions do.
+ * of all actions of all events. The digest depends only on the state machine, so it stays the same as long as
+ * the decisions do; this class does not use the network emulator of the project.
  */
 final class RecordedFleet {
 
@@ -226,7 +226,7 @@
       exchanges++;
       text.append("exchange ");
       write(a.peer());
-    } else if (action instanceof Changed a) {
+    } else if (action instanceof ReportChange a) {
       changes++;
       text.append("changed ");
       write(a.state());
--- a/src/test/java/beampoint/serve/ProxyLifecycleTest.java
+++ b/src/test/java/beampoint/serve/ProxyLifecycleTest.java
@@ -7,13 +7,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import beampoint.Balancer.AttemptEnded;
-import beampoint.Balancer.FollowList;
 import beampoint.Balancer.ListKind;
 import beampoint.Balancer.ListReceived;
 import beampoint.Balancer.Refuse;
 import beampoint.Balancer.RequestReceived;
 import beampoint.Balancer.Result;
 import beampoint.Balancer.Send;
+import beampoint.Balancer.SubscribeToList;
 import beampoint.Stub;
 import beampoint.count.Counter;
 import beampoint.count.Counters;
@@ -78,7 +78,7 @@
         + ProxyFixture.host("s-2", "127.0.0.1:1", "m2") + "]}\n";
     ProxyFixture.ScriptedModule module = new ProxyFixture.ScriptedModule();
     module.script = event -> event instanceof ListReceived e && e.kind() == ListKind.REMEMBERED
-        ? List.of(new FollowList()) : List.of();
+        ? List.of(new SubscribeToList()) : List.of();
     try (Stub discovery = new Stub(peer -> {
       peer.head();
       peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(list.length())
@@ -128,7 +128,7 @@
       cache.nextLine();
       Thread shutdown = new Thread(() -> {
         try {
-          proxy.proxy.drain();
+          proxy.proxy.shutDownGracefully();
         } catch (InterruptedException e) {
           Thread.currentThread().interrupt();
         }
@@ -184,7 +184,7 @@
         }));
       }
       sending.await();
-      proxy.proxy.drain();
+      proxy.proxy.shutDownGracefully();
       for (Future<String> end : ends) {
         assertEquals("end", end.get(5, TimeUnit.SECONDS));
       }
@@ -207,7 +207,7 @@
       client.send(READ.replace("4000", "60000"));
       cache.nextLine();
       long before = System.nanoTime();
-      proxy.proxy.drain();
+      proxy.proxy.shutDownGracefully();
       double took = (System.nanoTime() - before) / 1e6;
       assertTrue(took < 1700, "the SIGKILL comes 0.7 s after the deadline of 1 s; took " + took);
       assertEquals("SERVER_ERROR busy", client.line(), "the module refuses it as its attempt timed out");
@@ -237,7 +237,7 @@
         return busy;
       });
       long before = System.nanoTime();
-      proxy.proxy.drain();
+      proxy.proxy.shutDownGracefully();
       double took = (System.nanoTime() - before) / 1e6;
       assertTrue(took < 1700, "the SIGKILL comes 0.7 s after the deadline of 1 s; took " + took);
       assertEquals(count, proxy.proxy.counters().get(Counter.ANSWERED_REFUSED));
--- a/src/test/java/beampoint/sim/SimulatorHostTest.java
+++ b/src/test/java/beampoint/sim/SimulatorHostTest.java
@@ -59,14 +59,14 @@
   }
 
   @Test
-  void theModuleGetsTheRetryMarkOfAClient() throws Exception {
+  void theBalancerGetsTheRetryMarkOfAClient() throws Exception {
     List<Boolean> marks = new ArrayList<>();
     String input = START + "new_request\trid=5\tnot-after-ms=200\tservice=0\taffinity=9\n"
         + "new_request\trid=6\tnot-after-ms=200\tservice=0\taffinity=9\tresent=1\ncommit\n";
     new SimulatorHost(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
         new PrintStream(new ByteArrayOutputStream()), settings -> (now, event) -> {
           if (event instanceof RequestReceived e) {
-            marks.add(e.again());
+            marks.add(e.markedAsRetry());
           }
           return List.of();
         }).run();
