--- a/deploy/sites/lay.sh
+++ b/deploy/sites/lay.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Lays beside our site files what the bench wants there word for word as the operators gave it; git ignores it.
+# Copies the operators' files that the bench needs, unchanged, into this directory of site files; git ignores them.
 set -euo pipefail
 cd "$(dirname "$0")"
 kit="${1:-../../../given/kit/sites}"
